--- a/rookwood/__main__.py
+++ b/rookwood/__main__.py
@@ -11,29 +11,29 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from rookwood.logs import set_up
+from rookwood.logs import configure_logging
 from rookwood.net.config import Config, load
-from rookwood.net.dispatcher import Core, Dispatcher, Front
-from rookwood.settings import FaultyKeyError
+from rookwood.net.dispatcher import Dispatcher, DispatcherContext, Extension
+from rookwood.settings import InvalidSettingError
 
 log = logging.getLogger(__name__)
 
 
-OPERATOR = "ROOKWOOD_CONF"  # names the operator's file; without it, everything in that is off
-FrontOf = Callable[[Core], Front]
+OPERATOR_FILE_VARIABLE = "ROOKWOOD_CONF"  # names the operator's file; without it, everything in that is off
+FrontOf = Callable[[DispatcherContext], Extension]
 
 
 async def run(config: Config, fronts: list[FrontOf]) -> None:
     loop = asyncio.get_running_loop()
     dispatcher = Dispatcher(config, *fronts)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, dispatcher.leave)
+        loop.add_signal_handler(number, dispatcher.begin_shutdown)
     loop.add_signal_handler(signal.SIGHUP, reload, dispatcher)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     try:
         await dispatcher.start()
         gc.freeze()  # what was made so far stays: the collector need not walk it
-        await dispatcher.left()
+        await dispatcher.wait_drained()
     finally:
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
         await dispatcher.close()
@@ -43,29 +43,31 @@
     """A file that is not sound changes nothing: what is in force goes on."""
     try:
         dispatcher.reload(load(os.environ, again=True))
-    except FaultyKeyError as fault:
+    except InvalidSettingError as fault:
         log.error("the new configuration is not taken over: %s", fault)
     except Exception:
         log.exception("the new configuration is not taken over")
 
 
 def operated(environ: Mapping[str, str]) -> list[FrontOf]:
-    """Sets the log up, and reads the operator's file if there is one. Raises `FaultyKeyError`."""
-    place = environ.get(OPERATOR)
+    """Sets the log up, and reads the operator's file if there is one. Raises `InvalidSettingError`."""
+    place = environ.get(OPERATOR_FILE_VARIABLE)
     if not place:
-        set_up()
+        configure_logging()
         return []
     try:
-        from rookwood.conf import ConfError, load
+        from rookwood.conf import OperatorFileError, load
     except ImportError as error:
-        raise FaultyKeyError(OPERATOR, f"needs the extra packages of rookwood[gateway]: {error}") from None
+        raise InvalidSettingError(
+            OPERATOR_FILE_VARIABLE, f"needs the extra packages of rookwood[gateway]: {error}"
+        ) from None
     try:
         settings = load(Path(place))
-    except ConfError as error:
-        raise FaultyKeyError(OPERATOR, f"{len(error.faults)} fault(s)\n{error}") from None
+    except OperatorFileError as error:
+        raise InvalidSettingError(OPERATOR_FILE_VARIABLE, f"{len(error.faults)} fault(s)\n{error}") from None
     operator = settings.operator
     fields = {"site": operator.site} if operator.site else {}
-    set_up(operator.log_format, operator.log_level, **fields)
+    configure_logging(operator.log_format, operator.log_level, **fields)
     fronts: list[FrontOf] = []
     if operator.store:
         from rookwood.ledger import front as ledger
@@ -88,7 +90,7 @@
     try:
         fronts = operated(os.environ)
         config = load(os.environ)
-    except FaultyKeyError as fault:
+    except InvalidSettingError as fault:
         print(f"rookwood: {fault}", file=sys.stderr)
         return 2
     try:
--- a/rookwood/cli/files.py
+++ b/rookwood/cli/files.py
@@ -12,7 +12,7 @@
 from rookwood.cli.exit_codes import CODES, FAULTY
 
 if TYPE_CHECKING:  # the commands import only what they use
-    from rookwood.conf import Settings
+    from rookwood.conf import OperatorSettings
     from rookwood.net.config import Config
 
 SETTINGS_SHOWN = (
@@ -24,13 +24,13 @@
 FILE = click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 
 
-def load_operator_file(file: Path) -> Settings:
+def load_operator_file(file: Path) -> OperatorSettings:
     """The operator's settings; ends the command with every fault if there is one."""
-    from rookwood.conf import ConfError, load
+    from rookwood.conf import OperatorFileError, load
 
     try:
         return load(file)
-    except ConfError as error:
+    except OperatorFileError as error:
         click.echo(str(error), err=True)
         sys.exit(FAULTY)
 
@@ -43,11 +43,11 @@
     except (OSError, UnicodeDecodeError):
         return None  # whoever reads the operator's file says what is wrong with it
     from rookwood.net.config import load
-    from rookwood.settings import FaultyKeyError
+    from rookwood.settings import InvalidSettingError
 
     try:
         return load({"PROXY_CONFIG": str(file)})
-    except FaultyKeyError as error:
+    except InvalidSettingError as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(FAULTY)
 
--- a/rookwood/cli/running.py
+++ b/rookwood/cli/running.py
@@ -25,7 +25,7 @@
     if config:
         os.environ["PROXY_CONFIG"] = config
     if conf:
-        os.environ[program.OPERATOR] = conf
+        os.environ[program.OPERATOR_FILE_VARIABLE] = conf
     sys.exit(program.main())
 
 
--- a/rookwood/conf/__init__.py
+++ b/rookwood/conf/__init__.py
@@ -1,17 +1,17 @@
 """The operator's file: read line by line, checked in one place, given defaults in one place."""
 
-from rookwood.conf.read import ConfError, Fault, Origin, Settings, load
-from rookwood.conf.schema import Duties, Gateway, Operator, Peer, Site, Store
+from rookwood.conf.read import Fault, OperatorFileError, OperatorSettings, Origin, load
+from rookwood.conf.schema import Duties, Gateway, OperatorFile, Peer, Site, Store
 
 __all__ = [
-    "ConfError",
+    "OperatorFileError",
     "Duties",
     "Fault",
     "Gateway",
-    "Operator",
+    "OperatorFile",
     "Origin",
     "Peer",
-    "Settings",
+    "OperatorSettings",
     "Site",
     "Store",
     "load",
--- a/rookwood/conf/read.py
+++ b/rookwood/conf/read.py
@@ -19,7 +19,7 @@
     Directive,
     Duties,
     Gateway,
-    Operator,
+    OperatorFile,
     Peer,
     Section,
     Site,
@@ -54,7 +54,7 @@
         return f"{self.origin}:{at} {self.why}" + (f"; right would be {self.right}" if self.right else "")
 
 
-class ConfError(ValueError):
+class OperatorFileError(ValueError):
     """All faults of a file; the text holds one a line."""
 
     def __init__(self, faults: list[Fault]) -> None:
@@ -63,10 +63,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class OperatorSettings:
     """What is in force, and where each value came from: by dotted path; what is missing is a default."""
 
-    operator: Operator
+    operator: OperatorFile
     origins: dict[str, Origin]
 
     def rows(self) -> Iterator[tuple[str, str, str]]:
@@ -237,13 +237,13 @@
 
     # ---- from blocks to the typed whole ----
 
-    def built(self) -> Operator:
+    def built(self) -> OperatorFile:
         for block in (self.top, *self.blocks):
             for name, directive in block.section.directives.items():
                 if directive.required and not block.values.get(name) and not self.faults:
                     self.fault(block.origin, name, f"is missing in section {block.kind!r}", directive.right)
         if self.faults:
-            return Operator()
+            return OperatorFile()
         gateway = next((Gateway(**_fields(b)) for b in self.blocks if b.kind == "gateway"), None)
         sites = tuple(
             Site(
@@ -257,9 +257,9 @@
         store = next((Store(**_fields(b)) for b in self.blocks if b.kind == "store"), None)
         duties = next((Duties(**_fields(b)) for b in self.blocks if b.kind == "duties"), None)
         top = _fields(self.top)
-        return Operator(gateway=gateway, store=store, duties=duties, sites=sites, **top)
+        return OperatorFile(gateway=gateway, store=store, duties=duties, sites=sites, **top)
 
-    def check(self, operator: Operator) -> None:
+    def check(self, operator: OperatorFile) -> None:
         """What no single directive can tell."""
         gateway, store = operator.gateway, operator.store
         place = {b.path: b.origin for b in self.blocks}
@@ -339,13 +339,13 @@
     return close[0] if close else f"one of {', '.join(sorted(known))}" if known else ""
 
 
-def load(place: Path) -> Settings:
-    """Reads `place` and what it includes. Raises `ConfError` with every fault found."""
+def load(place: Path) -> OperatorSettings:
+    """Reads `place` and what it includes. Raises `OperatorFileError` with every fault found."""
     reader = _Reader()
     reader.file(place)
     operator = reader.built()
     if not reader.faults:
         reader.check(operator)
     if reader.faults:
-        raise ConfError(reader.faults)
-    return Settings(operator, reader.origins)
+        raise OperatorFileError(reader.faults)
+    return OperatorSettings(operator, reader.origins)
--- a/rookwood/conf/schema.py
+++ b/rookwood/conf/schema.py
@@ -91,7 +91,7 @@
     trial: bool = True  # one alone tries an endpoint that fails for all
 
 
-class Operator(Struct, frozen=True):
+class OperatorFile(Struct, frozen=True):
     """The whole file."""
 
     site: str = ""
--- a/rookwood/controlplane/worker_client.py
+++ b/rookwood/controlplane/worker_client.py
@@ -9,8 +9,8 @@
 from yarl import URL
 
 from rookwood.cluster.workers import HeldModel, parse_models
-from rookwood.httpclient.client import Answer, HttpClient
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.client import HttpClient, Response
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 CALL_LIMIT = 0.7  # seconds
 CONNECTIONS = 100
@@ -111,8 +111,8 @@
     async def report(self, address: str, worker: str) -> WorkerReport | ReportFailed:
         """Read a worker's report."""
         answer = await self._call("GET", f"http://{address}/report", worker, None)
-        if isinstance(answer, NotSent | Broken):
-            return ReportFailed(answer.why)
+        if isinstance(answer, NotSent | ResponseLost):
+            return ReportFailed(answer.reason)
         if answer.status != REPORTED:
             return ReportFailed(f"status {answer.status}")
         return parse_report(answer.body)
@@ -124,8 +124,8 @@
         answer = await self._call("POST", f"http://{address}/order", worker, call.body())
         if isinstance(answer, NotSent):
             return OrderRefused(NOT_CONNECTED)
-        if isinstance(answer, Broken):
-            return OrderUnknown(answer.why)
+        if isinstance(answer, ResponseLost):
+            return OrderUnknown(answer.reason)
         if isinstance(parse_report(answer.body), WorkerReport):
             return OrderUnknown("a late report in place of an answer")
         if answer.status in TAKEN_STATUSES:
@@ -134,26 +134,26 @@
 
     async def _call(
         self, method: str, url: str, worker: str, body: bytes | None
-    ) -> CallAnswer | NotSent | Broken:
+    ) -> CallAnswer | NotSent | ResponseLost:
         headers = {INSTANCE_HEADER: worker}
         if body is not None:
             headers["Content-Type"] = "application/json"
         try:
             async with asyncio.timeout(CALL_LIMIT):
                 answer = await self._http.send(method, URL(url), headers, body)
-                if isinstance(answer, NotSent | Broken):
+                if isinstance(answer, NotSent | ResponseLost):
                     return answer
                 flaw = find_call_flaw(answer, worker)
                 if flaw is not None:
                     answer.discard()
-                    return Broken(flaw)
+                    return ResponseLost(flaw)
                 whole = await answer.read_all()
         except TimeoutError as error:
-            return Broken(repr(error))
-        return whole if isinstance(whole, Broken) else CallAnswer(answer.status, whole)
+            return ResponseLost(repr(error))
+        return whole if isinstance(whole, ResponseLost) else CallAnswer(answer.status, whole)
 
 
-def find_call_flaw(answer: Answer, worker: str) -> str | None:
+def find_call_flaw(answer: Response, worker: str) -> str | None:
     """Why an answer can't be this worker's answer to a call, if so; with 421 another worker answers."""
     if any(answer.headers.getall(REQUEST_ID_HEADER, ())):
         return "answer to a client's request"
--- a/rookwood/dataplane/answers.py
+++ b/rookwood/dataplane/answers.py
@@ -13,7 +13,7 @@
 from rookwood.dataplane.request_trace import RequestTrace
 from rookwood.dataplane.requests import RoutedRequest
 from rookwood.dataplane.upstream import Complete, Rejected
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 RETRY_SOON = 0.3
@@ -77,14 +77,14 @@
 
 
 def refusal_for(
-    request: RoutedRequest, progress: RequestProgress, outcome: NotSent | Rejected | Broken
+    request: RoutedRequest, progress: RequestProgress, outcome: NotSent | Rejected | ResponseLost
 ) -> Refusal:
     """The answer after the last attempt."""
     if progress.may_have_run and not request.repeatable:
-        status = 504 if isinstance(outcome, Broken) and outcome.why == "deadline" else 502
+        status = 504 if isinstance(outcome, ResponseLost) and outcome.reason == "deadline" else 502
         return Refusal(status, "the worker's answer was lost")
-    if isinstance(outcome, Broken):
-        status = 504 if outcome.why == "deadline" else 502
+    if isinstance(outcome, ResponseLost):
+        status = 504 if outcome.reason == "deadline" else 502
         return Refusal(status, "the worker's answer was lost")
     return Refusal(503, "workers are full or gone", RETRY_SOON)
 
--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -38,7 +38,7 @@
     read_load,
 )
 from rookwood.dataplane.upstream_requests import MILLISECONDS, build_upstream_request, choose_urgency
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 from rookwood.mechanisms import Mechanism, Mechanisms
 from rookwood.modelplacement.types import Outcome
 
@@ -62,7 +62,7 @@
 
     async def send(
         self, client: web.BaseRequest, request: RoutedRequest, worker: WorkerRecord, progress: RequestProgress
-    ) -> web.StreamResponse | NotSent | Rejected | Broken:
+    ) -> web.StreamResponse | NotSent | Rejected | ResponseLost:
         """Send the request once; a response means that the request is answered."""
         traffic = self._pool.get(worker.id)
         began = now()
@@ -85,7 +85,7 @@
             result = placement_outcome(request, outcome, now())
             answered = now()
             progress.trace.answer(answered)
-            progress.broken = outcome.why if isinstance(outcome, Broken) else ""
+            progress.broken = outcome.reason if isinstance(outcome, ResponseLost) else ""
             if isinstance(outcome, Streaming):
                 if quiet and request.key is not None:
                     self._router.observe_reading(request.key.model, tokens, now() - began)
@@ -113,7 +113,7 @@
         sending: Coroutine[Any, Any, UpstreamOutcome],
     ) -> UpstreamOutcome:
         """Wait for the head; leaves a worker that fell silent if the request may go elsewhere."""
-        outcome: UpstreamOutcome = Broken(SILENT)
+        outcome: UpstreamOutcome = ResponseLost(SILENT)
         async with self._watch(request, progress, traffic):
             outcome = await sending
             traffic.heard = now()
@@ -133,13 +133,13 @@
 
     def _finish_complete(
         self, request: RoutedRequest, outcome: Complete, progress: RequestProgress
-    ) -> web.StreamResponse | Broken:
+    ) -> web.StreamResponse | ResponseLost:
         """A whole answer, unless it can't follow what the client has, or may yet go better elsewhere."""
         if progress.response is not None:
-            return Broken("no stream in place of the rest of one")
+            return ResponseLost("no stream in place of the rest of one")
         if outcome.status >= FIRST_SERVER_ERROR and request.repeatable:
             progress.last_answer = outcome
-            return Broken(f"status {outcome.status}")
+            return ResponseLost(f"status {outcome.status}")
         return complete_response(outcome)
 
     def _upstream_request(
@@ -168,7 +168,7 @@
                 traffic.lacks(request.key.model, request.key.adapter, learned_at)
             else:
                 traffic.failed(learned_at)
-        elif isinstance(outcome, NotSent) or outcome.why != "deadline":
+        elif isinstance(outcome, NotSent) or outcome.reason != "deadline":
             traffic.failed(learned_at)
 
     async def _relay(
@@ -178,7 +178,7 @@
         worker: WorkerRecord,
         stream: Streaming,
         progress: RequestProgress,
-    ) -> web.StreamResponse | Broken:
+    ) -> web.StreamResponse | ResponseLost:
         """Pass a stream on, event by event."""
         if progress.response is None:
             progress.response = web.StreamResponse(status=stream.status, headers=stream.headers)
@@ -201,7 +201,7 @@
         progress.broken = ended.why
         if ended.why != "deadline":
             self._pool.get(worker.id).failed(now())
-        return Broken(ended.why)
+        return ResponseLost(ended.why)
 
 
 def placement_outcome(request: RoutedRequest, outcome: UpstreamOutcome, now: float) -> Outcome:
@@ -211,5 +211,5 @@
     if isinstance(outcome, Complete | Streaming):
         late = now - request.arrived > request.route.target_ms / MILLISECONDS
         return Outcome.LATE if late else Outcome.OK
-    timed_out = isinstance(outcome, Broken) and outcome.why == "deadline"
+    timed_out = isinstance(outcome, ResponseLost) and outcome.reason == "deadline"
     return Outcome.TIMED_OUT if timed_out else Outcome.FAILED
--- a/rookwood/dataplane/repeats.py
+++ b/rookwood/dataplane/repeats.py
@@ -7,7 +7,7 @@
 from rookwood.dataplane.requests import RoutedRequest
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import Rejected
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 MINIMUM_ATTEMPT = 0.02  # seconds that must be left for an attempt to be worth sending
 MAXIMUM_CONNECTION_FAILURES = 3
@@ -37,18 +37,18 @@
         self,
         request: RoutedRequest,
         progress: RequestProgress,
-        outcome: NotSent | Rejected | Broken,
+        outcome: NotSent | Rejected | ResponseLost,
         now: float,
     ) -> bool:
         """Whether another worker may be tried after this outcome."""
         if request.deadline - now < MINIMUM_ATTEMPT:
-            progress.may_have_run = progress.may_have_run or isinstance(outcome, Broken)
+            progress.may_have_run = progress.may_have_run or isinstance(outcome, ResponseLost)
             return False
         if isinstance(outcome, NotSent):
             progress.sends -= 1
             progress.connection_failures += 1
             return progress.connection_failures < MAXIMUM_CONNECTION_FAILURES
-        if isinstance(outcome, Broken):
+        if isinstance(outcome, ResponseLost):
             progress.may_have_run = True
             if not request.repeatable or progress.passed_without_id:
                 return False
--- a/rookwood/dataplane/stream_relay.py
+++ b/rookwood/dataplane/stream_relay.py
@@ -11,7 +11,7 @@
 from rookwood.dataplane.pool import WorkerTraffic
 from rookwood.dataplane.silence import SilenceWatch
 from rookwood.dataplane.upstream import Streaming
-from rookwood.httpclient.outcomes import Broken
+from rookwood.httpclient.outcomes import ResponseLost
 
 SILENT = "silence"
 
@@ -34,8 +34,8 @@
     try:
         async with asyncio.timeout_at(deadline), watch:
             while data := await stream.answer.read_some():
-                if isinstance(data, Broken):
-                    return StreamBroke(data.why)
+                if isinstance(data, ResponseLost):
+                    return StreamBroke(data.reason)
                 watch.renew()
                 traffic.heard = loop.time()
                 progress.trace.event(loop.time())
--- a/rookwood/dataplane/upstream.py
+++ b/rookwood/dataplane/upstream.py
@@ -11,8 +11,8 @@
 from yarl import URL
 
 from rookwood.dataplane import headers as names
-from rookwood.httpclient.client import Answer, HttpClient
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.client import HttpClient, Response
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 CONNECT_LIMIT = 0.6
 IDLE_CONNECTION = 4.0  # seconds for which a kept connection is used again where workers tell no limit
@@ -46,10 +46,10 @@
 
     status: int
     headers: CIMultiDict[str]
-    answer: Answer
+    answer: Response
 
 
-UpstreamOutcome = NotSent | Rejected | Broken | Complete | Streaming
+UpstreamOutcome = NotSent | Rejected | ResponseLost | Complete | Streaming
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,12 +86,12 @@
             async with asyncio.timeout_at(deadline):
                 return await self._send(address, request)
         except TimeoutError:
-            return Broken("deadline")
+            return ResponseLost("deadline")
 
     async def _send(self, address: str, request: UpstreamRequest) -> UpstreamOutcome:
         url = URL(f"http://{address}{request.target}", encoded=True)
         answer = await self._http.send(request.method, url, request.headers, request.body)
-        if isinstance(answer, NotSent | Broken):
+        if isinstance(answer, NotSent | ResponseLost):
             return answer
         return await self._receive(answer, request)
 
@@ -103,22 +103,22 @@
             self.idle_limit = max(LEAST_IDLE, told - IDLE_MARGIN)
             self._http.limit_idle(self.idle_limit)
 
-    async def _receive(self, answer: Answer, request: UpstreamRequest) -> UpstreamOutcome:
+    async def _receive(self, answer: Response, request: UpstreamRequest) -> UpstreamOutcome:
         flaw = find_flaw(answer, request)
         if flaw is not None:
             answer.discard()
-            return Broken(flaw)
+            return ResponseLost(flaw)
         self._learn_idle(answer.headers.get(names.KEEP_ALIVE, ""))
         passed = names.end_to_end(answer.headers)
         if answer.status in OK_STATUSES and answer.content_type == "text/event-stream":
             return Streaming(answer.status, passed, answer)
         body = await answer.read_all()
-        if isinstance(body, Broken):
+        if isinstance(body, ResponseLost):
             return body
         if answer.status == MISDIRECTED or names.NOT_RUN in answer.headers:
             return Rejected(answer.status)
         if answer.status in PROMISES:
-            return Broken(f"status {answer.status} of a request that may have run")
+            return ResponseLost(f"status {answer.status} of a request that may have run")
         return Complete(answer.status, passed, body)
 
 
@@ -128,7 +128,7 @@
     return float(found.group(1)) if found else None
 
 
-def find_flaw(answer: Answer, request: UpstreamRequest) -> str | None:
+def find_flaw(answer: Response, request: UpstreamRequest) -> str | None:
     """Why an answer can't be the worker's true answer to this request, if so."""
     if answer.headers.getall(names.REQUEST_ID, []) != [request.request_id]:
         return "answer to another request"
--- a/rookwood/duties/front.py
+++ b/rookwood/duties/front.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from rookwood.conf import ConfError, Duties, Operator, load
+from rookwood.conf import Duties, OperatorFile, OperatorFileError, load
 from rookwood.duties.address import DUTY, Announcer
 from rookwood.duties.board import Board, Letter
 from rookwood.duties.change import Change, Roster
@@ -31,19 +31,21 @@
 from rookwood.members.swim import Change as Told
 from rookwood.members.swim import Letter as Probing
 from rookwood.members.swim import Members, News, Pace, Standing
-from rookwood.net.decisions import End
-from rookwood.net.destinations import Address, DestinationSet
-from rookwood.net.dispatcher import Core
+from rookwood.net.decisions import AttemptOutcome
+from rookwood.net.destinations import Address, DestinationUpdate
+from rookwood.net.dispatcher import DispatcherContext
 from rookwood.net.phase import Phase
-from rookwood.net.request import Answer
-from rookwood.settings import FaultyKeyError
+from rookwood.net.request import Response
+from rookwood.settings import InvalidSettingError
 
 log = structlog.stdlib.get_logger(__name__)
 
 TICKS = 50  # in a lease
 PINGS = 4  # in a lease; words of oneself as well
 PROBES = 4  # in a lease: the period of `members`
-BAD = frozenset({End.ERROR, End.NO_CONNECTION, End.RESET, End.TIMED_OUT})  # the endpoint's own doing
+BAD = frozenset(
+    {AttemptOutcome.ERROR, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT}
+)  # the endpoint's own doing
 DRAINED_LIMIT = timedelta(seconds=30)  # so long a roll waits for jobs in hand
 
 
@@ -64,7 +66,7 @@
 
 
 class DutiesFront:
-    def __init__(self, core: Core, operator: Operator, place: Path) -> None:
+    def __init__(self, core: DispatcherContext, operator: OperatorFile, place: Path) -> None:
         settings, gateway = operator.duties, operator.gateway
         assert settings and gateway
         self._core, self._gateway, self._clock, self._place = core, gateway, core.clock, place
@@ -72,10 +74,12 @@
         me = Self(operator.site, gateway.name or core.name, secrets.randbits(62))
         now, members = core.clock.now(), addresses(settings)
         if me.name not in members:
-            raise FaultyKeyError(str(place), f"duties: {me.name!r}, this dispatcher, is none of the members")
+            raise InvalidSettingError(
+                str(place), f"duties: {me.name!r}, this dispatcher, is none of the members"
+            )
         duties = [*places(settings.places)]
         duties += [DUTY] * bool(settings.relay) + [TRIAL] * settings.trial
-        self._rider = core.tier.rider
+        self._rider = core.dispatcher_group.member_store
         duties += [self._rider.duty] if self._rider else []
         duties += [LENDING] * (settings.lending and bool(operator.sites))
         rule = Rule(tuple(sorted(members)), settings.lease, settings.drift, settings.list)
@@ -91,7 +95,7 @@
         hooks = (self._heard, self._gone, self._up)
         self._links = Links(me, others, listen, rule.length, core.clock, *hooks, large=bool(self._rider))
         if self._rider:
-            core.figures.more.append(self._rider.figures)
+            core.stats.extra_sources.append(self._rider.figures)
             self.site.remembers = self._rider.whole
             self._rider.bind(Seat(self.board, self._rider.duty, self._links.send), rule.members)
         self._watchdog = Watchdog()
@@ -109,33 +113,35 @@
         self._waits = list[str]()  # who a roll waits for, as last logged
         self._tasks: list[asyncio.Task[None]] = []
         self._out: asyncio.Task[None] | None = None  # this one's part of a roll
-        core.figures.more.append(self._figures)
-        core.tier.living = lambda: len(self.members.alive)
-        core.tier.holds = self._holds
-        core.decisions.observed = self._observed
-        core.destinations.advisers.append(self.site.trial.since)
-        core.calls[b"GET", b"/ops/duties"] = self._told_duties
-        core.calls[b"GET", b"/ops/members"] = self._told_members
+        core.stats.extra_sources.append(self._figures)
+        core.dispatcher_group.count_alive = lambda: len(self.members.alive)
+        core.dispatcher_group.holds_duty = self._holds
+        core.decisions.on_attempt_ended = self._observed
+        core.destinations.exclusion_checks.append(self.site.trial.since)
+        core.management_calls[b"GET", b"/ops/duties"] = self._told_duties
+        core.management_calls[b"GET", b"/ops/members"] = self._told_members
         if self._rider:
-            core.calls[b"GET", b"/ops/replicas"] = self._told_replicas
-        core.calls[b"POST", b"/ops/roll/start"] = self._roll
-        core.calls[b"POST", b"/ops/roll/stop"] = self._roll_stop
+            core.management_calls[b"GET", b"/ops/replicas"] = self._told_replicas
+        core.management_calls[b"POST", b"/ops/roll/start"] = self._roll
+        core.management_calls[b"POST", b"/ops/roll/stop"] = self._roll_stop
         for duty in duties:
-            core.calls[b"POST", f"/ops/duties/{duty}/release".encode()] = lambda d=duty: self._release(d)  # type: ignore[misc]
+            core.management_calls[b"POST", f"/ops/duties/{duty}/release".encode()] = (
+                lambda d=duty: self._release(d)  # type: ignore[misc]
+            )
 
-    # ---- a Front ----
+    # ---- an Extension ----
 
-    def told(self, told: DestinationSet, kept: bool) -> DestinationSet:
+    def filter_update(self, update: DestinationUpdate, kept: bool) -> DestinationUpdate:
         changed = set[str]()
-        if told.whole:
-            self._booted = {u: b for u, b in self._booted.items() if u in {e.uid for e in told.endpoints}}
-        for endpoint in told.endpoints:
-            if endpoint.uid in self._booted and self._booted[endpoint.uid] != endpoint.booted:
+        if update.is_full:
+            self._booted = {u: b for u, b in self._booted.items() if u in {e.uid for e in update.endpoints}}
+        for endpoint in update.endpoints:
+            if endpoint.uid in self._booted and self._booted[endpoint.uid] != endpoint.started_at:
                 changed |= {endpoint.uid} if self.site.trial.started(endpoint.uid) else set()
-            self._booted[endpoint.uid] = endpoint.booted
+            self._booted[endpoint.uid] = endpoint.started_at
         if changed:
-            asyncio.get_running_loop().call_soon(self._core.destinations.again, changed)
-        return told
+            asyncio.get_running_loop().call_soon(self._core.destinations.reapply, changed)
+        return update
 
     async def start(self) -> None:
         await self._links.start(secured(self._gateway, utc_now()))
@@ -147,7 +153,7 @@
         """The list of members may change, by one at a time; the rest waits for the next start."""
         try:
             settings = load(self._place).operator.duties
-        except ConfError as error:
+        except OperatorFileError as error:
             log.error("the list of members is not taken over", why=str(error))
             return
         if settings is None:
@@ -162,11 +168,11 @@
             awaits = self.site.change.awaits(self.board.floor(self._clock.now()))
             log.info("list of members wished for", list=wish.number, awaits=" ".join(awaits) or "nobody")
 
-    def succeeded(self) -> None:
+    def handed_over(self) -> None:
         """The next process speaks under this name. What is out of a roll is done with it."""
-        self.leave(replaced=True)
+        self.begin_shutdown(replaced=True)
 
-    def leave(self, replaced: bool = False) -> None:
+    def begin_shutdown(self, replaced: bool = False) -> None:
         if self.board.leaving:
             return
         self._send(self.board.leave(self._clock.now()))
@@ -177,7 +183,7 @@
             self._probe(self.members.leave())
             self._tell(0, None)
 
-    async def empty(self) -> None:
+    async def wait_drained(self) -> None:
         pass
 
     async def close(self) -> None:
@@ -227,7 +233,7 @@
         if ends:
             self._end()
         if changed := self.site.tries(self.members.alive, len(self._booted), now):
-            self._core.destinations.again(changed)
+            self._core.destinations.reapply(changed)
         for duty, before in self._holders.items():
             holder = self.board.holder(duty, now)
             if holder != before:
@@ -301,7 +307,7 @@
         log.info("list of members", list=roster.number, members=" ".join(sorted(roster.members)))
         if self.board.me not in roster.members:
             log.warning("this dispatcher is no member any more: it holds nothing from now on")
-            self.leave()
+            self.begin_shutdown()
 
     # ---- rolls ----
 
@@ -321,29 +327,31 @@
         """A drain that the operator ends, ends this part of the roll as well; it comes again in its turn."""
         limit = self._clock.now() + DRAINED_LIMIT
         service = self._core.service
-        while self._clock.now() < limit and not (service.refusing and self._core.decisions.open == 0):
+        while self._clock.now() < limit and not (
+            service.is_rejecting and self._core.decisions.open_requests == 0
+        ):
             if service.phase is not Phase.DRAINING:
                 if service.phase is Phase.SERVING:
                     self.site.roller.begun = False
                 return
             await asyncio.sleep(0.02)
-        self._core.leave()
+        self._core.begin_shutdown()
 
-    def _roll(self) -> Answer:
+    def _roll(self) -> Response:
         members = set(self.board.rule.members)
         if why := self.site.roller.begin(members, self.members.gone):
-            return Answer(409, f"{why}\n".encode())
+            return Response(409, f"{why}\n".encode())
         roll = self.site.roller.roll
         names = " ".join(name for name, _ in roll.lives)
         log.info("roll begins", number=roll.number, members=names)
         self._tell(0, None)  # so that it goes on without this one
-        return Answer(200, f"roll {roll.number}: {names}\n".encode())
+        return Response(200, f"roll {roll.number}: {names}\n".encode())
 
-    def _roll_stop(self) -> Answer:
+    def _roll_stop(self) -> Response:
         self.site.roller.stop()
         log.info("roll stopped", number=self.site.roller.roll.number)
         self._tell(0, None)
-        return Answer(200, b"stopped\n")
+        return Response(200, b"stopped\n")
 
     # ---- the rest of the dispatcher asks ----
 
@@ -353,24 +361,24 @@
         holder = self.board.holder(duty, self._clock.now())
         return holder == self.board.me if holder else None
 
-    def _observed(self, uid: str, end: End) -> None:
+    def _observed(self, uid: str, end: AttemptOutcome) -> None:
         if end in BAD:
             self.site.trial.ended(uid, False, self._clock.now())
-        elif end is End.SERVED:
+        elif end is AttemptOutcome.SERVED:
             self.site.trial.ended(uid, True, self._clock.now())
 
     # ---- the second address ----
 
-    def _release(self, duty: str) -> Answer:
+    def _release(self, duty: str) -> Response:
         now = self._clock.now()
         if self.board.token(duty, now) is None:
             holder = self.board.holder(duty, now)
-            return Answer(409, f"{duty} is held by {holder or 'nobody'}\n".encode())
+            return Response(409, f"{duty} is held by {holder or 'nobody'}\n".encode())
         self._send(self.board.rest(duty, now))
         log.info("duty released by the operator", duty=duty)
-        return Answer(200, f"{duty} is released\n".encode())
+        return Response(200, f"{duty} is released\n".encode())
 
-    def _told_duties(self) -> Answer:
+    def _told_duties(self) -> Response:
         now, site = self._clock.now(), self.site
         roll = site.roller
         told: dict[str, Any] = {
@@ -393,9 +401,9 @@
             "roll": {"number": roll.roll.number, "pending": roll.pending, "waits_for": self._waits},
             "held_back": sorted(u for u in self._booted if site.trial.since(u)),
         }
-        return Answer(200, json.dumps(told).encode() + b"\n")
+        return Response(200, json.dumps(told).encode() + b"\n")
 
-    def _told_members(self) -> Answer:
+    def _told_members(self) -> Response:
         now = self._clock.now()
         rows = [
             {
@@ -409,10 +417,10 @@
             for news, seen in self.members.rows()
         ]
         told = {"me": self.board.me, "health": self.members.health, "members": rows}
-        return Answer(200, json.dumps(told).encode() + b"\n")
+        return Response(200, json.dumps(told).encode() + b"\n")
 
-    def _told_replicas(self) -> Answer:
-        return Answer(200, json.dumps(self._rider.told()).encode() + b"\n")
+    def _told_replicas(self) -> Response:
+        return Response(200, json.dumps(self._rider.told()).encode() + b"\n")
 
     def _figures(self) -> Iterator[str]:
         now = self._clock.now()
@@ -436,5 +444,5 @@
     return {name: Address(*address) for name, address in settings.member}
 
 
-def front_of(operator: Operator, place: Path) -> Callable[[Core], DutiesFront]:
+def front_of(operator: OperatorFile, place: Path) -> Callable[[DispatcherContext], DutiesFront]:
     return lambda core: DutiesFront(core, operator, place)
--- a/rookwood/duties/links.py
+++ b/rookwood/duties/links.py
@@ -21,7 +21,7 @@
 from rookwood.net.clock import EPOCH, Clock
 from rookwood.net.decisions import micros
 from rookwood.net.destinations import Address
-from rookwood.net.listener import bound
+from rookwood.net.listener import bind_listener
 
 log = structlog.stdlib.get_logger(__name__)
 
@@ -76,7 +76,7 @@
 
     async def start(self, secured: Secured | None) -> None:
         context = secured.server if secured else None
-        listener = bound(self._listen, shared=True)
+        listener = bind_listener(self._listen, shared=True)
         self._server = await asyncio.start_server(self._accepted, sock=listener, ssl=context)
         self._secured = secured
         self.listed(self._members)
--- a/rookwood/gateway/gate.py
+++ b/rookwood/gateway/gate.py
@@ -1,4 +1,4 @@
-"""The gateway put together: who owns what, what ticks, what it tells. `Front` and `Abroad` to the rest."""
+"""The gateway put together: who owns what, what ticks, what it tells; an `Extension` and a `Forwarding`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import structlog
 
 from rookwood import interface as api
-from rookwood.conf import ConfError, Operator, load
+from rookwood.conf import OperatorFile, OperatorFileError, load
 from rookwood.gateway.advice import Far, Near
 from rookwood.gateway.guests import Guests, accepting
 from rookwood.gateway.home import Me, Out, Outbound
@@ -23,12 +23,12 @@
 from rookwood.gateway.routing import Prices, Router, Waiting
 from rookwood.gateway.secure import SOON, CertificateError, Secured, secured, utc_now
 from rookwood.net.decisions import Ticket
-from rookwood.net.destinations import Address, DestinationSet, State
-from rookwood.net.dispatcher import Core
-from rookwood.net.listener import bound
+from rookwood.net.destinations import Address, DestinationUpdate, State
+from rookwood.net.dispatcher import DispatcherContext
+from rookwood.net.listener import bind_listener
 from rookwood.net.phase import Phase
-from rookwood.net.request import Carried, Fate, InboundRequest
-from rookwood.settings import FaultyKeyError
+from rookwood.net.request import ForwardOutcome, ForwardResult, InboundRequest
+from rookwood.settings import InvalidSettingError
 
 log = structlog.stdlib.get_logger(__name__)
 
@@ -39,7 +39,7 @@
 
 
 class Way:
-    """One request's `Crossing`."""
+    """One request's `RequestForwarder`."""
 
     def __init__(self, gateway: Gateway, number: int, request: InboundRequest, since: datetime) -> None:
         self._gateway, self.request = gateway, request
@@ -48,16 +48,16 @@
         self.ticket: Ticket | None = None
         self.taken: tuple[Outbound, Out] | None = None
 
-    def waits(self, ticket: Ticket) -> None:
+    def offer(self, ticket: Ticket) -> None:
         self.ticket = ticket
         self._gateway.waits(self)
 
-    async def carried(self) -> Carried:
+    async def result(self) -> ForwardResult:
         if self.taken is None:  # the link went between the choice and the offer
-            return Carried(Fate.HOME)
+            return ForwardResult(ForwardOutcome.RUN_LOCALLY)
         return await self.taken[1].carried
 
-    def close(self, late: bool) -> Fate | None:
+    def close(self, late: bool) -> ForwardOutcome | None:
         self._gateway.gone(self)
         if self.taken is None:
             return None
@@ -66,7 +66,7 @@
 
 
 class Gateway:
-    def __init__(self, core: Core, operator: Operator, place: Path) -> None:
+    def __init__(self, core: DispatcherContext, operator: OperatorFile, place: Path) -> None:
         settings = operator.gateway
         assert settings
         self._core, self._operator, self._place, self._settings = core, operator, place, settings
@@ -76,10 +76,10 @@
         self._near = {site.name: Near() for site in operator.sites}
         self._far, self._known_far = Far(), dict[str, str]()
         self._router = Router(core.classes, self._prices(), settings.max_jobs)
-        self._lender = Lender(settings.lend, settings.reserve, core.tier)
+        self._lender = Lender(settings.lend, settings.reserve, core.dispatcher_group)
         self._ways: dict[int, Way] = {}
         self._numbers = itertools.count(1)
-        unsafe = core.decisions.unsafe
+        unsafe = core.decisions.unsafe_classes
         self._outbound = [
             Outbound(
                 self._me,
@@ -100,14 +100,14 @@
         if settings.allow:
             allowed = {pair for pair in allowed if pair[1] in settings.allow}
         self._guests = Guests(
-            *(self._me, settings, allowed, core.clock, core.requests, core.classes, unsafe, self._far),
-            stopped=core.destinations.again,
+            *(self._me, settings, allowed, core.clock, core.request_handler, core.classes, unsafe, self._far),
+            stopped=core.destinations.reapply,
             open_=lambda: core.service.phase is Phase.SERVING,
         )
-        core.destinations.advisers.append(self._far.since)
-        core.requests.abroad = self
-        core.figures.more.append(self._figures)
-        self._pressure: api.Pressure | None = None
+        core.destinations.exclusion_checks.append(self._far.since)
+        core.request_handler.forwarding = self
+        core.stats.extra_sources.append(self._figures)
+        self._pressure: api.SiteLoad | None = None
         self._woken = False
         self._listener: socket.socket | None = None
         self._server: asyncio.Server | None = None
@@ -117,37 +117,37 @@
     def _prices(self) -> Prices:
         return Prices(self._settings.price, self._settings.enter, self._settings.leave)
 
-    # ---- a Front ----
+    # ---- an Extension ----
 
-    def told(self, told: DestinationSet, kept: bool) -> DestinationSet:
+    def filter_update(self, update: DestinationUpdate, kept: bool) -> DestinationUpdate:
         now, own = self._core.clock.now(), []
         news, started = set[str](), set[str]()
-        for endpoint in told.endpoints:
+        for endpoint in update.endpoints:
             site = self._site_of.get(endpoint.zone)
             if site is None:
                 own.append(endpoint)
-                if self._far.started(endpoint.uid, endpoint.booted):
+                if self._far.started(endpoint.uid, endpoint.started_at):
                     started.add(endpoint.uid)
                 continue
             self._known_far[endpoint.uid] = site
             if self._near[site].told(endpoint.uid, endpoint.state is not State.UP, now):
                 news.add(site)
-        if told.whole:
-            for uid in self._known_far.keys() - {endpoint.uid for endpoint in told.endpoints}:
+        if update.is_full:
+            for uid in self._known_far.keys() - {endpoint.uid for endpoint in update.endpoints}:
                 if self._near[self._known_far[uid]].told(uid, True, now):
                     news.add(self._known_far[uid])
         for outbound in self._outbound:
             if outbound.peer.site in news:
                 outbound.tell()
         if started:
-            asyncio.get_running_loop().call_soon(self._core.destinations.again, started)
-        return replace(told, endpoints=tuple(own))
+            asyncio.get_running_loop().call_soon(self._core.destinations.reapply, started)
+        return replace(update, endpoints=tuple(own))
 
     async def start(self) -> None:
         self._secured = secured(self._settings, utc_now())
         if self._secured and self._secured.expires - utc_now() < SOON:
             log.warning("certificate ends soon", at=self._secured.expires.isoformat())
-        self._listener = bound(Address(*self._settings.listen), shared=True)
+        self._listener = bind_listener(Address(*self._settings.listen), shared=True)
         self.port = int(self._listener.getsockname()[1])
         await self._listen()
         self._tasks = [asyncio.create_task(outbound.run()) for outbound in self._outbound]
@@ -166,9 +166,9 @@
         try:
             operator = load(self._place).operator
             if operator.gateway is None:
-                raise ConfError([])
+                raise OperatorFileError([])
             fresh = secured(operator.gateway, utc_now())
-        except (ConfError, CertificateError) as error:
+        except (OperatorFileError, CertificateError) as error:
             log.error("operator's file not taken over", why=str(error) or "it has no gateway any more")
             return
         kept = ("listen", "name", "plaintext")
@@ -182,10 +182,10 @@
             self._tasks.append(asyncio.create_task(self._listen()))
         log.info("operator's file read again")
 
-    def succeeded(self) -> None:
+    def handed_over(self) -> None:
         self._stop()
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         self._guests.ping()  # the phase says so already: nothing is lent any more
 
     def _stop(self) -> None:
@@ -195,7 +195,7 @@
             self._listener.close()
             self._listener = None
 
-    async def empty(self) -> None:
+    async def wait_drained(self) -> None:
         limit = self._core.clock.now() + GUESTS_LIMIT
         while self._guests.owed and self._core.clock.now() < limit:
             await asyncio.sleep(TICK.total_seconds())
@@ -207,9 +207,9 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._guests.close()
 
-    # ---- an Abroad ----
+    # ---- a Forwarding ----
 
-    def crossing(self, request: InboundRequest) -> Way:
+    def forwarder_for(self, request: InboundRequest) -> Way:
         self._router.came(request.job_class)
         return Way(self, next(self._numbers), request, self._core.clock.now())
 
@@ -235,7 +235,7 @@
                 if now >= ping_at:
                     ping_at = now + s.keepalive
                     self._pressure = self._core.decisions.pressure()
-                    speaks = self._core.tier.holds(LENDING) is not False
+                    speaks = self._core.dispatcher_group.holds_duty(LENDING) is not False
                     self._guests.deal(self._lender.update(now, self._pressure, self._guests.slots, speaks))
                     self._guests.ping()
                 if self._ways or now >= match_at:
@@ -253,14 +253,14 @@
         """Hands over what waits and may cross."""
         self._woken = False
         now, told = self._core.clock.now(), self._core.decisions.pressure()
-        held = [way for way in self._ways.values() if way.ticket and way.ticket.waiting]
+        held = [way for way in self._ways.values() if way.ticket and way.ticket.is_waiting]
         by_peer = {id(outbound.peer): outbound for outbound in self._outbound}
         peers = [outbound.peer for outbound in self._outbound]
         for job, peer in self._router.choose([way.waiting for way in held], peers, told, now):
             way = self._ways.pop(job.id)
             assert way.ticket
             # The offer first: it is written only after this function has ended, and taken back if that fails.
-            if way.ticket.pass_on():
+            if way.ticket.withdraw():
                 outbound = by_peer[id(peer)]
                 if out := outbound.take(way.request, way.waiting.since):
                     way.taken = (outbound, out)
@@ -289,11 +289,11 @@
         yield f"gateway.crossing:{int(self._router.crossing)}|g"
 
 
-def front_of(operator: Operator, place: Path) -> Callable[[Core], Gateway]:
-    """What `Dispatcher` makes its front of. Raises `FaultyKeyError` on certificates that cannot be used."""
+def front_of(operator: OperatorFile, place: Path) -> Callable[[DispatcherContext], Gateway]:
+    """What `Dispatcher` makes its front of. Raises `InvalidSettingError` on unusable certificates."""
     assert operator.gateway
     try:
         secured(operator.gateway, utc_now())
     except CertificateError as error:
-        raise FaultyKeyError(str(place), str(error)) from None
+        raise InvalidSettingError(str(place), str(error)) from None
     return lambda core: Gateway(core, operator, place)
--- a/rookwood/gateway/guests.py
+++ b/rookwood/gateway/guests.py
@@ -35,9 +35,9 @@
 from rookwood.gateway.lending import Home, Turns
 from rookwood.gateway.link import CHUNK, Channel, LinkError
 from rookwood.net.clock import EPOCH, Clock
-from rookwood.net.decisions import NEVER_RAN, End, Ticket, micros
-from rookwood.net.endpoints import Outgoing
-from rookwood.net.request import Course, InboundRequest, Requests
+from rookwood.net.decisions import NEVER_RAN, AttemptOutcome, Ticket, micros
+from rookwood.net.endpoints import WorkerRequest
+from rookwood.net.request import InboundRequest, RequestHandler, RequestProgress
 
 log = structlog.stdlib.get_logger(__name__)
 
@@ -90,7 +90,7 @@
         return sum(guest.slots for guest in self.live)
 
 
-class GuestCourse(Course):
+class GuestCourse(RequestProgress):
     """Asks the machine before the last byte leaves, and tells it what came of the attempt."""
 
     def __init__(self, guests: Guests, visitor: Visitor, guest: Guest, patience: float) -> None:
@@ -99,17 +99,17 @@
         self._guests, self._visitor, self._guest = guests, visitor, guest
         self._impatience: asyncio.TimerHandle | None = None
 
-    def held(self, ticket: Ticket) -> None:
+    def on_waiting(self, ticket: Ticket) -> None:
         if self._impatience is None:
             loop = asyncio.get_running_loop()
-            self._impatience = loop.call_later(self._patience, ticket.pass_on)
+            self._impatience = loop.call_later(self._patience, ticket.withdraw)
 
-    def leaving(self) -> bool:
-        return self._guests.may_leave(self._visitor, self._guest) and super().leaving()
+    def allow_last_byte(self) -> bool:
+        return self._guests.may_leave(self._visitor, self._guest) and super().allow_last_byte()
 
-    def ended(self, end: End) -> None:
-        super().ended(end)
-        if end in NEVER_RAN and not self.ran:
+    def attempt_ended(self, end: AttemptOutcome) -> None:
+        super().attempt_ended(end)
+        if end in NEVER_RAN and not self.attempt_may_have_run:
             self._guests.feed(self._visitor, self._guest, AwayEvent.RETURNED)
 
     def close(self) -> None:
@@ -126,7 +126,7 @@
         settings: Settings,
         allowed: Collection[tuple[str, str]],
         clock: Clock,
-        requests: Requests,
+        requests: RequestHandler,
         classes: Mapping[str, api.JobClass],
         unsafe: Collection[str],
         far: Far,
@@ -357,11 +357,11 @@
                 memory=offer.memory,
                 key=offer.key,
                 is_retry=offer.is_retry,
-                outgoing=Outgoing(
+                worker_request=WorkerRequest(
                     offer.request_id, offer.target, offer.host, offer.content_type, offer.body, offer.keys
                 ),
                 tenant=offer.tenant,
-                hint=timedelta(microseconds=offer.hint) if offer.hint else None,
+                duration_hint=timedelta(microseconds=offer.hint) if offer.hint else None,
             )
             answer = await self._requests.serve(request, course)
             if answer.status == 200:
--- a/rookwood/gateway/home.py
+++ b/rookwood/gateway/home.py
@@ -36,7 +36,7 @@
 from rookwood.gateway.secure import Secured
 from rookwood.net.clock import EPOCH, Clock
 from rookwood.net.decisions import micros
-from rookwood.net.request import Carried, Fate, InboundRequest
+from rookwood.net.request import ForwardOutcome, ForwardResult, InboundRequest
 
 log = structlog.stdlib.get_logger(__name__)
 
@@ -48,11 +48,11 @@
 LONGEST_RESEND = timedelta(milliseconds=500)
 GROWTH = 1.5  # of the wait between two resends
 FATES = {
-    Verdict.SERVED: Fate.SERVED,
-    Verdict.HOME: Fate.HOME,
-    Verdict.FAILED: Fate.FAILED,
-    Verdict.REFUSED: Fate.NEVER_LEFT,
-    Verdict.GONE: Fate.FAILED,
+    Verdict.SERVED: ForwardOutcome.SERVED,
+    Verdict.HOME: ForwardOutcome.RUN_LOCALLY,
+    Verdict.FAILED: ForwardOutcome.FAILED,
+    Verdict.REFUSED: ForwardOutcome.NOT_SENT,
+    Verdict.GONE: ForwardOutcome.FAILED,
 }
 
 
@@ -77,7 +77,7 @@
     expires: datetime
     resend_at: datetime
     wait: timedelta
-    carried: asyncio.Future[Carried] = field(
+    carried: asyncio.Future[ForwardResult] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
 
@@ -251,7 +251,7 @@
         self._feed(job, HomeEvent.OFFER)
         return job
 
-    def end(self, job: Out, late: bool) -> Fate:
+    def end(self, job: Out, late: bool) -> ForwardOutcome:
         """The request's own life is over: its time is up, or its client has left."""
         if not job.state.verdict:
             self._feed(job, HomeEvent.DEADLINE if late else HomeEvent.CLIENT_GONE)
@@ -277,12 +277,12 @@
             self.peer.failed()
             log.warning(
                 "job lost",
-                request_id=job.request.outgoing.request_id,
+                request_id=job.request.worker_request.request_id,
                 peer=self.peer.name,
                 verdict=verdict.value,
             )
         if not job.carried.done():
-            job.carried.set_result(Carried(FATES[verdict], body))
+            job.carried.set_result(ForwardResult(FATES[verdict], body))
 
     def _say(self, job: Out, what: Say) -> None:
         channel = self._channel
@@ -300,7 +300,7 @@
                 channel.send(Ack(job.number))
 
     def _offer(self, job: Out, expires_at: int, now: datetime) -> Offer:
-        request, out = job.request, job.request.outgoing
+        request, out = job.request, job.request.worker_request
         return Offer(
             job=job.number,
             life=job.life,
@@ -318,9 +318,9 @@
             content_type=out.content_type,
             body=out.body,
             stops=self._stops(now),
-            keys=out.keys,
+            keys=out.idempotency_keys,
             tenant=request.tenant,
-            hint=micros(request.hint) if request.hint else None,
+            hint=micros(request.duration_hint) if request.duration_hint else None,
         )
 
     def tick(self) -> None:
--- a/rookwood/gateway/lending.py
+++ b/rookwood/gateway/lending.py
@@ -14,7 +14,7 @@
 from typing import TypeVar
 
 from rookwood import interface as api
-from rookwood.net.tier import Tier
+from rookwood.net.tier import DispatcherGroup
 
 H = TypeVar("H", bound=Hashable)
 LENDING = "lending"  # the duty of the one dispatcher that lends what is spare at a site, where duties are on
@@ -33,14 +33,14 @@
 class Lender:
     lend: float  # share of the site's slots, for guests at most
     reserve: float  # share kept free for own traffic
-    tier: Tier  # the dispatchers of this site, among whom its slots are shared
+    tier: DispatcherGroup  # the dispatchers of this site, among whom its slots are shared
     lent: float = 0.0  # slots, guests here included
     _at: datetime | None = None
 
-    def update(self, now: datetime, told: api.Pressure, guests: float, speaks: bool = True) -> float:
+    def update(self, now: datetime, told: api.SiteLoad, guests: float, speaks: bool = True) -> float:
         """Slots that this dispatcher lends now in all; `guests` are taken by them already. Who does not
         speak for the site keeps the guests it has and lends nothing more."""
-        spare = told.slots * (1 - self.reserve) - told.busy - told.held * self.tier.count
+        spare = told.slots * (1 - self.reserve) - told.used_slots - told.held_slots * self.tier.count
         # All that is spare is offered by whoever lends: a part of it would often hold no large job. Where
         # nobody speaks for the site each dispatcher lends, so two may lend the same slots at once; guests
         # then find no room, and go back after a short wait.
--- a/rookwood/gateway/routing.py
+++ b/rookwood/gateway/routing.py
@@ -104,12 +104,12 @@
             self._seen[name] *= 0.999
         self._seen[job_class] = self._seen.get(job_class, 0.0) + 1
 
-    def observe(self, now: datetime, told: api.Pressure) -> None:
+    def observe(self, now: datetime, told: api.SiteLoad) -> None:
         """How full the home site is now."""
         if told.slots <= 0:
-            new = math.inf if told.held or told.busy else 0.0
+            new = math.inf if told.held_slots or told.used_slots else 0.0
         else:
-            new = (told.busy + told.held) / told.slots
+            new = (told.used_slots + told.held_slots) / told.slots
         new = min(new, 10.0)
         part = 1 - math.exp(-((now - self._at) / SMOOTH)) if self._at else 1.0
         self.pressure, self._at = self.pressure + part * (new - self.pressure), now
@@ -122,31 +122,33 @@
         total = sum(self._seen.values())
         return sum(n * self.classes[name].worth for name, n in self._seen.items()) / total if total else 0.0
 
-    def shadow(self, told: api.Pressure) -> float:
+    def shadow(self, told: api.SiteLoad) -> float:
         """Worth of a slot-second at home in a jam: of the least valuable class that comes at all."""
         total = sum(self._seen.values())
         usual = [name for name, n in self._seen.items() if n > 0.02 * total]
-        return min((self.classes[n].worth / max(1e-3, told.service.get(n, 1.0)) for n in usual), default=0.0)
+        return min(
+            (self.classes[n].worth / max(1e-3, told.mean_service_s.get(n, 1.0)) for n in usual), default=0.0
+        )
 
-    def gain(self, job: Waiting, told: api.Pressure, now: datetime) -> float:
+    def gain(self, job: Waiting, told: api.SiteLoad, now: datetime) -> float:
         """What crossing brings over staying, in worth, its price taken off."""
         cls = self.classes[job.job_class]
-        service = told.service.get(job.job_class, 1.0)
+        service = told.mean_service_s.get(job.job_class, 1.0)
         late = 1 - 1 / max(1.0, self.pressure)
         frees = self.shadow(told) * service * job.slots
         in_time = self.in_time(job, told, now)
         worth = cls.worth if in_time else 0.0
         return max(worth * late, frees if in_time else 0.0) - self.prices.price * self.mean_worth()
 
-    def in_time(self, job: Waiting, told: api.Pressure, now: datetime, rtt: timedelta = timedelta(0)) -> bool:
+    def in_time(self, job: Waiting, told: api.SiteLoad, now: datetime, rtt: timedelta = timedelta(0)) -> bool:
         """Whether it could still be in time if it began at once over there."""
         cls = self.classes[job.job_class]
-        service = timedelta(seconds=told.service.get(job.job_class, 1.0))
+        service = timedelta(seconds=told.mean_service_s.get(job.job_class, 1.0))
         slack = timedelta(microseconds=cls.aim) + (cls.stretch - 1) * service
         return now + rtt <= min(job.since + slack, job.deadline - service)
 
     def choose(
-        self, waiting: Iterable[Waiting], peers: Iterable[Peer], told: api.Pressure, now: datetime
+        self, waiting: Iterable[Waiting], peers: Iterable[Peer], told: api.SiteLoad, now: datetime
     ) -> list[tuple[Waiting, Peer]]:
         """Who crosses now, best first: what brings most for each slot lent goes where most is lent."""
         self.observe(now, told)
@@ -164,7 +166,7 @@
         jobs = {id(p): p.jobs for p in able}
         chosen = list[tuple[Waiting, Peer]]()
         for _, job in ranked:
-            unsafe = self.classes[job.job_class].repeat is not api.Repeat.SAFE
+            unsafe = self.classes[job.job_class].repeat is not api.RetrySafety.SAFE
             fit = [
                 p
                 for p in able
--- a/rookwood/hints.py
+++ b/rookwood/hints.py
@@ -19,7 +19,7 @@
 LEVEL, MOST_LEVEL = 0.05, 7  # part of jobs that a level of faults stands for
 
 
-class OddHintError(ValueError):
+class InvalidHintError(ValueError):
     """Not a hint that this dispatcher can use; the text tells why."""
 
 
@@ -27,13 +27,13 @@
     return hashlib.blake2b(worker.encode(), digest_size=SIZE - 2).digest()
 
 
-class Codec:
+class HintCodec:
     """Knows the workers that lists have named, as only these can be spoken of."""
 
     def __init__(self) -> None:
         self._workers: dict[bytes, str | None] = {}  # None: two workers share the mark
 
-    def learn(self, workers: Iterable[str], whole: bool) -> None:
+    def add_workers(self, workers: Iterable[str], whole: bool) -> None:
         """`whole`: there are no others."""
         if whole:
             self._workers.clear()
@@ -46,9 +46,9 @@
         return b"".join(map(self._encoded, hints[:MOST]))
 
     def decode(self, data: bytes) -> tuple[Hint, ...]:
-        """Raises `OddHintError`. Nothing of a message is taken where a part of it is odd."""
+        """Raises `InvalidHintError`. Nothing of a message is taken where a part of it is odd."""
         if not data or len(data) > SIZE * MOST or len(data) % SIZE:
-            raise OddHintError(f"{len(data)} bytes")
+            raise InvalidHintError(f"{len(data)} bytes")
         return tuple(self._decoded(data[at : at + SIZE]) for at in range(0, len(data), SIZE))
 
     def _encoded(self, hint: Hint) -> bytes:
@@ -59,8 +59,8 @@
     def _decoded(self, data: bytes) -> Hint:
         version, word, level = data[0] >> 6, data[0] >> 3 & 7, data[0] & 7
         if version != VERSION or word not in WORDS:
-            raise OddHintError(f"version {version}, word {word}")
+            raise InvalidHintError(f"version {version}, word {word}")
         worker = self._workers.get(data[2:])
         if worker is None:
-            raise OddHintError("of a worker that is not known")
+            raise InvalidHintError("of a worker that is not known")
         return Hint(worker, WORDS[word], float(data[1]), level * LEVEL)
--- a/rookwood/httpclient/client.py
+++ b/rookwood/httpclient/client.py
@@ -11,7 +11,7 @@
 from yarl import URL
 
 from rookwood.httpclient.connections import AnswerConnector, DiscardableResponse
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 FIRST_FINAL_STATUS = 200  # below are interim answers, and 101, which nobody here asks for
@@ -23,7 +23,7 @@
     """A connection broke after the request may have been sent on it."""
 
 
-class Answer:
+class Response:
     """The head of an answer, and its body as far as it is read."""
 
     def __init__(self, response: DiscardableResponse) -> None:
@@ -44,23 +44,23 @@
         """The media type without parameters."""
         return self._response.content_type
 
-    async def read_all(self) -> bytes | Broken:
+    async def read_all(self) -> bytes | ResponseLost:
         """Read the whole body; the connection is given up if that fails."""
         try:
             return await self._response.read()
         except (aiohttp.ClientError, OSError) as error:
             self.close()
-            return Broken(repr(error))
+            return ResponseLost(repr(error))
         except BaseException:
             self.close()
             raise
 
-    async def read_some(self) -> bytes | Broken:
+    async def read_some(self) -> bytes | ResponseLost:
         """Read what has arrived, waiting for at least one byte; empty at the end of a whole body."""
         try:
             return await self._response.content.readany()
         except (aiohttp.ClientError, OSError) as error:
-            return Broken(repr(error))
+            return ResponseLost(repr(error))
 
     def close(self) -> None:
         """Give the answer up; its connection ends unless the whole answer was read."""
@@ -96,7 +96,7 @@
 
     async def send(
         self, method: str, url: URL, headers: Mapping[str, str], body: bytes | None
-    ) -> Answer | NotSent | Broken:
+    ) -> Response | NotSent | ResponseLost:
         """Send a request and wait for the head of its answer."""
         try:
             response = await self._session.request(
@@ -105,13 +105,13 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return NotSent(repr(error))
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            return Broken(repr(error))
+            return ResponseLost(repr(error))
         assert isinstance(response, DiscardableResponse)
         flaw = find_head_flaw(response)
         if flaw is not None:
             response.discard()
-            return Broken(flaw)
-        return Answer(response)
+            return ResponseLost(flaw)
+        return Response(response)
 
 
 async def send_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
--- a/rookwood/httpclient/connections.py
+++ b/rookwood/httpclient/connections.py
@@ -20,7 +20,7 @@
 INTERIM_STATUSES = frozenset(range(100, 200)) - {SWITCHING_PROTOCOLS}
 
 
-class AnswerProtocol(ResponseHandler):
+class ResponseProtocol(ResponseHandler):
     """One connection, which carries one request and its one answer at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -106,11 +106,11 @@
     The library gives a connection back to the pool with the last byte of an answer, whomever that was for.
     """
 
-    _answer_protocol: AnswerProtocol | None = None
+    _answer_protocol: ResponseProtocol | None = None
 
     async def start(self, connection: Connection) -> ClientResponse:
         """Read the head, and keep hold of the connection."""
-        assert isinstance(connection.protocol, AnswerProtocol)
+        assert isinstance(connection.protocol, ResponseProtocol)
         self._answer_protocol = connection.protocol
         return await super().start(connection)
 
@@ -136,4 +136,4 @@
 
 
 def _new_protocol(loop: asyncio.AbstractEventLoop) -> ResponseHandler:
-    return AnswerProtocol(loop)
+    return ResponseProtocol(loop)
--- a/rookwood/httpclient/outcomes.py
+++ b/rookwood/httpclient/outcomes.py
@@ -9,11 +9,11 @@
 class NotSent:
     """No connection came up: the peer saw nothing of the request."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class ResponseLost:
     """The request was sent and no whole true answer came: it may have run."""
 
-    why: str
+    reason: str
--- a/rookwood/interface.py
+++ b/rookwood/interface.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class Repeat(Enum):
+class RetrySafety(Enum):
     """How far a request of a class may be sent again once an attempt may have run."""
 
     SAFE = "safe"
@@ -19,7 +19,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which workers drop repeats of a keyed request."""
 
     ALL = "all"
@@ -33,21 +33,21 @@
     DELETED = "DELETED"
 
 
-class Listing(Enum):
+class WorkerListKind(Enum):
     """What a worker list is: changes, the whole list, the list kept from before, or a failed call."""
 
     CHANGES = "incr"
-    WHOLE = "total"
-    KEPT = "warm_copy"
+    FULL = "total"
+    CACHED = "warm_copy"
     LOST = "lost"
 
 
-class Ending(Enum):
+class Outcome(Enum):
     """How an attempt or a probe ended."""
 
     OK = "Ok"
     FAILED = "Failed"
-    FULL = "QueueFull"
+    QUEUE_FULL = "QueueFull"
     TIMED_OUT = "TimedOut"
     CONNECT_FAILED = "ConnectError"
     RESET = "ResetByPeer"
@@ -55,7 +55,7 @@
     IGNORED = "Ignored"
 
 
-NEVER_RAN = frozenset({Ending.FULL, Ending.CONNECT_FAILED, Ending.IGNORED})
+NEVER_RAN = frozenset({Outcome.QUEUE_FULL, Outcome.CONNECT_FAILED, Outcome.IGNORED})
 """Endings that prove the attempt had no effect."""
 
 
@@ -68,8 +68,8 @@
     aim: int  # an answer within aim + stretch x work is in time
     give_up: int
     worth: float
-    repeat: Repeat
-    group: Group = Group.ALL
+    repeat: RetrySafety
+    group: DeduplicationScope = DeduplicationScope.ALL
     window: int = 0  # how long repeats of a keyed request are dropped
     stretch: float = 0.0
     kind: str | None = None  # the only kind of machine that runs it
@@ -105,7 +105,7 @@
     cancel: bool = False  # Cancel is permitted
     marks_retry: bool = False  # clients mark their repeats
     probes: bool = False  # Probe is permitted, and brings load reports
-    peers: bool = False  # Tell is permitted, and brings `Heard` to the others
+    peers: bool = False  # SendHints is permitted, and brings `HintsReceived` to the others
 
     def __post_init__(self) -> None:
         """A setting out of its range is an error at the start, not a wrong decision at night."""
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cluster:
+class ClusterHealth:
     """How the decisions see the list."""
 
     listed: int
@@ -144,13 +144,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pressure:
+class SiteLoad:
     """How full the workers are, by what is known here; for a front that may pass requests on."""
 
     slots: float  # of the workers that take jobs, by warmth and trust
-    busy: float  # slots taken there, and waited for in their queues: own attempts and others'
-    held: float  # slots that requests held here would take
-    service: Mapping[str, float]  # seconds that a job of a class runs, on the mean
+    used_slots: float  # slots taken there, and waited for in their queues: own attempts and others'
+    held_slots: float  # slots that requests held here would take
+    mean_service_s: Mapping[str, float]  # seconds that a job of a class runs, on the mean
 
 
 # ---- between dispatchers ----
@@ -193,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkersChanged:
-    how: Listing
+    how: WorkerListKind
     workers: tuple[Worker, ...] = ()
 
 
@@ -216,7 +216,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class AttemptProgress:
     """A sign of life of an attempt: its job started, made progress, or its stream began."""
 
     request: int
@@ -227,39 +227,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Abandoned:
+class RequestAbandoned:
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptEnded:
     request: int
     attempt: int
     worker: str
-    ending: Ending
+    ending: Outcome
     latency: int
     done: bool
     load: Mapping[str, float] | None = None  # outstanding, backlog, x0 (free slots); others ignored
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeResult:
     """What came of one Probe."""
 
     worker: str
-    ending: Ending
+    ending: Outcome
     load: Mapping[str, float] | None = None  # as in Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class HintsReceived:
     """Another dispatcher said this."""
 
     sender: int
     hints: tuple[Hint, ...]
 
 
-Event = WorkersChanged | Request | Timer | Note | Abandoned | Outcome | Probed | Heard
+Event = (
+    WorkersChanged
+    | Request
+    | Timer
+    | AttemptProgress
+    | RequestAbandoned
+    | AttemptEnded
+    | ProbeResult
+    | HintsReceived
+)
 
 
 # ---- actions ----
@@ -273,7 +282,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: a new try does no harm."""
 
     request: int
@@ -303,7 +312,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendHints:
     """To these dispatchers, by their numbers."""
 
     to: tuple[int, ...]
@@ -326,4 +335,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Tell | SetTimer | Subscribe | Log
+Action = Send | Reject | Fail | Cancel | Probe | SendHints | SetTimer | Subscribe | Log
--- a/rookwood/ledger/front.py
+++ b/rookwood/ledger/front.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
-from rookwood.conf import Operator
+from rookwood.conf import OperatorFile
 from rookwood.conf import Store as Settings
-from rookwood.interface import Group, JobClass, Repeat
+from rookwood.interface import DeduplicationScope, JobClass, RetrySafety
 from rookwood.ledger.guard import Ledger, Terms
 from rookwood.ledger.memory import MemoryStore
 from rookwood.ledger.store import Store, Tier
 from rookwood.net.clock import Clock
-from rookwood.net.destinations import DestinationSet
-from rookwood.net.dispatcher import Core
+from rookwood.net.destinations import DestinationUpdate
+from rookwood.net.dispatcher import DispatcherContext
 
 
 def store_of(settings: Settings, tier: Tier, clock: Clock) -> Store:
@@ -51,28 +51,28 @@
     client's retry may well meet others, and a claim is what keeps it from running there."""
 
     def dropped(job_class: JobClass) -> bool:
-        everywhere = job_class.repeat is Repeat.KEYED and job_class.group is Group.ALL
+        everywhere = job_class.repeat is RetrySafety.KEYED and job_class.group is DeduplicationScope.ALL
         return everywhere and timedelta(microseconds=job_class.window) >= retry_window
 
-    return frozenset(c.name for c in classes if c.repeat is not Repeat.SAFE and not dropped(c))
+    return frozenset(c.name for c in classes if c.repeat is not RetrySafety.SAFE and not dropped(c))
 
 
 class LedgerFront:
-    def __init__(self, core: Core, settings: Settings) -> None:
+    def __init__(self, core: DispatcherContext, settings: Settings) -> None:
         longest = max((c.give_up for c in core.classes.values()), default=0)
         window = timedelta(microseconds=longest) + settings.retry_window
-        tier = Tier(settings.tier or core.tier.fixed, window)
+        tier = Tier(settings.tier or core.dispatcher_group.configured_count, window)
         terms = Terms(settings.lease, settings.keep)
         store = store_of(settings, tier, core.clock)
         if settings.peers:
-            core.tier.rider = store
+            core.dispatcher_group.member_store = store
         keyed = claimed(core.classes.values(), settings.retry_window)
         self.ledger = Ledger(core.name, store, tier, terms, core.clock, keyed)
-        core.requests.claims = self.ledger
-        core.figures.more.append(self.ledger.figures)
+        core.request_handler.idempotency_guard = self.ledger
+        core.stats.extra_sources.append(self.ledger.figures)
 
-    def told(self, told: DestinationSet, kept: bool) -> DestinationSet:
-        return told
+    def filter_update(self, update: DestinationUpdate, kept: bool) -> DestinationUpdate:
+        return update
 
     async def start(self) -> None:
         await self.ledger.start()
@@ -80,20 +80,20 @@
     def reload(self) -> None:
         pass
 
-    def succeeded(self) -> None:
+    def handed_over(self) -> None:
         pass
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         pass
 
-    async def empty(self) -> None:
+    async def wait_drained(self) -> None:
         pass
 
     async def close(self) -> None:
         await self.ledger.close()
 
 
-def front_of(operator: Operator) -> Callable[[Core], LedgerFront]:
+def front_of(operator: OperatorFile) -> Callable[[DispatcherContext], LedgerFront]:
     settings = operator.store
     assert settings
     return lambda core: LedgerFront(core, settings)
--- a/rookwood/ledger/guard.py
+++ b/rookwood/ledger/guard.py
@@ -24,11 +24,11 @@
 from rookwood.ledger.store import NotTakenError, Reply, Store, StoreError, Tier
 from rookwood.ledger.watch import History, Member, Watch
 from rookwood.net.clock import Clock
-from rookwood.net.request import Answer, Course, InboundRequest
+from rookwood.net.request import InboundRequest, RequestProgress, Response
 
 log = structlog.stdlib.get_logger(__name__)
 
-Run = Callable[[Course], Awaitable[Answer]]
+Run = Callable[[RequestProgress], Awaitable[Response]]
 TICK = timedelta(milliseconds=100)  # the store is looked at so often, also while nothing is asked of it
 SETTLE_LIMIT = timedelta(milliseconds=150)  # so long a result waits until it is written; nothing else waits
 MOST_TASKS = 200  # claims that are taken back, and outcomes that are written, at a time
@@ -84,18 +84,18 @@
 
     # ---- a request ----
 
-    def minds(self, request: InboundRequest) -> bool:
+    def applies_to(self, request: InboundRequest) -> bool:
         return request.idempotency_key is not None and request.job_class in self._unsafe
 
-    async def served(self, request: InboundRequest, run: Run) -> Answer:
+    async def serve_once(self, request: InboundRequest, run: Run) -> Response:
         """The whole life of a keyed unsafe request: claimed, run, settled, answered."""
         assert request.idempotency_key is not None
         try:
             key = key_of(request.idempotency_key)
         except UnsoundKeyError as error:
-            return Answer(400, f"{error}\n".encode())
+            return Response(400, f"{error}\n".encode())
         left = request.deadline - self._clock.now()
-        mark = fingerprint(request.outgoing.target, request.outgoing.body)
+        mark = fingerprint(request.worker_request.target, request.worker_request.body)
         ask = Ask(key, mark, secrets.token_hex(8), self._terms.lease, left, self._terms.kept)
         try:
             async with asyncio.timeout(claim_limit(left).total_seconds()):
@@ -105,38 +105,40 @@
             self.counts["unreachable"] += 1
             if not isinstance(error, NotTakenError) and len(self._tasks) < MOST_TASKS:
                 self._spawn(self._withdraw(ask))
-            log.warning("no claim", request_id=request.outgoing.request_id, why=str(error) or "too slow")
+            log.warning(
+                "no claim", request_id=request.worker_request.request_id, why=str(error) or "too slow"
+            )
             # Each a time of its own: those who are refused together must not be back together.
             wait = max(FIRST_PAUSE, self._breaker.wait(self._clock.now())) * self._random.uniform(1, 3)
-            return Answer(503, b"the store does not answer\n", wait)
+            return Response(503, b"the store does not answer\n", wait)
         self.counts[said.verdict.value] += 1
         match said.verdict:
             case Verdict.GRANTED:
                 return await self._run(self._held[key], run, request.deadline)
             case Verdict.KEPT:
-                return Answer(200, said.result, replayed=True)
+                return Response(200, said.result, replayed=True)
             case Verdict.UNKNOWN:
-                return Answer(502, b"an earlier try may have run\n", replayed=True)
+                return Response(502, b"an earlier try may have run\n", replayed=True)
             case Verdict.MISMATCH:
-                return Answer(422, b"this Idempotency-Key was used for another request\n")
+                return Response(422, b"this Idempotency-Key was used for another request\n")
             case Verdict.BUSY:
-                return Answer(409, b"a try with this Idempotency-Key is in hand\n", said.wait)
+                return Response(409, b"a try with this Idempotency-Key is in hand\n", said.wait)
             case Verdict.UNSURE:
-                return Answer(
+                return Response(
                     503, b"the store may have lost this key\n", min(said.wait, timedelta(seconds=1))
                 )
         raise AssertionError(said.verdict)
 
-    async def _run(self, held: Held, run: Run, deadline: datetime) -> Answer:
-        course = Course()
-        answer: Answer | None = None
+    async def _run(self, held: Held, run: Run, deadline: datetime) -> Response:
+        course = RequestProgress()
+        answer: Response | None = None
         try:
             answer = await run(course)
         finally:
             # Also when the client has gone or something here failed: what is known is written down.
             if answer and answer.status == 200:
                 held.outcome = (Phase.SERVED, answer.body)
-            elif answer.status not in (400, 503) if answer else course.may_have_run or course.abroad:
+            elif answer.status not in (400, 503) if answer else course.may_have_run or course.is_forwarded:
                 held.outcome = (Phase.FAILED, b"")
             held.open = False
             writing = asyncio.ensure_future(self._settle(held))
--- a/rookwood/logs.py
+++ b/rookwood/logs.py
@@ -11,7 +11,7 @@
 PLAIN = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
-def set_up(form: str = "plain", level: str = "info", **fields: str) -> None:
+def configure_logging(form: str = "plain", level: str = "info", **fields: str) -> None:
     """`form` is plain, console or json; `fields` stand on every structured line."""
     if form == "plain":
         logging.basicConfig(level=level.upper(), format=PLAIN, force=True)
--- a/rookwood/memory.py
+++ b/rookwood/memory.py
@@ -15,13 +15,14 @@
 ROWS = ("whole", "firsts", "demand", "table")  # their keys are tuples
 
 
-def remember(policy: Policy) -> dict[str, Any]:
+def save_learned_state(policy: Policy) -> dict[str, Any]:
     workers = {
         w.info.id: {
             "started_at": w.info.started_at,
             "seen": [w.trust, w.faults, w.slowness, w.last_sign, w.report_at, w.probe_at],
-            "others": policy.talk.others(w) + w.used,  # jobs still out at the old process are another's
-            "told": policy.talk.books(w, ((a, policy.owed[key]) for key, a in w.out.items())),
+            "others": policy.load_exchange.others(w)
+            + w.used_slots,  # jobs still out at the old process are another's
+            "told": policy.load_exchange.books(w, ((a, policy.owed[key]) for key, a in w.out.items())),
             # The budget of a cold worker goes on: two processes in a row must not spend it twice.
             "credit": [w.credit, w.credit_at] if w.credit_at else None,
         }
@@ -29,10 +30,16 @@
     }
     plain = {name: getattr(policy, name) for name in PLAIN + BY_CLASS}
     rows = {name: [[list(key), value] for key, value in getattr(policy, name).items()] for name in ROWS}
-    return {"form": FORM, "workers": workers, "plain": plain, "rows": rows, "slots": policy.talk.by_kind}
+    return {
+        "form": FORM,
+        "workers": workers,
+        "plain": plain,
+        "rows": rows,
+        "slots": policy.load_exchange.by_kind,
+    }
 
 
-def recall(policy: Policy, memory: dict[str, Any], now: int) -> None:
+def restore_learned_state(policy: Policy, memory: dict[str, Any], now: int) -> None:
     """For a policy that has its list and no request yet. Raises on what it cannot use."""
     if memory["form"] != FORM:
         raise ValueError(f"of form {memory['form']!r}")
@@ -53,12 +60,14 @@
             w.credit, w.credit_at = found["credit"][0], min(now, found["credit"][1])
     for name, value in {**plain, **rows}.items():
         setattr(policy, name, value)
-    policy.talk.by_kind.update(memory["slots"])
+    policy.load_exchange.by_kind.update(memory["slots"])
 
 
-def pressure(policy: Policy) -> api.Pressure:  # not learned but seen: how full the workers are
+def pressure(policy: Policy) -> api.SiteLoad:  # not learned but seen: how full the workers are
     up, jobs = [w for w in policy.workers.values() if w.up], policy.jobs.values()
-    slots = sum(policy.talk.slots(w) * policy._warmth(w) * (w.trust if policy.eject else 1) for w in up)
+    slots = sum(
+        policy.load_exchange.slots_of(w) * policy._warmth(w) * (w.trust if policy.eject else 1) for w in up
+    )
     usual = {n: c.aim * math.exp(policy.typical[n]) * policy.mean[n] / 2e6 for n, c in policy.classes.items()}
-    busy = sum(w.used + policy.talk.others(w) for w in up)
-    return api.Pressure(slots, busy, sum(j.need * j.held for j in jobs), usual)
+    busy = sum(w.used_slots + policy.load_exchange.others(w) for w in up)
+    return api.SiteLoad(slots, busy, sum(j.need * j.held for j in jobs), usual)
--- a/rookwood/net/config.py
+++ b/rookwood/net/config.py
@@ -10,8 +10,8 @@
 from urllib.parse import quote
 
 from rookwood import interface as api
-from rookwood.net.destinations import Address, DestinationSet, address_of, destination_set_of
-from rookwood.settings import FaultyKeyError, Tree, settings_of
+from rookwood.net.destinations import Address, DestinationUpdate, address_of, destination_set_of
+from rookwood.settings import InvalidSettingError, JsonReader, parse_settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,12 +38,12 @@
     seed: int
     bounds: Bounds
     settings: api.Settings
-    known: DestinationSet
+    known: DestinationUpdate
     peer_listen: Address | None = None  # where datagrams of other dispatchers arrive; None: nowhere
     peers: tuple[Address, ...] = ()  # every dispatcher's address, this one's included
 
 
-def span(tree: Tree, path: str, default: int | None = None) -> timedelta:
+def span(tree: JsonReader, path: str, default: int | None = None) -> timedelta:
     return timedelta(microseconds=tree.get(path, int, default))
 
 
@@ -51,7 +51,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise FaultyKeyError("seed", f"not hexadecimal: {text!r}") from None
+        raise InvalidSettingError("seed", f"not hexadecimal: {text!r}") from None
 
 
 def handover_of(folder: str | None, name: str) -> Path | None:
@@ -59,25 +59,25 @@
 
 
 def load(environ: Mapping[str, str], again: bool = False) -> Config:
-    """Raises `FaultyKeyError`. Single variables go before the file, but not when it is read again: it may
-    have changed since the start, and they cannot."""
+    """Raises `InvalidSettingError`. Single variables go before the file, but not when it is read again: it
+    may have changed since the start, and they cannot."""
     place = environ.get("PROXY_CONFIG")
     if not place:
-        raise FaultyKeyError("PROXY_CONFIG", "missing")
+        raise InvalidSettingError("PROXY_CONFIG", "missing")
     try:
         data = json.loads(Path(place).read_text())
     except (OSError, ValueError) as error:
-        raise FaultyKeyError("PROXY_CONFIG", f"cannot be read: {error}") from None
+        raise InvalidSettingError("PROXY_CONFIG", f"cannot be read: {error}") from None
     if not isinstance(data, dict):
-        raise FaultyKeyError("PROXY_CONFIG", "not a JSON object")
-    tree = Tree(data)
+        raise InvalidSettingError("PROXY_CONFIG", "not a JSON object")
+    tree = JsonReader(data)
 
     def own(variable: str, key: str) -> tuple[str, str]:
         found = None if again else environ.get(variable)
         return (found, variable) if found else (tree.get(key, str), key)
 
     calls = environ.get("PROXY_MGMT") or "mgmt" in data
-    told = tree.branch("settings")
+    told = tree.subtree("settings")
     bounds = Bounds(
         connect_timeout=span(told, "bounds.connect-timeout", 150_000),
         idle=span(told, "bounds.conn-idle", 60_000_000),
@@ -89,18 +89,22 @@
         memory=tree.get("limits.memory_mb", int, 192) << 20,
     )
     if bounds.sockets < 64:
-        raise FaultyKeyError("limits.sockets", "under 64")
+        raise InvalidSettingError("limits.sockets", "under 64")
     for key in ("balancers", "tick", "bounds.attempts-cap"):  # the module takes none of these as 0
         if told.get(key, int) < 1:
-            raise told.bad(key, "under 1")
+            raise told.error(key, "under 1")
     try:
-        settings = settings_of(told)
-    except FaultyKeyError:
+        settings = parse_settings(told)
+    except InvalidSettingError:
         raise
     except ValueError as error:
-        raise FaultyKeyError("settings", str(error).removeprefix("settings: ")) from None
+        raise InvalidSettingError("settings", str(error).removeprefix("settings: ")) from None
     heard = settings.peers and "peer_listen" in data
-    known = tree.branch("known") if "known" in data else Tree({"rev": 0, "all": True, "targets": []}, "known")
+    known = (
+        tree.subtree("known")
+        if "known" in data
+        else JsonReader({"rev": 0, "all": True, "targets": []}, "known")
+    )
     return Config(
         name=own("PROXY_NAME", "name")[0],
         listen=address_of(*own("PROXY_LISTEN", "listen")),
--- a/rookwood/net/decisions.py
+++ b/rookwood/net/decisions.py
@@ -18,21 +18,21 @@
 from typing import Any
 
 from rookwood import interface as api
-from rookwood.memory import pressure, recall, remember
+from rookwood.memory import pressure, restore_learned_state, save_learned_state
 from rookwood.net.clock import EPOCH, Clock
-from rookwood.net.destinations import DestinationSet, Endpoint, State
+from rookwood.net.destinations import DestinationUpdate, Endpoint, State
 from rookwood.policy import Policy
 
 log = logging.getLogger(__name__)
 
 
-class End(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended, in the network's words."""
 
     SERVED = "served"
     ERROR = "error"
     TURNED_AWAY = "turned away"
-    NO_CONNECTION = "could not connect"
+    CONNECT_FAILED = "could not connect"
     RESET = "reset"
     TIMED_OUT = "timed out"
     CALLED_OFF = "called off"
@@ -93,16 +93,16 @@
 Decision = Attempt | FailFast | GiveUp | Elsewhere
 
 ENDINGS = {
-    End.SERVED: api.Ending.OK,
-    End.ERROR: api.Ending.FAILED,
-    End.TURNED_AWAY: api.Ending.FULL,
-    End.NO_CONNECTION: api.Ending.CONNECT_FAILED,
-    End.RESET: api.Ending.RESET,
-    End.TIMED_OUT: api.Ending.TIMED_OUT,
-    End.CALLED_OFF: api.Ending.CANCELLED,
-    End.NEVER_SENT: api.Ending.IGNORED,
-    End.STALE: api.Ending.CANCELLED,  # the one ending that may have run and costs no trust
-    End.UNFIT: api.Ending.CANCELLED,
+    AttemptOutcome.SERVED: api.Outcome.OK,
+    AttemptOutcome.ERROR: api.Outcome.FAILED,
+    AttemptOutcome.TURNED_AWAY: api.Outcome.QUEUE_FULL,
+    AttemptOutcome.CONNECT_FAILED: api.Outcome.CONNECT_FAILED,
+    AttemptOutcome.RESET: api.Outcome.RESET,
+    AttemptOutcome.TIMED_OUT: api.Outcome.TIMED_OUT,
+    AttemptOutcome.CALLED_OFF: api.Outcome.CANCELLED,
+    AttemptOutcome.NEVER_SENT: api.Outcome.IGNORED,
+    AttemptOutcome.STALE: api.Outcome.CANCELLED,  # the one ending that may have run and costs no trust
+    AttemptOutcome.UNFIT: api.Outcome.CANCELLED,
 }
 LOAD = {"inflight": "outstanding", "queue": "backlog"}  # seen under either name; the rest as it is
 HEALTH = {
@@ -136,14 +136,14 @@
         cell=endpoint.cell,
         kind=endpoint.kind,
         zone=endpoint.zone,
-        started_at=None if endpoint.booted is None else micros(endpoint.booted - EPOCH),
+        started_at=None if endpoint.started_at is None else micros(endpoint.started_at - EPOCH),
     )
 
 
 class Ticket:
     """One request's place at the door, from `admit` to the end of the `with` block."""
 
-    def __init__(self, door: Decisions, number: int, job: Job) -> None:
+    def __init__(self, door: PolicyDriver, number: int, job: Job) -> None:
         self._door, self._number, self._job = door, number, job
         self._decided: asyncio.Queue[Decision] = asyncio.Queue()
         self._attempts = 0
@@ -160,25 +160,25 @@
         try:
             if not self._settled:
                 self._settled = True
-                self._door.feed(api.Abandoned(self._number))
+                self._door.feed(api.RequestAbandoned(self._number))
         finally:
             if self._out:
-                self.ended(End.CALLED_OFF)
+                self.ended(AttemptOutcome.CALLED_OFF)
 
     async def decision(self) -> Decision:
         return await self._decided.get()
 
     @property
-    def waiting(self) -> bool:
+    def is_waiting(self) -> bool:
         """Held: neither decided nor out at an endpoint."""
         return not (self._settled or self._out)
 
-    def pass_on(self) -> bool:
+    def withdraw(self) -> bool:
         """Takes the request back while it is held; the next decision says so. False: it is too late."""
-        if not self.waiting:
+        if not self.is_waiting:
             return False
         self._settled = True
-        self._door.feed(api.Abandoned(self._number))
+        self._door.feed(api.RequestAbandoned(self._number))
         self._decided.put_nowait(Elsewhere())
         return True
 
@@ -191,36 +191,36 @@
     def _sign(self, started: bool) -> None:
         if self._out:
             attempt, _ = self._out
-            self._door.feed(api.Note(self._number, attempt.number, attempt.uid, started))
+            self._door.feed(api.AttemptProgress(self._number, attempt.number, attempt.uid, started))
 
-    def ended(self, end: End, load: LoadReport | None = None) -> None:
+    def ended(self, end: AttemptOutcome, load: LoadReport | None = None) -> None:
         assert self._out
         (attempt, since), self._out = self._out, None
-        self._settled = self._settled or end is End.SERVED
+        self._settled = self._settled or end is AttemptOutcome.SERVED
         latency = micros(self._door.clock.now() - since)
         ending = ENDINGS[end]
         if end not in NEVER_RAN and not self._window_ends and self._job.job_class in self._door.windows:
             self._window_ends = since + self._door.windows[self._job.job_class]
         self._door.feed(
-            api.Outcome(
+            api.AttemptEnded(
                 self._number, attempt.number, attempt.uid, ending, latency, self._settled, figures_of(load)
             )
         )
-        self._door.observed(attempt.uid, end)
+        self._door.on_attempt_ended(attempt.uid, end)
 
-    def decided(self, action: api.Send | api.Refuse | api.Fail) -> None:
+    def decided(self, action: api.Send | api.Reject | api.Fail) -> None:
         """Called by the door alone."""
         match action:
             case api.Send(_, uid, timeout):
                 now = self._door.clock.now()
                 until = now + timedelta(microseconds=timeout) if timeout else self._job.deadline
-                repeatable = self._job.job_class not in self._door.unsafe
+                repeatable = self._job.job_class not in self._door.unsafe_classes
                 until = min(until, self._job.deadline)
                 attempt = Attempt(self._attempts, uid, until, repeatable, self._window_ends)
                 self._attempts += 1
                 self._out = (attempt, now)
                 self._decided.put_nowait(attempt)
-            case api.Refuse(_, advice):
+            case api.Reject(_, advice):
                 self._settled = True
                 self._decided.put_nowait(FailFast(self._door.advised(timedelta(microseconds=advice))))
             case api.Fail():
@@ -228,18 +228,22 @@
                 self._decided.put_nowait(GiveUp())
 
 
-class Decisions:
+class PolicyDriver:
     def __init__(
         self, settings: api.Settings, seed: int, clock: Clock, most_retry_after: timedelta = timedelta(0)
     ) -> None:
         self.clock, self._most_retry_after = clock, most_retry_after
         self.probe: Callable[[str], None] = lambda uid: None  # who carries probes out
-        self.observed: Callable[[str, End], None] = lambda uid, end: None  # how each attempt ended, and where
+        self.on_attempt_ended: Callable[[str, AttemptOutcome], None] = (
+            lambda uid, end: None
+        )  # how each attempt ended, and where
         self.tell: Callable[[Sequence[int], Sequence[api.Hint]], None] = lambda to, hints: None
-        self.unsafe = frozenset(c.name for c in settings.classes if c.repeat is not api.Repeat.SAFE)
+        self.unsafe_classes = frozenset(
+            c.name for c in settings.classes if c.repeat is not api.RetrySafety.SAFE
+        )
         # So long after its first attempt a keyed request may be sent again; what is sent takes its time.
         kept = timedelta(microseconds=2 * settings.tick)
-        keyed = (c for c in settings.classes if c.repeat is api.Repeat.KEYED)
+        keyed = (c for c in settings.classes if c.repeat is api.RetrySafety.KEYED)
         self.windows = {c.name: timedelta(microseconds=c.window) - kept for c in keyed}
         self._policy = Policy(settings, seed)
         self._numbers = itertools.count(1)
@@ -249,21 +253,21 @@
         self._last = 0
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         return len(self._tickets)
 
-    def remember(self) -> dict[str, Any]:
+    def save_learned_state(self) -> dict[str, Any]:
         """What was learned here, for the process that follows."""
-        return remember(self._policy)
+        return save_learned_state(self._policy)
 
-    def recall(self, memory: dict[str, Any]) -> None:
-        recall(self._policy, memory, self._last)
+    def restore_learned_state(self, memory: dict[str, Any]) -> None:
+        restore_learned_state(self._policy, memory, self._last)
 
-    def pressure(self) -> api.Pressure:
+    def pressure(self) -> api.SiteLoad:
         return pressure(self._policy)
 
-    def cluster(self) -> api.Cluster:
-        return self._policy.cluster()
+    def cluster(self) -> api.ClusterHealth:
+        return self._policy.cluster_health()
 
     def close(self) -> None:
         for timer in self._timers.values():
@@ -274,16 +278,16 @@
         """When a refused client is told to come back; None where clients are told nothing."""
         return min(wait, self._most_retry_after) or None
 
-    def update(self, told: DestinationSet, kept: bool = False) -> None:
-        whole = api.Listing.KEPT if kept else api.Listing.WHOLE
+    def update(self, told: DestinationUpdate, kept: bool = False) -> None:
+        whole = api.WorkerListKind.CACHED if kept else api.WorkerListKind.FULL
         workers = tuple(worker_of(endpoint) for endpoint in told.endpoints)
-        self.feed(api.WorkersChanged(whole if told.whole or kept else api.Listing.CHANGES, workers))
+        self.feed(api.WorkersChanged(whole if told.is_full or kept else api.WorkerListKind.CHANGES, workers))
 
-    def probed(self, uid: str, end: End, load: LoadReport | None) -> None:
-        self.feed(api.Probed(uid, ENDINGS[end], figures_of(load)))
+    def probed(self, uid: str, end: AttemptOutcome, load: LoadReport | None) -> None:
+        self.feed(api.ProbeResult(uid, ENDINGS[end], figures_of(load)))
 
     def heard(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
-        self.feed(api.Heard(sender, hints))
+        self.feed(api.HintsReceived(sender, hints))
 
     def admit(self, job: Job) -> Ticket:
         number = next(self._numbers)
@@ -316,7 +320,7 @@
         self._last = max(self._last, now, not_before)
         for action in self._policy.handle(self._last, event):
             match action:
-                case api.Send(request) | api.Refuse(request) | api.Fail(request):
+                case api.Send(request) | api.Reject(request) | api.Fail(request):
                     if ticket := self._tickets.get(request):
                         ticket.decided(action)
                     else:
@@ -327,7 +331,7 @@
                     log.info("decisions: %s", text)
                 case api.Probe(uid):
                     self.probe(uid)
-                case api.Tell(to, hints):
+                case api.SendHints(to, hints):
                     self.tell(to, hints)
                 case api.Cancel() | api.Subscribe():
                     pass  # an abandoned attempt is ended by its request; the watch is always on
--- a/rookwood/net/destinations.py
+++ b/rookwood/net/destinations.py
@@ -17,7 +17,7 @@
 
 from rookwood.net.clock import EPOCH, Clock
 from rookwood.net.http1 import TooLargeError, Wire
-from rookwood.settings import FaultyKeyError, Tree
+from rookwood.settings import InvalidSettingError, JsonReader
 
 log = logging.getLogger(__name__)
 
@@ -60,30 +60,30 @@
     kind: str
     cell: int
     capacity: float
-    booted: datetime | None  # None: long ago
+    started_at: datetime | None  # None: long ago
 
 
 @dataclass(frozen=True, slots=True)
-class DestinationSet:
+class DestinationUpdate:
     revision: int
-    whole: bool  # the whole list, or just what changed
+    is_full: bool  # the whole list, or just what changed
     endpoints: tuple[Endpoint, ...]
 
 
 def address_of(text: str, key: str) -> Address:
     host, colon, port = text.rpartition(":")
     if not (colon and host and port.isascii() and port.isdigit() and int(port) < 65536):
-        raise FaultyKeyError(key, f"not host:port: {text!r}")
+        raise InvalidSettingError(key, f"not host:port: {text!r}")
     return Address(host.strip("[]"), int(port))
 
 
-def endpoint_of(tree: Tree) -> Endpoint:
+def endpoint_of(tree: JsonReader) -> Endpoint:
     booted, address = tree.get("boot_ms", float, 0.0), tree.get("endpoint", str)
-    state = tree.word("state", State)
+    state = tree.enum_value("state", State)
     if state is not State.REMOVED:  # there is nothing to be reached at what is gone
         address_of(address, f"{tree.at}.endpoint")
     if booted > LATEST:
-        raise tree.bad("boot_ms", "out of range")
+        raise tree.error("boot_ms", "out of range")
     return Endpoint(
         uid=tree.get("uid", str),
         address=address,
@@ -92,14 +92,14 @@
         kind=tree.get("model", str, ""),
         cell=tree.get("pod_group", int, 0),
         capacity=tree.get("capacity_hint", float, 1.0),
-        booted=EPOCH + timedelta(milliseconds=booted) if booted else None,
+        started_at=EPOCH + timedelta(milliseconds=booted) if booted else None,
     )
 
 
-def destination_set_of(tree: Tree) -> DestinationSet:
-    return DestinationSet(
+def destination_set_of(tree: JsonReader) -> DestinationUpdate:
+    return DestinationUpdate(
         revision=tree.get("rev", int),
-        whole=tree.get("all", bool),
+        is_full=tree.get("all", bool),
         endpoints=tuple(endpoint_of(item) for item in tree.items("targets")),
     )
 
@@ -132,7 +132,7 @@
         self,
         clock: Clock,
         grace: timedelta,
-        apply: Callable[[DestinationSet, bool], None],
+        apply: Callable[[DestinationUpdate, bool], None],
         discovery: Address,
         asked: bool = False,
         seed: int = 0,
@@ -150,31 +150,31 @@
         self._endpoints: dict[str, Endpoint] = {}
         self._stopped = set[str]()  # draining or gone
         # Others know of endpoints here as well, perhaps sooner: since when, by their word.
-        self.advisers: list[Callable[[str], datetime | None]] = []
+        self.exclusion_checks: list[Callable[[str], datetime | None]] = []
         self.revision = 0
         self.current = asyncio.Event()  # discovery has spoken since the start: the list is no longer old
 
-    def update(self, told: DestinationSet, kept: bool = False) -> None:
+    def update(self, told: DestinationUpdate, kept: bool = False) -> None:
         named = {endpoint.uid: endpoint for endpoint in told.endpoints}
         for endpoint in named.values():
             self._endpoints[endpoint.uid] = endpoint
             (self._stopped.discard if endpoint.state is State.UP else self._stopped.add)(endpoint.uid)
-        if told.whole:
+        if told.is_full:
             self._stopped |= self._endpoints.keys() - named.keys()
         heeded = tuple(self._heeded(endpoint) for endpoint in told.endpoints)
-        self._apply(DestinationSet(told.revision, told.whole, heeded), kept)
+        self._apply(DestinationUpdate(told.revision, told.is_full, heeded), kept)
         self.revision = told.revision  # last: what could not be taken over is asked for again
 
     def _heeded(self, endpoint: Endpoint) -> Endpoint:
-        if endpoint.state is State.UP and any(adviser(endpoint.uid) for adviser in self.advisers):
+        if endpoint.state is State.UP and any(adviser(endpoint.uid) for adviser in self.exclusion_checks):
             return replace(endpoint, state=State.DRAINING)
         return endpoint
 
-    def again(self, uids: Collection[str]) -> None:
+    def reapply(self, uids: Collection[str]) -> None:
         """What others say of these has changed."""
         named = tuple(self._heeded(self._endpoints[uid]) for uid in sorted(uids) if uid in self._endpoints)
         if named:
-            self._apply(DestinationSet(self.revision, False, named), False)
+            self._apply(DestinationUpdate(self.revision, False, named), False)
 
     def address(self, uid: str) -> str:
         return self._endpoints[uid].address
@@ -182,7 +182,7 @@
     def accepts(self, uid: str) -> bool:
         """No grace: a change may count as told since long before it arrived here, as with an agent or a watch
         that was silent, or in a process that has just started."""
-        stopped = uid in self._stopped or any(adviser(uid) for adviser in self.advisers)
+        stopped = uid in self._stopped or any(adviser(uid) for adviser in self.exclusion_checks)
         return uid in self._endpoints and not stopped
 
     def start(self) -> None:
@@ -217,7 +217,7 @@
             try:
                 await self._follow()
                 log.info("the discovery watch ended; asking again")
-            except (OSError, h11.RemoteProtocolError, TooLargeError, FaultyKeyError) as error:
+            except (OSError, h11.RemoteProtocolError, TooLargeError, InvalidSettingError) as error:
                 # Tried a few times a second, an outage is told twice: by the watch and a first call in vain.
                 level = logging.WARNING if heard or self._heard is not before else logging.DEBUG
                 words = type(error).__name__, str(error) or "silent"
@@ -242,9 +242,9 @@
                 # Its revisions need not continue those known here: what changed since one says nothing.
                 async with asyncio.timeout(self._first_word.total_seconds()):
                     await self._ask(wire, "/api/targets")
-                    told = destination_set_of(Tree(parsed(await wire.body(MAX_LINE))))
-                if not told.whole:
-                    raise FaultyKeyError("all", "false where the whole list was asked for")
+                    told = destination_set_of(JsonReader(parsed(await wire.body(MAX_LINE))))
+                if not told.is_full:
+                    raise InvalidSettingError("all", "false where the whole list was asked for")
                 self.update(told)
                 self._foreign = False
                 wire.http.start_next_cycle()
@@ -261,7 +261,7 @@
                 *lines, rest = (rest + bytes(event.data)).split(b"\n")
                 for line in lines:
                     if whole := gathered.add(line.strip()):
-                        self.update(destination_set_of(Tree(parsed(whole))))
+                        self.update(destination_set_of(JsonReader(parsed(whole))))
                 if not rest and not gathered.size:
                     self.current.set()
                 if len(rest) + gathered.size > MAX_LINE:
@@ -289,7 +289,7 @@
     def add(self, line: bytes) -> bytes:
         """The whole object, once its last line has come. An empty line only says that the watch lives."""
         if self.size and not line:
-            raise FaultyKeyError("line", "ended amid an object")
+            raise InvalidSettingError("line", "ended amid an object")
         self._parts.append(line)
         self.size += len(line)
         self._depth += sum((found in b"{[") - (found in b"]}") for found in NESTING.findall(line))
@@ -304,4 +304,4 @@
     try:
         return json.loads(line)
     except (ValueError, RecursionError) as error:  # as deep as the sender likes
-        raise FaultyKeyError("line", f"not JSON: {error}") from None
+        raise InvalidSettingError("line", f"not JSON: {error}") from None
--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -14,20 +14,20 @@
 from rookwood import interface as api
 from rookwood.net.clock import Clock
 from rookwood.net.config import Bounds, Config
-from rookwood.net.decisions import Decisions
-from rookwood.net.destinations import Destinations, DestinationSet
+from rookwood.net.decisions import PolicyDriver
+from rookwood.net.destinations import Destinations, DestinationUpdate
 from rookwood.net.endpoints import Endpoints
-from rookwood.net.figures import Figures
+from rookwood.net.figures import RequestStats
 from rookwood.net.handover import Handover
 from rookwood.net.inbound import Inbound, readiness
-from rookwood.net.listener import bound
+from rookwood.net.listener import bind_listener
 from rookwood.net.management import Management
 from rookwood.net.peers import Peers
-from rookwood.net.phase import Phase, Service
+from rookwood.net.phase import Phase, ServiceState
 from rookwood.net.probes import Probes
-from rookwood.net.request import Answer, Requests
+from rookwood.net.request import RequestHandler, Response
 from rookwood.net.room import room_of
-from rookwood.net.tier import Tier
+from rookwood.net.tier import DispatcherGroup
 
 log = logging.getLogger(__name__)
 
@@ -41,71 +41,73 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Core:
+class DispatcherContext:
     """What another front works with."""
 
     name: str
     clock: Clock
     classes: dict[str, api.JobClass]
     zone: str
-    tier: Tier
+    dispatcher_group: DispatcherGroup
     bounds: Bounds
-    decisions: Decisions
+    decisions: PolicyDriver
     destinations: Destinations
-    requests: Requests
-    figures: Figures
-    service: Service
-    calls: dict[tuple[bytes, bytes], Callable[[], Answer]]  # of the second address; fronts add theirs
-    leave: Callable[[], None]  # as after SIGTERM
+    request_handler: RequestHandler
+    stats: RequestStats
+    service: ServiceState
+    management_calls: dict[
+        tuple[bytes, bytes], Callable[[], Response]
+    ]  # of the second address; fronts add theirs
+    begin_shutdown: Callable[[], None]  # as after SIGTERM
 
 
-class Front(Protocol):
+class Extension(Protocol):
     """A further way for requests to come in or go out, beside `Inbound`."""
 
-    def told(self, told: DestinationSet, kept: bool) -> DestinationSet:
+    def filter_update(self, update: DestinationUpdate, kept: bool) -> DestinationUpdate:
         """Discovery has spoken; returns what of it the decisions are to know."""
 
     async def start(self) -> None: ...
 
     def reload(self) -> None: ...
 
-    def succeeded(self) -> None:
+    def handed_over(self) -> None:
         """The next process has taken over."""
 
-    def leave(self) -> None: ...
+    def begin_shutdown(self) -> None: ...
 
-    async def empty(self) -> None:
+    async def wait_drained(self) -> None:
         """Returns once nothing of others is in hand here."""
 
     async def close(self) -> None: ...
 
 
 class Dispatcher:
-    def __init__(self, config: Config, *fronts: Callable[[Core], Front]) -> None:
+    def __init__(self, config: Config, *fronts: Callable[[DispatcherContext], Extension]) -> None:
         clock, bounds = Clock(), config.bounds
         self._clock = clock
         room = room_of(bounds.sockets)
         self._config = config
         longest = bounds.max_retry_after if bounds.retry_after else timedelta(0)
-        self._decisions = Decisions(config.settings, config.seed, clock, longest)
+        self._decisions = PolicyDriver(config.settings, config.seed, clock, longest)
         self._destinations = Destinations(
             clock, bounds.drain_grace, self._told, config.discovery, config.settings.subscribe, config.seed
         )
         self._endpoints = Endpoints(clock, bounds.connect_timeout, bounds.idle, room.half)
         self._probes = Probes(self._decisions, self._destinations, self._endpoints)
         self._peers = Peers(self._decisions, config.peer_listen, config.peers)
-        self._service = Service(clock)
+        self._service = ServiceState(clock)
         classes = frozenset(c.name for c in config.settings.classes)
-        self._figures = Figures(classes, lambda: self._decisions.open, self._decisions.cluster)
-        self._figures.more.append(self._destinations.figures)
+        self._figures = RequestStats(classes, lambda: self._decisions.open_requests, self._decisions.cluster)
+        self._figures.extra_sources.append(self._destinations.figures)
         parts = (self._decisions, self._destinations, self._endpoints, self._figures)
-        self._requests = Requests(clock, *parts, longest or None)
+        self._requests = RequestHandler(clock, *parts, longest or None)
         self._inbound = Inbound(
             clock,
             self._requests.serve,
             classes,
             room,
-            full=lambda: self._decisions.open >= bounds.max_open,
+            full=lambda: self._decisions.open_requests >= bounds.max_open,
             retry_after=longest or None,
             most_bytes=bounds.memory // BODIES,
             service=self._service,
@@ -113,17 +115,24 @@
         )
         calls = {
             (b"GET", b"/ops/readiness"): self._readiness,
-            (b"GET", b"/ops/stats"): lambda: Answer(200, self._figures.text().encode()),
+            (b"GET", b"/ops/stats"): lambda: Response(200, self._figures.text().encode()),
             (b"POST", b"/ops/drain/start"): self._drain,
             (b"POST", b"/ops/drain/stop"): self._resume,
         }
         self._management = Management(clock, calls, room)
         self._handover = Handover(config.handover, self._remember, self._succeeded, alone=self._succeeds)
         by_name = {c.name: c for c in config.settings.classes}
-        core = Core(
-            *(config.name, clock, by_name, config.settings.zone, Tier(config.settings.dispatchers), bounds),
+        core = DispatcherContext(
+            *(
+                config.name,
+                clock,
+                by_name,
+                config.settings.zone,
+                DispatcherGroup(config.settings.dispatchers),
+                bounds,
+            ),
             *(self._decisions, self._destinations, self._requests, self._figures, self._service),
-            *(calls, self.leave),
+            *(calls, self.begin_shutdown),
         )
         self._handover.datagrams = self._peers.handle
         self._fronts = [front(core) for front in fronts]
@@ -140,7 +149,7 @@
         self._destinations.start()
         self._tasks = [asyncio.create_task(self._endpoints.sweep())]
         if config.mgmt:
-            caller = bound(config.mgmt)
+            caller = bind_listener(config.mgmt)
             self.mgmt = int(caller.getsockname()[1])
             await self._management.listen(caller)
             log.info("%s is run from %s:%d", config.name, config.mgmt.host, self.mgmt)
@@ -160,7 +169,7 @@
                     self._handover.inherited.close()
                 return 0
             await self._peers.start(self._handover.inherited)
-        listener = listener or bound(config.listen, shared=True)
+        listener = listener or bind_listener(config.listen, shared=True)
         port = int(listener.getsockname()[1])
         await self._inbound.listen(listener)
         self._service.start()
@@ -171,10 +180,10 @@
         log.info("%s listens on %s:%d", config.name, config.listen.host, port)
         return port
 
-    def _told(self, told: DestinationSet, kept: bool) -> None:
+    def _told(self, told: DestinationUpdate, kept: bool) -> None:
         self._peers.learn(told, kept)
         for front in self._fronts:
-            told = front.told(told, kept)
+            told = front.filter_update(told, kept)
         self._decisions.update(told, kept)
 
     def reload(self, config: Config) -> None:
@@ -189,19 +198,19 @@
         self._upgrading = None
         self._share(1)
 
-    def _readiness(self) -> Answer:
+    def _readiness(self) -> Response:
         """Amid an upgrade a yes is the sign to end the process before: its jobs should have ended by then."""
         if self._upgrading and self._clock.now() < self._upgrading and self._service.ready:
-            return Answer(503, b"taking over\n")
+            return Response(503, b"taking over\n")
         return readiness(self._service)
 
-    def _drain(self) -> Answer:
+    def _drain(self) -> Response:
         self._service.drain()
-        return Answer(200, f"{self._service.phase.value}\n".encode())
+        return Response(200, f"{self._service.phase.value}\n".encode())
 
-    def _resume(self) -> Answer:
+    def _resume(self) -> Response:
         back = self._service.resume()
-        return Answer(200 if back else 409, f"{self._service.phase.value}\n".encode())
+        return Response(200 if back else 409, f"{self._service.phase.value}\n".encode())
 
     def _share(self, processes: int) -> None:
         """Amid an upgrade two processes take what one may."""
@@ -210,7 +219,7 @@
     def _remember(self) -> bytes:
         """For the process that follows. An upgrade goes on without it, so no fault here may stop one."""
         try:
-            ids, learned = self._requests.remember(), self._decisions.remember()
+            ids, learned = self._requests.remember(), self._decisions.save_learned_state()
             return json.dumps({"ids": ids, "decisions": learned}).encode()
         except Exception:
             log.exception("nothing is remembered")
@@ -220,7 +229,7 @@
         try:
             memory = json.loads(text)
             self._requests.recall([str(name) for name in memory["ids"]])
-            self._decisions.recall(memory["decisions"])
+            self._decisions.restore_learned_state(memory["decisions"])
         except Exception as error:
             log.warning("not all is recalled: %s: %s", type(error).__name__, error)
 
@@ -231,11 +240,11 @@
         self._peers.succeeded()
         self._inbound.stop()
         for front in self._fronts:
-            front.succeeded()
+            front.handed_over()
         self._endpoints.most = room_of(self._config.bounds.sockets // 2).half
         self._service.leave(timedelta(0))
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """The end is near: SIGTERM has come."""
         if self._terminated:
             return
@@ -246,15 +255,15 @@
         self._requests.leave(self._clock.now() + end - CUT)
         self._service.leave(end - MOVE)
         for front in self._fronts:
-            front.leave()
+            front.begin_shutdown()
 
-    async def left(self) -> None:
+    async def wait_drained(self) -> None:
         """Returns once this process is to leave and everything that was taken has its answer."""
         await self._service.until_leaving()
         await self._service.until_moving()
         await self._inbound.empty()
         for front in self._fronts:
-            await front.empty()
+            await front.wait_drained()
         await self._inbound.empty()  # who came while the fronts emptied
         self._inbound.stop()
         await self._inbound.empty()  # and who was just accepted: from here on nobody comes
--- a/rookwood/net/endpoints.py
+++ b/rookwood/net/endpoints.py
@@ -17,9 +17,9 @@
 import h11
 
 from rookwood.net.clock import Clock
-from rookwood.net.decisions import End, LoadReport
+from rookwood.net.decisions import AttemptOutcome, LoadReport
 from rookwood.net.http1 import MAX_BODY, NotWrittenError, TooLargeError, Wire
-from rookwood.settings import FaultyKeyError, Tree
+from rookwood.settings import InvalidSettingError, JsonReader
 
 log = logging.getLogger(__name__)
 
@@ -45,10 +45,10 @@
 
 
 LAST = {
-    Stage.DONE: End.SERVED,
-    Stage.FAILED: End.ERROR,
-    Stage.RETURNED: End.TURNED_AWAY,
-    Stage.LOST: End.RESET,
+    Stage.DONE: AttemptOutcome.SERVED,
+    Stage.FAILED: AttemptOutcome.ERROR,
+    Stage.RETURNED: AttemptOutcome.TURNED_AWAY,
+    Stage.LOST: AttemptOutcome.RESET,
 }
 
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class WorkerRequest:
     """What goes to an endpoint, the same at each attempt but for the time left."""
 
     request_id: str
@@ -71,19 +71,21 @@
     host: str
     content_type: str | None
     body: bytes
-    keys: tuple[bytes, ...] = ()  # every `Idempotency-Key` as it came: endpoints drop repeats by it
+    idempotency_keys: tuple[
+        bytes, ...
+    ] = ()  # every `Idempotency-Key` as it came: endpoints drop repeats by it
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    end: End
+    end: AttemptOutcome
     body: bytes = b""
     load: LoadReport | None = None  # told with the end of the attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    end: End
+    end: AttemptOutcome
     load: LoadReport | None = None
 
 
@@ -97,10 +99,10 @@
 
 def message_of(line: bytes) -> Message:
     try:
-        tree = Tree(json.loads(line))
+        tree = JsonReader(json.loads(line))
     except (ValueError, RecursionError) as error:
-        raise FaultyKeyError("line", f"not JSON: {error}") from None
-    stage = tree.word("state", Stage)
+        raise InvalidSettingError("line", f"not JSON: {error}") from None
+    stage = tree.enum_value("state", Stage)
     result = tree.get("result", str, None if stage is Stage.DONE else "")
     load = told_load(report_of, tree.data.get("load")) if stage in LAST else None
     return Message(tree.get("id", str), stage, result, load)
@@ -113,7 +115,7 @@
     """Beside an answer, which stands whatever is said of load."""
     try:
         return None if told is None else read(told)
-    except FaultyKeyError as error:
+    except InvalidSettingError as error:
         log.info("load told with an answer is left out: %s", error)
         return None
 
@@ -127,22 +129,22 @@
         else:
             pairs = dict(pair.strip().split("=", 1) for pair in text.split(",") if pair.strip())
     except (ValueError, RecursionError) as error:
-        raise FaultyKeyError("load", f"not a report: {error}") from None
+        raise InvalidSettingError("load", f"not a report: {error}") from None
     return report_of(pairs)
 
 
 def report_of(pairs: Any) -> LoadReport:
-    """Of names with numbers. Raises `FaultyKeyError`."""
+    """Of names with numbers. Raises `InvalidSettingError`."""
     try:
         figures = tuple((str(name), float(value)) for name, value in pairs.items())
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
-        raise FaultyKeyError("load", f"not a report: {error}") from None
+        raise InvalidSettingError("load", f"not a report: {error}") from None
     if not all(map(math.isfinite, (value for _, value in figures))):
-        raise FaultyKeyError("load", "not a finite number")
+        raise InvalidSettingError("load", "not a finite number")
     return LoadReport(figures)
 
 
-def encoded(wire: Wire, request: Outgoing, left: timedelta) -> bytes:
+def encoded(wire: Wire, request: WorkerRequest, left: timedelta) -> bytes:
     headers = [
         (b"Host", request.host.encode()),
         (b"Request-Id", request.request_id.encode()),
@@ -151,7 +153,7 @@
     ]
     if request.content_type is not None:
         headers.append((b"Content-Type", request.content_type.encode()))
-    headers += [(b"Idempotency-Key", key) for key in request.keys]
+    headers += [(b"Idempotency-Key", key) for key in request.idempotency_keys]
     head = h11.Request(method="POST", target=request.target, headers=headers)
     return wire.encode(head, h11.Data(data=request.body), h11.EndOfMessage())
 
@@ -205,7 +207,7 @@
 
     async def attempt(
         self,
-        request: Outgoing,
+        request: WorkerRequest,
         address: str,
         until: datetime,
         still_wanted: Callable[[], bool],
@@ -222,47 +224,49 @@
                     async with self._lease(address, careful=not repeatable) as connection:
                         leased = [connection]
                         if not still_wanted():
-                            return Result(End.NEVER_SENT)
+                            return Result(AttemptOutcome.NEVER_SENT)
                         data = encoded(connection.wire, request, until - self._clock.now())
                         try:
                             early = await self._begin(connection.wire, data[:-1])
                         except (OSError, NotWrittenError):
                             # It cannot have run. An old connection tells nothing of the endpoint.
                             if connection.age is None:
-                                return Result(End.NO_CONNECTION)
+                                return Result(AttemptOutcome.CONNECT_FAILED)
                             await self._broke(connection)
                             continue
                         if early and connection.age is not None:
                             continue  # a late word on the request before: it would be taken for an answer
                         if not leaving():
-                            return Result(End.NEVER_SENT)
+                            return Result(AttemptOutcome.NEVER_SENT)
                         sent = True  # from here on a break may come after the last byte
                         try:
                             await connection.wire.write(data[-1:])
                         except NotWrittenError:
-                            return Result(End.NO_CONNECTION)
+                            return Result(AttemptOutcome.CONNECT_FAILED)
                         written()
                         result = await self._answer(connection, request.request_id, sign)
                         connection.answered = True
                         return result
         except NoRoomError:
-            return Result(End.NEVER_SENT)  # the lack is here: the endpoint has nothing to do with it
+            return Result(
+                AttemptOutcome.NEVER_SENT
+            )  # the lack is here: the endpoint has nothing to do with it
         except CannotConnectError as error:
             log.info("no connection to %s: %s", address, error)
-            return Result(End.NO_CONNECTION)
+            return Result(AttemptOutcome.CONNECT_FAILED)
         except TimeoutError:
             if sent and not leased[0].heard:
                 await self._forget(address)  # silent: no other kept connection there is better
-            return Result(End.TIMED_OUT if sent else End.NO_CONNECTION)
+            return Result(AttemptOutcome.TIMED_OUT if sent else AttemptOutcome.CONNECT_FAILED)
         except (OSError, h11.RemoteProtocolError) as error:
             log.info("%s broke off: %s", address, error)
             if leased[0].heard or leased[0].age is None:
-                return Result(End.RESET)
+                return Result(AttemptOutcome.RESET)
             await self._broke(leased[0])
-            return Result(End.STALE)
-        except FaultyKeyError as error:  # the endpoint has taken the request, whatever it says of it
+            return Result(AttemptOutcome.STALE)
+        except InvalidSettingError as error:  # the endpoint has taken the request, whatever it says of it
             log.warning("%s sent a bad line: %s", address, error)
-            return Result(End.RESET)
+            return Result(AttemptOutcome.RESET)
 
     async def _begin(self, wire: Wire, data: bytes) -> bool:
         """All but the last byte: a connection that is dead on the other side shows it now, while it is
@@ -286,9 +290,11 @@
             headers = dict(event.headers)
             load = told_load(load_report_of, headers.get(b"server-load"))
             if event.status_code in (503, 504) and headers.get(b"not-started") == b"1":
-                return Result(End.TURNED_AWAY, load=load)
+                return Result(AttemptOutcome.TURNED_AWAY, load=load)
             log.info("an endpoint answered %d", event.status_code)
-            return Result(End.UNFIT if event.status_code in UNFIT else End.ERROR, load=load)
+            return Result(
+                AttemptOutcome.UNFIT if event.status_code in UNFIT else AttemptOutcome.ERROR, load=load
+            )
         rest, ended = b"", False
         while not ended and isinstance(event := await wire.event(), h11.Data | h11.EndOfMessage):
             ended = isinstance(event, h11.EndOfMessage)
@@ -297,12 +303,12 @@
             for line in filter(None, map(bytes.strip, lines)):
                 message = message_of(line)
                 if message.request_id != request_id:
-                    raise FaultyKeyError("id", f"of another request: {message.request_id!r}")
+                    raise InvalidSettingError("id", f"of another request: {message.request_id!r}")
                 if message.stage in LAST:
                     return Result(LAST[message.stage], message.result.encode(), message.load)
                 sign(message.stage)
             if len(rest) > MAX_LINE:
-                raise FaultyKeyError("line", "without an end")
+                raise InvalidSettingError("line", "without an end")
         raise ConnectionResetError("ended before the last line")
 
     async def probe(self, address: str) -> Probed:
@@ -317,15 +323,15 @@
                                 raise
                             await self._broke(connection)
         except NoRoomError:
-            return Probed(End.NEVER_SENT)
+            return Probed(AttemptOutcome.NEVER_SENT)
         except (CannotConnectError, NotWrittenError):
-            return Probed(End.NO_CONNECTION)
+            return Probed(AttemptOutcome.CONNECT_FAILED)
         except TimeoutError:
             await self._forget(address)
-            return Probed(End.TIMED_OUT)
-        except (OSError, h11.RemoteProtocolError, TooLargeError, FaultyKeyError) as error:
+            return Probed(AttemptOutcome.TIMED_OUT)
+        except (OSError, h11.RemoteProtocolError, TooLargeError, InvalidSettingError) as error:
             log.info("a probe of %s failed: %s", address, error)
-            return Probed(End.RESET)
+            return Probed(AttemptOutcome.RESET)
 
     async def _probe(self, connection: Connection) -> Probed:
         wire = connection.wire
@@ -338,8 +344,8 @@
         body = await wire.body()
         connection.answered = True
         if answer.status_code != 200:
-            return Probed(End.ERROR)
-        return Probed(End.SERVED, load_report_of(body) if body else None)
+            return Probed(AttemptOutcome.ERROR)
+        return Probed(AttemptOutcome.SERVED, load_report_of(body) if body else None)
 
     # ---- connections ----
 
--- a/rookwood/net/figures.py
+++ b/rookwood/net/figures.py
@@ -18,12 +18,12 @@
     return None if 400 <= status < 500 else ERRORED
 
 
-class Figures:
+class RequestStats:
     def __init__(
-        self, classes: Collection[str], current: Callable[[], int], cluster: Callable[[], api.Cluster]
+        self, classes: Collection[str], current: Callable[[], int], cluster: Callable[[], api.ClusterHealth]
     ) -> None:
         self._current, self._cluster = current, cluster
-        self.more: list[Callable[[], Iterable[str]]] = []  # lines of other fronts
+        self.extra_sources: list[Callable[[], Iterable[str]]] = []  # lines of other fronts
         # Those who read need every class from the start: a figure that is missing is no 0.
         outcomes = (ANSWERED, DEFERRED, ERRORED, SENDS)
         self._counts = {job_class: dict.fromkeys(outcomes, 0) for job_class in sorted(classes)}
@@ -48,5 +48,5 @@
         yield f"current:{self._current()}|g"
         yield f"cluster_size:{cluster.listed}|g"
         yield f"cluster_unhealthy:{cluster.avoided}|g"
-        for lines in self.more:
+        for lines in self.extra_sources:
             yield from lines()
--- a/rookwood/net/inbound.py
+++ b/rookwood/net/inbound.py
@@ -14,12 +14,12 @@
 import h11
 
 from rookwood.net.clock import Clock
-from rookwood.net.figures import Figures
+from rookwood.net.figures import RequestStats
 from rookwood.net.http1 import MAX_BODY, NotWrittenError, TooLargeError, Wire
 from rookwood.net.listener import accepting
 from rookwood.net.messages import REASONS, Taken, UnfitError, class_of, encoded, length_of, request_of
-from rookwood.net.phase import Service
-from rookwood.net.request import Answer, InboundRequest
+from rookwood.net.phase import ServiceState
+from rookwood.net.request import InboundRequest, Response
 from rookwood.net.room import Room
 
 log = logging.getLogger(__name__)
@@ -39,12 +39,12 @@
 READY = b"/-/ready"
 
 
-def readiness(service: Service) -> Answer:
+def readiness(service: ServiceState) -> Response:
     """The same at either address."""
-    return Answer(200 if service.ready else 503, f"{service.phase.value}\n".encode())
+    return Response(200 if service.ready else 503, f"{service.phase.value}\n".encode())
 
 
-Serve = Callable[[InboundRequest], Awaitable[Answer]]
+Serve = Callable[[InboundRequest], Awaitable[Response]]
 
 
 class Inbound:
@@ -59,8 +59,8 @@
         full: Callable[[], bool],
         retry_after: timedelta | None,
         most_bytes: int,
-        service: Service,
-        figures: Figures,
+        service: ServiceState,
+        figures: RequestStats,
     ) -> None:
         self._clock, self._serve, self._classes = clock, serve, classes
         self.most, self._room, self._full, self._retry_after = room.half, room, full, retry_after
@@ -172,14 +172,14 @@
             if answer is None:
                 return False
         except UnfitError as error:
-            answer = Answer(error.status, f"{error}\n".encode(), allow=error.allow)
+            answer = Response(error.status, f"{error}\n".encode(), allow=error.allow)
         except TooLargeError:
-            answer = Answer(413, f"over {MAX_BODY} bytes\n".encode())
+            answer = Response(413, f"over {MAX_BODY} bytes\n".encode())
         except TimeoutError:
-            answer = Answer(408, b"the request did not end\n")
+            answer = Response(408, b"the request did not end\n")
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint if error.error_status_hint in REASONS else 400
-            answer = Answer(status, b"malformed\n")
+            answer = Response(status, b"malformed\n")
         finally:
             self._bytes_left += size
         if asked:
@@ -217,21 +217,21 @@
         self._new.pop(wire, None)
         return Taken(head, body)
 
-    async def _answered(self, wire: Wire, taken: Taken) -> Answer | None:
+    async def _answered(self, wire: Wire, taken: Taken) -> Response | None:
         """None: the client has gone, and nobody is left to answer."""
         if taken.head.target == READY:
             if taken.head.method != b"GET":
                 raise UnfitError(405, "only GET here", allow="GET")
             # The next process has this address as well: whoever asks here asks about both.
-            return Answer(200, b"ready\n") if self._service.succeeded else readiness(self._service)
+            return Response(200, b"ready\n") if self._service.succeeded else readiness(self._service)
         request = request_of(taken, self._classes, self._clock)
         # One that was sent ahead has waited behind the others since its last byte came.
         request = replace(request, deadline=request.deadline - wire.waited(), left=wire.left)
         self._usual.add(wire)
-        if self._service.refusing:
-            return Answer(503, b"draining\n", self._retry_after)
+        if self._service.is_rejecting:
+            return Response(503, b"draining\n", self._retry_after)
         if self._full() or len(self._open) > self.most:
-            return Answer(503, b"full\n", self._retry_after)
+            return Response(503, b"full\n", self._retry_after)
         serving = asyncio.ensure_future(self._serve(request))
         gone = asyncio.ensure_future(self._gone(wire))
         try:
@@ -241,7 +241,7 @@
             return serving.result()
         except Exception:
             log.exception("a request failed")
-            return Answer(500, b"failed\n")
+            return Response(500, b"failed\n")
         finally:
             for task in (serving, gone):
                 task.cancel()
--- a/rookwood/net/listener.py
+++ b/rookwood/net/listener.py
@@ -14,7 +14,7 @@
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def bound(address: Address, shared: bool = False) -> socket.socket:
+def bind_listener(address: Address, shared: bool = False) -> socket.socket:
     # asyncio sets TCP_NODELAY only where the protocol is named, and what is accepted here inherits that name.
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
--- a/rookwood/net/management.py
+++ b/rookwood/net/management.py
@@ -14,7 +14,7 @@
 from rookwood.net.http1 import NotWrittenError, TooLargeError, Wire
 from rookwood.net.listener import accepting
 from rookwood.net.messages import REASONS, UnfitError, encoded
-from rookwood.net.request import Answer
+from rookwood.net.request import Response
 from rookwood.net.room import CALL_ACCEPTS, Room
 
 log = logging.getLogger(__name__)
@@ -22,7 +22,7 @@
 CALL_LIMIT = timedelta(milliseconds=800)  # from connecting to the end: later than 1 s is too late
 MAX_CALL = 4096  # bytes of a call's body; there is no use for any
 
-Calls = Mapping[tuple[bytes, bytes], Callable[[], Answer]]  # by method and path
+Calls = Mapping[tuple[bytes, bytes], Callable[[], Response]]  # by method and path
 
 
 class Management:
@@ -68,7 +68,7 @@
             self._callers.pop(task, None)
             await wire.close()
 
-    async def _answer(self, wire: Wire) -> Answer:
+    async def _answer(self, wire: Wire) -> Response:
         try:
             head = await wire.event()
             if not isinstance(head, h11.Request):
@@ -76,20 +76,20 @@
             await wire.body(MAX_CALL)
             return self._called(head.method, head.target.partition(b"?")[0])
         except UnfitError as error:
-            return Answer(error.status, f"{error}\n".encode(), allow=error.allow)
+            return Response(error.status, f"{error}\n".encode(), allow=error.allow)
         except TooLargeError:
-            return Answer(413, f"over {MAX_CALL} bytes\n".encode())
+            return Response(413, f"over {MAX_CALL} bytes\n".encode())
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint if error.error_status_hint in REASONS else 400
-            return Answer(status, b"malformed\n")
+            return Response(status, b"malformed\n")
 
-    def _called(self, method: bytes, path: bytes) -> Answer:
+    def _called(self, method: bytes, path: bytes) -> Response:
         if call := self._calls.get((method, path)):
             try:
                 return call()
             except Exception:
                 log.exception("a call failed")
-                return Answer(500, b"failed\n")
+                return Response(500, b"failed\n")
         allowed = [known.decode() for known, place in self._calls if place == path]
         if not allowed:
             raise UnfitError(404, "no such call")
--- a/rookwood/net/messages.py
+++ b/rookwood/net/messages.py
@@ -12,9 +12,9 @@
 import h11
 
 from rookwood.net.clock import Clock
-from rookwood.net.endpoints import Outgoing
+from rookwood.net.endpoints import WorkerRequest
 from rookwood.net.http1 import MAX_BODY, TooLargeError, Wire
-from rookwood.net.request import Answer, InboundRequest
+from rookwood.net.request import InboundRequest, Response
 
 MAX_ID = 128
 MAX_TIMEOUT = timedelta(hours=1)
@@ -132,17 +132,17 @@
         memory=info.get("memory"),
         key=key[0] if key else None,
         is_retry=headers.get("Client-Retry") == "1",
-        outgoing=Outgoing(
+        worker_request=WorkerRequest(
             request_id=request_id,
             target=taken.head.target,
             host=headers.get("Host") or "",
             content_type=headers.get("Content-Type"),
             body=taken.body,
-            keys=tuple(value for name, value in taken.head.headers if name == b"idempotency-key"),
+            idempotency_keys=tuple(value for name, value in taken.head.headers if name == b"idempotency-key"),
         ),
         idempotency_key=headers.first("Idempotency-Key"),
         tenant=headers.first("Tenant"),
-        hint=hint_of(headers.first("Work-Hint")),
+        duration_hint=hint_of(headers.first("Work-Hint")),
     )
 
 
@@ -152,7 +152,7 @@
 REASONS |= {503: "Service Unavailable", 504: "Gateway Timeout"}
 
 
-def encoded(wire: Wire, answer: Answer, close: bool, bodiless: bool = False) -> bytes:
+def encoded(wire: Wire, answer: Response, close: bool, bodiless: bool = False) -> bytes:
     headers = [("Content-Length", str(len(answer.body)))]
     if answer.retry_after is not None:
         headers.append(("Retry-After", f"{answer.retry_after.total_seconds():.3f}"))
--- a/rookwood/net/peers.py
+++ b/rookwood/net/peers.py
@@ -14,10 +14,10 @@
 from datetime import timedelta
 from typing import Any
 
-from rookwood.hints import Codec, OddHintError
+from rookwood.hints import HintCodec, InvalidHintError
 from rookwood.interface import Hint
-from rookwood.net.decisions import Decisions
-from rookwood.net.destinations import Address, DestinationSet
+from rookwood.net.decisions import PolicyDriver
+from rookwood.net.destinations import Address, DestinationUpdate
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        decisions: Decisions,
+        decisions: PolicyDriver,
         listen: Address | None,
         peers: Sequence[Address],
         pause: timedelta = PAUSE,
@@ -40,7 +40,7 @@
         self._numbers = {(peer.host, peer.port): n for n, peer in enumerate(peers)}
         self._own = (listen.host, listen.port) if listen else None
         self._peers: list[Place] = [(peer.host, peer.port) for peer in peers]
-        self._codec = Codec()
+        self._codec = HintCodec()
         self._transport: asyncio.DatagramTransport | None = None
         self._mute: socket.socket | None = None  # for sending alone, once the next process hears
         self.dropped: Counter[str] = Counter()  # by reason
@@ -88,8 +88,8 @@
             if await self._bound(log.debug):
                 return
 
-    def learn(self, told: DestinationSet, kept: bool) -> None:
-        self._codec.learn((endpoint.uid for endpoint in told.endpoints), told.whole or kept)
+    def learn(self, told: DestinationUpdate, kept: bool) -> None:
+        self._codec.add_workers((endpoint.uid for endpoint in told.endpoints), told.is_full or kept)
 
     def _tell(self, to: Sequence[int], hints: Sequence[Hint]) -> None:
         data = self._codec.encode(hints)
@@ -108,9 +108,9 @@
         number = self._numbers.get(addr[:2])
         try:
             if number is None:
-                raise OddHintError("of a stranger")
+                raise InvalidHintError("of a stranger")
             hints = self._codec.decode(data)
-        except OddHintError as odd:
+        except InvalidHintError as odd:
             self.dropped[str(odd)[:40] if number is not None else "of a stranger"] += 1
             return
         try:
--- a/rookwood/net/phase.py
+++ b/rookwood/net/phase.py
@@ -19,7 +19,7 @@
     LEAVING = "leaving"
 
 
-class Service:
+class ServiceState:
     """Each call may come at any time and again: what is in force already stays as it is."""
 
     def __init__(self, clock: Clock) -> None:
@@ -40,7 +40,7 @@
         return self._moves is not None and self._clock.now() >= self._moves
 
     @property
-    def refusing(self) -> bool:
+    def is_rejecting(self) -> bool:
         return self._refuses is not None and self._clock.now() >= self._refuses
 
     async def until_leaving(self) -> None:
--- a/rookwood/net/probes.py
+++ b/rookwood/net/probes.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from rookwood.net.decisions import Decisions
+from rookwood.net.decisions import PolicyDriver
 from rookwood.net.destinations import Destinations
 from rookwood.net.endpoints import Endpoints
 
@@ -13,7 +13,7 @@
 
 
 class Probes:
-    def __init__(self, decisions: Decisions, destinations: Destinations, endpoints: Endpoints) -> None:
+    def __init__(self, decisions: PolicyDriver, destinations: Destinations, endpoints: Endpoints) -> None:
         self._decisions, self._destinations, self._endpoints = decisions, destinations, endpoints
         self._tasks: dict[str, asyncio.Task[None]] = {}  # by uid: one at a time, however slow it is
         decisions.probe = self.start
--- a/rookwood/net/tier.py
+++ b/rookwood/net/tier.py
@@ -13,14 +13,14 @@
 
 
 @dataclass(slots=True)
-class Tier:
-    fixed: int  # dispatchers, by the platform's settings
-    living: Callable[[], int] | None = None
+class DispatcherGroup:
+    configured_count: int  # dispatchers, by the platform's settings
+    count_alive: Callable[[], int] | None = None
     # Of a duty: True, it is held here; False, by another; None, nobody is known to hold it.
-    holds: Callable[[str], bool | None] = lambda duty: None
+    holds_duty: Callable[[str], bool | None] = lambda duty: None
     # A store that lives on the dispatchers of the site, and takes their links: `replicas.peers.PeersStore`.
-    rider: Any = None
+    member_store: Any = None
 
     @property
     def count(self) -> int:
-        return max(1, self.living()) if self.living else self.fixed
+        return max(1, self.count_alive()) if self.count_alive else self.configured_count
--- a/rookwood/policy.py
+++ b/rookwood/policy.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterator
 
 from rookwood import interface as api
-from rookwood.interface import Ending, Group, Health, Repeat
+from rookwood.interface import DeduplicationScope, Health, Outcome, RetrySafety
 from rookwood.placement import LEAST, pack
 from rookwood.state import Attempt, Job, Lane, Row, State, Table
 from rookwood.talk import Talk
@@ -60,7 +60,7 @@
         self.sizes: dict[str, float] = {}  # largest size listed of a kind: that of an idle worker
         self.jobs: dict[int, Job] = {}
         self.ring: list[tuple[int, str]] = []  # the one shared order of workers for each key
-        self.lanes: dict[Lane, list[Job]] = defaultdict(list)  # held, newest last
+        self.held_jobs: dict[Lane, list[Job]] = defaultdict(list)  # held, newest last
         self.turns: dict[int, deque[Job]] = {}  # requests of sequential classes by key, oldest first
         self.rest_until, self.owed = dict[int, int](), dict[tuple[int, int], Job]()  # outcomes to come
         self.count: dict[Row, float] = defaultdict(float)  # slot-seconds asked for since the last step
@@ -69,13 +69,19 @@
         self.share = {t.name: (t.allowance_per_s / settings.dispatchers, 0.0, 0) for t in settings.tenants}
         self.due: list[tuple[int, int, Callable[..., None], object]] = []  # what to do when
         self.timers, self.todo, self.open = list[int](), list[api.Action](), list[State]()  # cold
-        self.talk = Talk(settings, self.workers, self._at, lambda act: self.todo.append(act), self._place)
+        self.load_exchange = Talk(
+            settings, self.workers, self._at, lambda act: self.todo.append(act), self._place
+        )
         self.now, self.step_at, self.retries, self.stalled, self.eject = -1, 0, RETRY_BURST, False, True
-        self.used, self.seen, self.serial = 0.0, 0.0, itertools.count()  # own slots out, requests counted
-        self.on: dict[type, Callable[..., None]] = {
-            api.Request: self._request, api.Outcome: self._outcome, api.WorkersChanged: self._list,
-            api.Note: self._note, api.Timer: lambda e: None, api.Abandoned: self._abandoned,
-            api.Probed: self._probed, api.Heard: self._heard}  # fmt: skip
+        self.used_slots, self.seen, self.serial = (
+            0.0,
+            0.0,
+            itertools.count(),
+        )  # own slots out, requests counted
+        self.event_handlers: dict[type, Callable[..., None]] = {
+            api.Request: self._request, api.AttemptEnded: self._outcome, api.WorkersChanged: self._list,
+            api.AttemptProgress: self._note, api.Timer: lambda e: None, api.RequestAbandoned: self._abandoned,
+            api.ProbeResult: self._probed, api.HintsReceived: self._heard}  # fmt: skip
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         if now < self.now:
@@ -85,15 +91,15 @@
             self._at(now + STEP // 4 + self.rng.randrange(STEP // 4), self._step)
             self._at(now + self.rng.randrange(SILENCE), self._open)
             self.todo += [api.Subscribe()] * self.set.subscribe
-            self.talk.start(self.rng.randrange(SECOND // 2))
+            self.load_exchange.start(self.rng.randrange(SECOND // 2))
         # A timer that comes late tells of this dispatcher's own pause: silence in it is not the workers'.
         if now > self.now:
             self.stalled = bool(self.timers) and now - self.timers[0] > SILENCE // 2 + 2 * self.set.tick
         self.now = now
-        self.talk.tick(now, self.job_time, self.used / len(self.owed) if self.owed else 1.0)
+        self.load_exchange.tick(now, self.job_time, self.used_slots / len(self.owed) if self.owed else 1.0)
         while self.timers and self.timers[0] <= now:
             heapq.heappop(self.timers)
-        self.on[type(event)](event)
+        self.event_handlers[type(event)](event)
         while self.due and self.due[0][0] <= now:
             _, _, what, about = heapq.heappop(self.due)
             what(about)
@@ -103,9 +109,9 @@
         done, self.todo = self.todo, []
         return done
 
-    def cluster(self) -> api.Cluster:
+    def cluster_health(self) -> api.ClusterHealth:
         bad = (not w.up or (self.eject and self._sound(w) < 0.5) for w in self.workers.values())
-        return api.Cluster(len(self.workers), sum(bad))
+        return api.ClusterHealth(len(self.workers), sum(bad))
 
     def _at(self, when: int, what: Callable[..., None], about: object = None) -> None:
         heapq.heappush(self.due, (when, next(self.serial), what, about))
@@ -170,58 +176,64 @@
     def _turn(self, key: int) -> None:
         """Rule 5: the first of a key's requests may go, once the key has rested."""
         queue = self.turns.get(key) or deque()
-        while queue and queue[0].req.id not in self.jobs and all(a.ending for a in queue[0].attempts):
+        while queue and queue[0].request.id not in self.jobs and all(a.ending for a in queue[0].attempts):
             queue.popleft()
         if self.now < self.rest_until.get(key, 0):
             self._at(self.rest_until[key], self._turn, key)
         elif not queue:
             self.turns.pop(key, None)
             self.rest_until.pop(key, None)
-        elif queue[0].req.id in self.jobs and not queue[0].attempts and not queue[0].held:
+        elif queue[0].request.id in self.jobs and not queue[0].attempts and not queue[0].held:
             self._place(queue[0])
 
     def _shed(self, job: Job) -> None:
-        if job.req.id in self.jobs and all(a.ending for a in job.attempts):
+        if job.request.id in self.jobs and all(a.ending for a in job.attempts):
             self._end(job)
 
     def _end(self, job: Job) -> None:  # refused where a new try does no harm, else failed (rule 2)
-        harmless = job.cls.repeat is Repeat.SAFE or not any(a.may_have_run for a in job.attempts)
-        harmless = harmless or (job.cls.repeat is Repeat.KEYED and job.cls.group is Group.ALL)
+        harmless = job.cls.repeat is RetrySafety.SAFE or not any(a.may_have_run for a in job.attempts)
+        harmless = harmless or (
+            job.cls.repeat is RetrySafety.KEYED and job.cls.group is DeduplicationScope.ALL
+        )
         wait = int(RETRY_AFTER * self.rng.uniform(0.5, 1.5))  # refused together is not back together
-        self.todo.append(api.Refuse(job.req.id, wait) if harmless else api.Fail(job.req.id))
+        self.todo.append(api.Reject(job.request.id, wait) if harmless else api.Fail(job.request.id))
         self._forget(job)
 
     def _forget(self, job: Job) -> None:
-        del self.jobs[job.req.id]
-        self.talk.drop(job)
+        del self.jobs[job.request.id]
+        self.load_exchange.drop(job)
         if job.held:
             job.held = False
-            self.lanes[job.lane].remove(job)
-        if job.cls.sequential and job.req.key is not None:
-            self._turn(job.req.key)
+            self.held_jobs[job.lane].remove(job)
+        if job.cls.sequential and job.request.key is not None:
+            self._turn(job.request.key)
 
-    def _abandoned(self, event: api.Abandoned) -> None:
+    def _abandoned(self, event: api.RequestAbandoned) -> None:
         if job := self.jobs.get(event.request):
             if self.set.cancel:  # nobody waits for the answer: what has not started need not start
-                self.todo += [api.Cancel(job.req.id, n) for n, a in enumerate(job.attempts) if not a.ending]
+                self.todo += [
+                    api.Cancel(job.request.id, n) for n, a in enumerate(job.attempts) if not a.ending
+                ]
             self._forget(job)
 
     def _place(self, job: Job) -> None:
         """Send, or hold: unsent, a request may still go anywhere or be refused."""
         while not (w := self._draw(job)) and job.looks < LOOKS:
             job.looks += 1
-            if self.talk.look(job, self._near(job)):
+            if self.load_exchange.look(job, self._near(job)):
                 return None
         if w:
             return self._send(job, w)
         job.held = True
-        return self.lanes[job.lane].append(job)
+        return self.held_jobs[job.lane].append(job)
 
     def _serve_held(self) -> None:
         """Most worth first, and newest first: in a jam the oldest would all just miss their time."""
         tries = TRIED
-        for name in sorted(self.lanes, key=lambda lane: (-lane[1] * self._worth(lane[0]) / lane[2], lane)):
-            lane = self.lanes[name]
+        for name in sorted(
+            self.held_jobs, key=lambda lane: (-lane[1] * self._worth(lane[0]) / lane[2], lane)
+        ):
+            lane = self.held_jobs[name]
             while lane and tries > 0:
                 tries -= 2  # where the newest fits nowhere, it must not block the rest: any other is tried
                 pair = (lane[-1], lane[self.rng.randrange(len(lane))])
@@ -235,8 +247,8 @@
     def _draw(self, job: Job) -> State | None:
         """Two phi draws, the lower estimate wins. Both busy: spill, or hold."""
         near = self._near(job)
-        known = [w for w in near if self.talk.known(w)]
-        if job.looks == LOOKS and not any(self.talk.known(w, 1.0) for w in near):
+        known = [w for w in near if self.load_exchange.known(w)]
+        if job.looks == LOOKS and not any(self.load_exchange.known(w, 1.0) for w in near):
             known = self.rng.sample(near, len(near))  # nobody tells: all that are blind must not choose alike
         return next((w for w in known if self._room(job, w)), None)
 
@@ -247,7 +259,7 @@
         near.sort(key=lambda w: (self._wait(job, w) + job.service * w.slowness) / self._sound(w))
         reach = max(REACH, min(MOST, len(self.workers) // PART))
         few, rest, last, cheap = list[State](), list[State](), job.looks == LOOKS, self.set.crossing <= SOON
-        for w in self._ordered(job.req.key):
+        for w in self._ordered(job.request.key):
             if self._usable(job, w):
                 (few if (cheap or w.info.zone == self.set.zone) and len(few) < reach else rest).append(w)
                 if len(few) == reach and (not last or len(rest) > reach // 2):
@@ -270,15 +282,18 @@
             return False
         if job.cls.kind not in (None, w.info.kind) or not self._repeatable(job, w.info):
             return False
-        return self.talk.fits(job.need, w)
+        return self.load_exchange.fits(job.need, w)
 
     def _repeatable(self, job: Job, info: api.Worker) -> bool:  # rule 2
         ran = next((a for a in job.attempts if a.may_have_run), None)
-        if ran is None or job.cls.repeat is Repeat.SAFE:
+        if ran is None or job.cls.repeat is RetrySafety.SAFE:
             return True
-        if job.cls.repeat is Repeat.UNSAFE or self.now >= ran.sent + job.cls.window - 2 * self.set.tick:
+        if job.cls.repeat is RetrySafety.UNSAFE or self.now >= ran.sent + job.cls.window - 2 * self.set.tick:
             return False
-        same = {Group.CELL: ran.worker.cell == info.cell, Group.ZONE: ran.worker.zone == info.zone}
+        same = {
+            DeduplicationScope.CELL: ran.worker.cell == info.cell,
+            DeduplicationScope.ZONE: ran.worker.zone == info.zone,
+        }
         return same.get(job.cls.group, True)
 
     def _warmth(self, w: State) -> float:  # slow start: least capacity of a new worker
@@ -290,16 +305,20 @@
     def _room(self, job: Job, w: State) -> bool:  # starts soon, pushes no cold worker over
         if self._warmth(w) < 1.0 and (self._credit(w) < 0 or job.weight * w.slowness > self._budget(w)):
             return False
-        usual = 1.25 * (self.used + job.need) * self.sizes[w.info.kind] / max(self.whole_size, LEAST)
-        most = math.ceil(max(job.need, self.talk.slots(w) / self.set.dispatchers, usual))  # else all herd
-        if not (self.set.peers or self.set.probes) and w.used + job.need > most:
+        usual = 1.25 * (self.used_slots + job.need) * self.sizes[w.info.kind] / max(self.whole_size, LEAST)
+        most = math.ceil(
+            max(job.need, self.load_exchange.slots_of(w) / self.set.dispatchers, usual)
+        )  # else all herd
+        if not (self.set.peers or self.set.probes) and w.used_slots + job.need > most:
             return False
         # Late already, it still earns a part of its worth, but only in time that nobody else wants.
         patience = PATIENCE * (job.shed_at - self.now) if job.looks == LOOKS else SOON * self.job_time
         return self._wait(job, w) <= max(0.0, patience)
 
     def _budget(self, w: State) -> float:  # rule 4: slot-time that all may send within the window
-        return self.set.fall_multiple * self.talk.slots(w) * self._warmth(w) * self.set.fall_window
+        return (
+            self.set.fall_multiple * self.load_exchange.slots_of(w) * self._warmth(w) * self.set.fall_window
+        )
 
     def _credit(self, w: State) -> float:
         """Own part of a cold worker's budget. All machines read one clock, so parts of less than a job fall
@@ -317,28 +336,28 @@
     def _open(self, _: object) -> None:
         """Cold workers that may get a job now, hardly ever a key's own; and what held jobs hang on, anew."""
         self._at(self.now + SILENCE, self._open)
-        for job in (job for lane in self.lanes.values() for job in lane[-AGAIN:]):
-            self.talk.ask(self._near(job))
+        for job in (job for lane in self.held_jobs.values() for job in lane[-AGAIN:]):
+            self.load_exchange.ask(self._near(job))
         self.open = [w for w in self.workers.values() if self._warmth(w) < 1.0 and self._credit(w) >= 0]
 
     def _wait(self, job: Job, w: State) -> float:
-        slots, others = self.talk.slots(w), self.talk.others(w)
-        return max(0.0, w.used + others + job.need - slots) / slots * self.job_time * w.slowness
+        slots, others = self.load_exchange.slots_of(w), self.load_exchange.others(w)
+        return max(0.0, w.used_slots + others + job.need - slots) / slots * self.job_time * w.slowness
 
     def _sound(self, w: State) -> float:  # part of its usual requests that it gets
         over = max(0.0, max(w.faults, w.told_faults) - FAULT)  # a stray one is free
         return w.trust * max(LEAST_SOUND, 1 - over / (MOST_FAULTS - FAULT))
 
     def _send(self, job: Job, w: State) -> None:
-        key = (job.req.id, len(job.attempts))
+        key = (job.request.id, len(job.attempts))
         job.attempts.append(Attempt(w.info, self.now))
         self.owed[key] = job
-        w.used += job.need
-        self.used += job.need
+        w.used_slots += job.need
+        self.used_slots += job.need
         w.out[key] = job.attempts[-1]
         w.credit -= job.weight * w.slowness
-        self.todo.append(api.Send(job.req.id, w.info.id))
-        self.talk.tell(w, api.Word.SENT, job.need)
+        self.todo.append(api.Send(job.request.id, w.info.id))
+        self.load_exchange.tell(w, api.Word.SENT, job.need)
         self._at(self.now + SILENCE, self._silent, (key, w))
 
     def _silent(self, about: tuple[tuple[int, int], State]) -> None:
@@ -353,17 +372,17 @@
         else:
             self._doubt(w)
 
-    def _heard(self, said: api.Heard) -> None:
+    def _heard(self, said: api.HintsReceived) -> None:
         """Another one's word can cost a worker requests; it never gives back what own evidence took."""
-        for w, faults in (news := list(self.talk.heard(said))):
+        for w, faults in (news := list(self.load_exchange.heard(said))):
             w.told_faults += FAULT * (faults - w.told_faults)
         return self._serve_held() if news else None
 
     def _doubt(self, w: State) -> None:
-        self.talk.tell(w, api.Word.SICK)
+        self.load_exchange.tell(w, api.Word.SICK)
         w.trust = max(LEAST_TRUST, w.trust * DISTRUST)
 
-    def _note(self, note: api.Note) -> None:
+    def _note(self, note: api.AttemptProgress) -> None:
         job, w = self.owed.get((note.request, note.attempt)), self.workers.get(note.worker)
         if job and note.started and job.attempts[note.attempt].started is None:
             job.attempts[note.attempt].started = self.now
@@ -375,39 +394,39 @@
     def _alive(self, w: State) -> None:
         w.last_sign, w.trust = self.now, (w.trust + 1) / 2
 
-    def _outcome(self, o: api.Outcome) -> None:
+    def _outcome(self, o: api.AttemptEnded) -> None:
         key = (o.request, o.attempt)
         job, w = self.owed.pop(key, None), self.workers.get(o.worker)
         if job is None:
             return
         attempt = job.attempts[o.attempt]
-        self.used, attempt.ending = max(0.0, self.used - job.need), o.ending
+        self.used_slots, attempt.ending = max(0.0, self.used_slots - job.need), o.ending
         if w:
-            bad = o.ending in (Ending.FAILED, Ending.FULL, Ending.CONNECT_FAILED, Ending.RESET)
-            self.talk.tell(w, api.Word.BAD if bad else api.Word.ENDED, job.need)
+            bad = o.ending in (Outcome.FAILED, Outcome.QUEUE_FULL, Outcome.CONNECT_FAILED, Outcome.RESET)
+            self.load_exchange.tell(w, api.Word.BAD if bad else api.Word.ENDED, job.need)
             w.faults += FAULT * (bad - w.faults)
             if w.out.pop(key, None):  # not one from before a restart under the same id
                 # Work that was given up goes on: its slots stay taken for as long as it is expected to run.
                 left = int(job.service * w.slowness) - attempt.ran(self.now) if attempt.started else 0
-                if left > 0 and o.ending in (Ending.TIMED_OUT, Ending.CANCELLED):
+                if left > 0 and o.ending in (Outcome.TIMED_OUT, Outcome.CANCELLED):
                     self._at(self.now + left, w.free, job.need)
                 else:
                     w.free(job.need)
-            self.talk.reported(w, o.load)
-            if o.ending is Ending.OK:
+            self.load_exchange.reported(w, o.load)
+            if o.ending is Outcome.OK:
                 self._alive(w)
                 self.won[job.cls.name] += job.value * (self.now <= job.shed_at + job.service)
                 if not self.stalled:  # found late, an answer tells this dispatcher's pause for service time
                     self._learn(job, attempt, w)
-            elif o.ending not in (Ending.CANCELLED, Ending.IGNORED):
+            elif o.ending not in (Outcome.CANCELLED, Outcome.IGNORED):
                 long = attempt.ran(self.now) > SILENCE + HURRIED * job.service * max(1.0, w.slowness)
-                if long if o.ending is Ending.TIMED_OUT else o.ending is not Ending.FAILED:
+                if long if o.ending is Outcome.TIMED_OUT else o.ending is not Outcome.FAILED:
                     self._doubt(w)  # a client's hurry is not its fault, and of failures `faults` knows
-        if job.cls.sequential and job.req.key is not None:
-            if o.ending in (Ending.TIMED_OUT, Ending.RESET, Ending.CANCELLED):
-                self.rest_until[job.req.key] = self.now + self.set.order_settle
+        if job.cls.sequential and job.request.key is not None:
+            if o.ending in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
+                self.rest_until[job.request.key] = self.now + self.set.order_settle
             if o.request not in self.jobs:
-                self._turn(job.req.key)
+                self._turn(job.request.key)
         if o.request in self.jobs:
             self._forget(job) if o.done else self._again(job, attempt)
         self._serve_held()
@@ -426,24 +445,24 @@
     def _learn(self, job: Job, attempt: Attempt, w: State) -> None:
         name = job.cls.name
         service = max(1, attempt.ran(self.now)) / w.slowness
-        over = math.log(service / self._base(job.req)) - self.typical[name]
+        over = math.log(service / self._base(job.request)) - self.typical[name]
         self.answers[name] += 1
         self.typical[name] += max(LEARN, 1 / (self.answers[name] + 1)) * over
         self.mean[name] += LEARN * (min(20.0, math.exp(over)) - self.mean[name])
         self.job_time += LEARN * (service - self.job_time)
 
-    def _probed(self, p: api.Probed) -> None:
+    def _probed(self, p: api.ProbeResult) -> None:
         w = self.workers.get(p.worker)
-        if w and self.talk.reported(w, p.load):
+        if w and self.load_exchange.reported(w, p.load):
             self._serve_held()
-        elif w and p.ending in (Ending.CONNECT_FAILED, Ending.TIMED_OUT):  # dead or cut off
+        elif w and p.ending in (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT):  # dead or cut off
             self._doubt(w)
 
     def _list(self, event: api.WorkersChanged) -> None:
-        if event.how is api.Listing.LOST:
+        if event.how is api.WorkerListKind.LOST:
             self.todo += [api.Subscribe()] * self.set.subscribe
             return
-        whole, new = event.how is not api.Listing.CHANGES, list[State]()
+        whole, new = event.how is not api.WorkerListKind.CHANGES, list[State]()
         gone = self.workers.keys() - {w.id for w in event.workers} if whole else set()
         for info in event.workers:
             old, kind = self.workers.get(info.id), info.kind
@@ -473,9 +492,11 @@
         """Steps 1 and 6: extrapolated demand in, the new table out. No demand keeps the last table."""
         span, self.step_at = max(1, self.now - self.step_at) / SECOND, self.now
         self._at(self.now + STEP * 3 // 4 + self.rng.randrange(STEP // 2), self._step)
-        slots = sum(self.talk.slots(w) for w in self.workers.values())
+        slots = sum(self.load_exchange.slots_of(w) for w in self.workers.values())
         for w in self.workers.values():
-            w.slowness = self.talk.slots(w) * self.whole_size / max(self.sizes[w.info.kind] * slots, LEAST)
+            w.slowness = (
+                self.load_exchange.slots_of(w) * self.whole_size / max(self.sizes[w.info.kind] * slots, LEAST)
+            )
             w.trust, w.faults, w.told_faults = min(1.0, 2 * w.trust), HEAL * w.faults, HEAL * w.told_faults
         self.asked, self.won = ({n: HEAL * v for n, v in book.items()} for book in (self.asked, self.won))
         # Where nearly all look bad, the fault is likelier here: ejecting is the harm. A lost zone is half.
@@ -501,6 +522,9 @@
         self.seen *= 1 - SMOOTH
         fit = sorted((w for w in self.workers.values() if sure and w.up), key=lambda w: w.points)  # one order
         size = [self.sizes[w.info.kind] * self._warmth(w) * self._sound(w) for w in fit]
-        fleet = {w.info.id: (c, w.info.kind, self.talk.slots(w)) for w, c in zip(fit, size, strict=True)}
+        fleet = {
+            w.info.id: (c, w.info.kind, self.load_exchange.slots_of(w))
+            for w, c in zip(fit, size, strict=True)
+        }
         order = lambda key: (w.info.id for w in self._ordered(key, len(self.ring)))  # noqa: E731
         self.table = pack(sure, total - sum(sure.values()), fleet, order, self.table)
--- a/rookwood/settings.py
+++ b/rookwood/settings.py
@@ -11,22 +11,22 @@
 E = TypeVar("E", bound=Enum)
 
 
-class FaultyKeyError(ValueError):
+class InvalidSettingError(ValueError):
     """A value that is missing or unsound; the text names its key."""
 
     def __init__(self, key: str, why: str) -> None:
         super().__init__(f"{key}: {why}")
-        self.key, self.why = key, why
+        self.key, self.reason = key, why
 
 
-class Tree:
+class JsonReader:
     """Parsed JSON, read by dotted paths, with complaints that name the whole path."""
 
     def __init__(self, data: Any, at: str = "") -> None:
         self.data, self.at = data, at
 
-    def bad(self, path: str, why: str) -> FaultyKeyError:
-        return FaultyKeyError(f"{self.at}.{path}" if self.at else path, why)
+    def error(self, path: str, why: str) -> InvalidSettingError:
+        return InvalidSettingError(f"{self.at}.{path}" if self.at else path, why)
 
     def get(self, path: str, kind: type, default: Any = None) -> Any:
         value = self.data
@@ -38,36 +38,36 @@
             try:
                 value = float(value)
             except OverflowError:
-                raise self.bad(path, "out of range") from None
+                raise self.error(path, "out of range") from None
         if type(value) is not kind:
-            raise self.bad(path, "missing" if value is None else f"not of type {kind.__name__}")
+            raise self.error(path, "missing" if value is None else f"not of type {kind.__name__}")
         if isinstance(value, str) and not value.isascii():
             try:
                 value.encode()
             except UnicodeEncodeError:  # half of a pair, which JSON can name and nobody can pass on
-                raise self.bad(path, "not Unicode") from None
+                raise self.error(path, "not Unicode") from None
         if isinstance(value, int | float) and value < 0:
-            raise self.bad(path, "negative")
+            raise self.error(path, "negative")
         if isinstance(value, float) and not math.isfinite(value):
-            raise self.bad(path, "not a finite number")
+            raise self.error(path, "not a finite number")
         return value
 
-    def word(self, path: str, choices: type[E], default: str | None = None) -> E:
+    def enum_value(self, path: str, choices: type[E], default: str | None = None) -> E:
         value = self.get(path, str, default)
         try:
             return choices(value)
         except ValueError:
-            raise self.bad(path, f"unknown value {value!r}") from None
+            raise self.error(path, f"unknown value {value!r}") from None
 
-    def branch(self, path: str) -> Tree:
-        return Tree(self.get(path, dict), f"{self.at}.{path}" if self.at else path)
+    def subtree(self, path: str) -> JsonReader:
+        return JsonReader(self.get(path, dict), f"{self.at}.{path}" if self.at else path)
 
-    def items(self, path: str, default: list[Any] | None = None) -> list[Tree]:
+    def items(self, path: str, default: list[Any] | None = None) -> list[JsonReader]:
         place = f"{self.at}.{path}" if self.at else path
-        return [Tree(item, f"{place}[{n}]") for n, item in enumerate(self.get(path, list, default))]
+        return [JsonReader(item, f"{place}[{n}]") for n, item in enumerate(self.get(path, list, default))]
 
 
-def settings_of(tree: Tree) -> api.Settings:
+def parse_settings(tree: JsonReader) -> api.Settings:
     for part in ("kept-promises", "borne-misses"):  # no decision hangs on them, but they must be sound
         tree.get(f"score-parts.{part}", float, 0.0)
     kinds = tree.get("kinds", list, [])
@@ -78,17 +78,17 @@
         kind = bound[index] if index < len(bound) else -1
         stretch = stretches[index] if index < len(stretches) else 0.0
         if type(kind) is not int or kind >= len(kinds):
-            raise tree.bad("family-info.class-kind", "not an index of kinds")
+            raise tree.error("family-info.class-kind", "not an index of kinds")
         if type(stretch) not in (int, float):
-            raise tree.bad("family-info.class-stretch", "not of type float")
+            raise tree.error("family-info.class-stretch", "not of type float")
         classes.append(
             api.JobClass(
                 name=lane.get("name", str),
                 aim=lane.get("aim", int),
                 give_up=lane.get("give-up", int),
                 worth=lane.get("importance", float),
-                repeat=lane.word("repeat", api.Repeat),
-                group=lane.word("group", api.Group, "all"),
+                repeat=lane.enum_value("repeat", api.RetrySafety),
+                group=lane.enum_value("group", api.DeduplicationScope, "all"),
                 window=lane.get("window", int, 0),
                 stretch=lane.get("aim-stretch", float, float(stretch)),
                 kind=str(kinds[kind]) if kind >= 0 else None,
--- a/rookwood/state.py
+++ b/rookwood/state.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from rookwood import interface as api
-from rookwood.interface import Ending
+from rookwood.interface import Outcome
 
 Row = tuple[str, int, int]  # kind the job is bound to ("": none), slot group, key (-1: none)
 Lane = tuple[str, float, int]  # held requests wait by class, fairness and slot group
@@ -17,7 +17,7 @@
     worker: api.Worker
     sent: int
     started: int | None = None
-    ending: Ending | None = None  # while it is out
+    ending: Outcome | None = None  # while it is out
 
     @property
     def may_have_run(self) -> bool:
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Job:
-    req: api.Request
+    request: api.Request
     cls: api.JobClass
     row: Row
     lane: Lane
@@ -54,7 +54,7 @@
     faults: float = 0.0  # part of the own jobs that lately ended by its fault
     told_faults: float = 0.0  # and of the jobs of others, as far as told
     trust: float = 1.0  # what silence, time-outs and failed probes leave of that, by own evidence
-    used: float = 0.0  # slots of own attempts out
+    used_slots: float = 0.0  # slots of own attempts out
     others: float = 0.0  # slots that other dispatchers held, as last told or reported
     asked: int | None = None  # the dispatcher that was asked for that
     keepers: tuple[int, ...] = ()  # the dispatchers that hear of jobs here
@@ -70,4 +70,4 @@
         return self.info.health is api.Health.SERVING
 
     def free(self, need: float) -> None:
-        self.used = max(0.0, self.used - need)
+        self.used_slots = max(0.0, self.used_slots - need)
--- a/rookwood/talk.py
+++ b/rookwood/talk.py
@@ -114,9 +114,9 @@
         if self._mine(w):
             return self._held(w)
         if not (self._set.peers or self._set.probes):  # reports come late to all alike, and all would herd
-            return min(w.others, self.slots(w) * (1 - 1 / self._set.dispatchers))
+            return min(w.others, self.slots_of(w) * (1 - 1 / self._set.dispatchers))
         part = math.exp((w.report_at - self._now) / self._job_time) if w.report_at else 0.0
-        return w.others * part + self._mean * self.slots(w) * (1 - part)
+        return w.others * part + self._mean * self.slots_of(w) * (1 - part)
 
     def books(self, w: State, own: Iterable[tuple[Attempt, Job]]) -> list[tuple[int, int, float]]:
         """Of others' jobs, and of own ones that are out, for the process that follows: it hears of no end of
@@ -127,17 +127,17 @@
     def found(self, w: State, others: float) -> None:
         """Load was told or reported; who has waited for the last of it is placed."""
         w.others, w.report_at, w.asked = others, self._now, None
-        self._mean += SHARE * (others / self.slots(w) - self._mean)
+        self._mean += SHARE * (others / self.slots_of(w) - self._mean)
         for job, awaited in list(self._waiting.values()):
             awaited.discard(w.info.id)
-            if not awaited and job.req.id in self._waiting:
+            if not awaited and job.request.id in self._waiting:
                 self._end(job)
 
-    def slots(self, w: State) -> float:
+    def slots_of(self, w: State) -> float:
         return max(1.0, round(self.by_kind.get(w.info.kind, SLOTS)))
 
     def fits(self, need: float, w: State) -> bool:  # or at least as well as anywhere
-        return need <= self.slots(w) or self.slots(w) >= max(self.by_kind.values(), default=0.0)
+        return need <= self.slots_of(w) or self.slots_of(w) >= max(self.by_kind.values(), default=0.0)
 
     def reported(self, w: State, load: Mapping[str, float] | None) -> bool:
         """By the worker itself, noisy and of a while ago."""
@@ -151,7 +151,7 @@
         # only at a worker that is mostly idle. One that is busy tells of nothing to take back.
         fall = 0.005 if held or 2 * free >= old else 0.0
         self.by_kind[kind] = max(1.0, old + (0.2 if most > old else fall) * (most - old))
-        self.found(w, max(0.0, self.by_kind[kind] - free + queue * self._need - w.used))
+        self.found(w, max(0.0, self.by_kind[kind] - free + queue * self._need - w.used_slots))
         return True
 
     def _mine(self, w: State) -> bool:
@@ -166,7 +166,7 @@
     def look(self, job: Job, near: Iterable[State]) -> bool:
         """Asks what is not known of these workers. The job is placed once it is, or after `LOOK`."""
         if awaited := self.ask(near):
-            self._waiting[job.req.id] = (job, awaited)
+            self._waiting[job.request.id] = (job, awaited)
             self._at(self._now + LOOK, self._late, (job, awaited))
         return bool(awaited)
 
@@ -183,11 +183,11 @@
                 probed += 1
                 self._do(api.Probe(w.info.id))
         for peer, hints in letters.items():
-            self._do(api.Tell((peer,), tuple(hints)))
+            self._do(api.SendHints((peer,), tuple(hints)))
         return {w.info.id for w in unknown}
 
     def drop(self, job: Job) -> None:
-        self._waiting.pop(job.req.id, None)
+        self._waiting.pop(job.request.id, None)
 
     def _unanswered(self, about: tuple[State, int]) -> None:
         w, peer = about
@@ -197,12 +197,12 @@
 
     def _late(self, about: tuple[Job, set[str]]) -> None:
         job, awaited = about
-        if (entry := self._waiting.get(job.req.id)) and entry[1] is awaited:
+        if (entry := self._waiting.get(job.request.id)) and entry[1] is awaited:
             self._end(job)
 
     def _end(self, job: Job) -> None:
         """A sequential request may have had its turn, and so been sent or held, while load was asked for."""
-        del self._waiting[job.req.id]
+        del self._waiting[job.request.id]
         if not job.held and all(attempt.ending for attempt in job.attempts):
             self._place(job)
 
@@ -211,9 +211,9 @@
     def tell(self, w: State, word: Word, slots: float = 0.0) -> None:
         to = self._keepers.others(w) if self._set.peers else ()
         if to:
-            self._do(api.Tell(to, (Hint(w.info.id, word, slots),)))
+            self._do(api.SendHints(to, (Hint(w.info.id, word, slots),)))
 
-    def heard(self, said: api.Heard) -> Iterable[tuple[State, float]]:
+    def heard(self, said: api.HintsReceived) -> Iterable[tuple[State, float]]:
         """Of whom there is news, and the part of its jobs that failed, which is for the policy to judge."""
         self._keepers.sign(said.sender)
         answer = list[Hint]()
@@ -224,7 +224,7 @@
                 until = self._now + int(LAPSE * self._job_time * max(1.0, w.slowness))
                 w.told = [*w.told[-MOST_TOLD:], (until, said.sender, hint.slots)]
             elif hint.word is Word.ASK:
-                held = w.used + self._held(w, but=said.sender)
+                held = w.used_slots + self._held(w, but=said.sender)
                 answer.append(Hint(hint.worker, Word.LOAD, held, max(w.faults, w.told_faults)))
             elif hint.word is Word.LOAD:
                 if w.asked == said.sender:  # else nobody asked
@@ -237,7 +237,7 @@
                     w.told.remove(job)
                 yield w, float(hint.word is not Word.ENDED)
         if answer and self._now - self._born > self._job_time:  # who is new here has empty books
-            self._do(api.Tell((said.sender,), tuple(answer)))
+            self._do(api.SendHints((said.sender,), tuple(answer)))
 
     # ---- probes that no decision waits for ----
 
--- a/rookwood/wirehost.py
+++ b/rookwood/wirehost.py
@@ -15,9 +15,9 @@
 from typing import Any, NoReturn, TextIO, TypeVar
 
 from rookwood import interface as api
-from rookwood.hints import Codec, OddHintError
+from rookwood.hints import HintCodec, InvalidHintError
 from rookwood.policy import Policy
-from rookwood.settings import FaultyKeyError, Tree, settings_of
+from rookwood.settings import InvalidSettingError, JsonReader, parse_settings
 
 E = TypeVar("E", bound=Enum)
 
@@ -118,9 +118,9 @@
 
 def settings_in(line: Line) -> api.Settings:
     try:
-        return settings_of(Tree(json.loads(line.text("profile-data"))))
-    except FaultyKeyError as fault:
-        line.bad(f"profile-data.{fault.key}", fault.why)
+        return parse_settings(JsonReader(json.loads(line.text("profile-data"))))
+    except InvalidSettingError as fault:
+        line.bad(f"profile-data.{fault.key}", fault.reason)
     except json.JSONDecodeError as error:
         line.bad("profile-data", f"not JSON: {error}")
 
@@ -171,23 +171,25 @@
     if tag == "ELAPSED":
         return api.Timer(line.whole("label"))
     if tag == "HINT_UPDATE":
-        return api.Note(line.whole("handle"), line.whole("n"), line.text("worker"), line.whole("what") == 1)
+        return api.AttemptProgress(
+            line.whole("handle"), line.whole("n"), line.text("worker"), line.whole("what") == 1
+        )
     if tag == "UNDER_WAY":
-        return api.Note(line.whole("handle"), line.whole("n"), line.text("worker"), True, True)
+        return api.AttemptProgress(line.whole("handle"), line.whole("n"), line.text("worker"), True, True)
     if tag == "ABANDONED":
-        return api.Abandoned(line.whole("handle"))
+        return api.RequestAbandoned(line.whole("handle"))
     if tag == "REPORT_BACK":
-        return api.Outcome(
+        return api.AttemptEnded(
             request=line.whole("handle"),
             attempt=line.whole("n"),
             worker=line.text("worker"),
-            ending=line.one_of("ending", api.Ending),
+            ending=line.one_of("ending", api.Outcome),
             latency=line.whole("latency"),
             done=line.flag("done-flag"),
             load=line.load("usage"),
         )
     if tag == "SAMPLED":
-        return api.Probed(line.text("worker"), line.one_of("ending", api.Ending), line.load("usage"))
+        return api.ProbeResult(line.text("worker"), line.one_of("ending", api.Outcome), line.load("usage"))
     try:
         payload = bytes.fromhex(line.opt("payload") or "")
     except ValueError:
@@ -195,12 +197,12 @@
     return Said(line.whole("author"), payload)
 
 
-def written(action: api.Action, codec: Codec) -> str:
+def written(action: api.Action, codec: HintCodec) -> str:
     """The wire's line for an action."""
     match action:
         case api.Send(request, worker, timeout):
             return f"TRANSMIT {request} {timeout or '-'} {worker}"
-        case api.Refuse(request, retry_after):
+        case api.Reject(request, retry_after):
             return f"BUSY {request} {retry_after or '-'}"
         case api.Fail(request):
             return f"GIVE_UP {request}"
@@ -208,7 +210,7 @@
             return f"ABORT_ATTEMPT {request} {attempt}"
         case api.Probe(worker):
             return f"SOUND_OUT {worker}"
-        case api.Tell(to, hints):
+        case api.SendHints(to, hints):
             payload = codec.encode(hints).hex()
             return "\n".join(f"NOTIFY {peer} {payload}" for peer in to)
         case api.SetTimer(token, delay):
@@ -224,7 +226,7 @@
 
     def __init__(self) -> None:
         self.policies: dict[str, Policy] = {}
-        self.codecs: dict[str, Codec] = {}
+        self.codecs: dict[str, HintCodec] = {}
         self.number = 0
 
     def next_line(self, lines: Iterator[str], wanted: str | None = None) -> tuple[str, Line] | None:
@@ -278,7 +280,7 @@
         if tag == "CRASH_NOW":
             return tag
         if tag == "BACKENDS_CHANGED":
-            how = line.one_of("how", api.Listing)
+            how = line.one_of("how", api.WorkerListKind)
             line.whole("generation")
             workers = []
             for _ in range(line.whole("lines")):
@@ -298,17 +300,17 @@
                 continue
             try:
                 if isinstance(event, tuple):
-                    self.policies[name], self.codecs[name] = Policy(event[1], event[0]), Codec()
+                    self.policies[name], self.codecs[name] = Policy(event[1], event[0]), HintCodec()
                 elif name not in self.policies:
                     line.bad("dispatcher", f"{name} has had no HELLO")
                 else:
                     if isinstance(event, api.WorkersChanged):
-                        whole = event.how in (api.Listing.WHOLE, api.Listing.KEPT)
-                        self.codecs[name].learn((w.id for w in event.workers), whole)
+                        whole = event.how in (api.WorkerListKind.FULL, api.WorkerListKind.CACHED)
+                        self.codecs[name].add_workers((w.id for w in event.workers), whole)
                     if isinstance(event, Said):
                         try:
-                            event = api.Heard(event.author, self.codecs[name].decode(event.payload))
-                        except OddHintError:
+                            event = api.HintsReceived(event.author, self.codecs[name].decode(event.payload))
+                        except InvalidHintError:
                             continue
                     actions = self.policies[name].handle(now, event)
                 out = [written(action, self.codecs[name]) for action in actions]
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -17,11 +17,11 @@
 
 from rookwood.lab.raw_http import LAST_CHUNK, encode_chunk
 from rookwood.net.config import load
-from rookwood.net.dispatcher import Core, Dispatcher, Front
+from rookwood.net.dispatcher import Dispatcher, DispatcherContext, Extension
 
 LIMIT = 10.0  # seconds that any one step may take before the test is called hung
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-Script = Callable[["Endpoint", asyncio.StreamWriter, str], Awaitable[bool]]
+Script = Callable[["ScriptedWorker", asyncio.StreamWriter, str], Awaitable[bool]]
 
 
 def lane(name: str, repeat: str, **changes: Any) -> dict[str, Any]:
@@ -41,7 +41,7 @@
 }
 
 
-def entry(uid: str, address: str, state: str = "up") -> dict[str, Any]:
+def target_entry(uid: str, address: str, state: str = "up") -> dict[str, Any]:
     where = {"az": "a", "model": "m", "pod_group": 1, "capacity_hint": 1.0, "boot_ms": 0}
     return {"uid": uid, "endpoint": address, "state": state, **where}
 
@@ -66,7 +66,7 @@
 
 
 def ends(state: str, **more: Any) -> Script:
-    async def script(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+    async def script(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
         last = line(more.pop("id", request_id), state, **more)
         writer.write(HEAD + line(request_id, "started") + last + b"0\r\n\r\n")
         return True
@@ -75,7 +75,7 @@
 
 
 def answers(text: bytes) -> Script:
-    async def script(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+    async def script(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
         writer.write(text)
         return True
 
@@ -87,23 +87,23 @@
     return answers(f"HTTP/1.1 {code} X\r\n{more}Content-Length: 0\r\n\r\n".encode())
 
 
-async def breaks(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def breaks(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     writer.write(HEAD + line(request_id, "started"))
     return False
 
 
-async def silent(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def silent(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     await endpoint.resume.wait()
     writer.write(HEAD + line(request_id, "done", result="late") + b"0\r\n\r\n")
     return True
 
 
-async def serves_and_closes(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def serves_and_closes(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     await served(endpoint, writer, request_id)
     return False
 
 
-async def serves_and_babbles(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def serves_and_babbles(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     await served(endpoint, writer, request_id)
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     return True
@@ -123,7 +123,7 @@
     return start, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-class Endpoint:
+class ScriptedWorker:
     """Plays one script a request, the last one over and over."""
 
     def __init__(self, *scripts: Script) -> None:
@@ -195,7 +195,7 @@
         writer.close()
 
 
-class Stage:
+class DispatcherFixture:
     def __init__(self, dispatcher: Dispatcher, port: int, discovery: Discovery) -> None:
         self.dispatcher, self.port, self.discovery = dispatcher, port, discovery
         self.ids = itertools.count(1)
@@ -216,7 +216,7 @@
         start, headers, body = await read_message(streams[0])
         return int(start.split()[1]), headers, body
 
-    async def ask(self, *words: Any, **more: Any) -> tuple[int, dict[str, str], bytes]:
+    async def send_request(self, *words: Any, **more: Any) -> tuple[int, dict[str, str], bytes]:
         streams = await self.connect()
         try:
             return await self.exchange(streams, self.request(*words, **more))
@@ -224,14 +224,14 @@
             streams[1].close()
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(LIMIT):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 @contextlib.asynccontextmanager
-async def listening(peer: Endpoint | Discovery) -> AsyncIterator[str]:
+async def listening(peer: ScriptedWorker | Discovery) -> AsyncIterator[str]:
     server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
     async with contextlib.AsyncExitStack() as stack:
         stack.callback(server.close)
@@ -239,29 +239,29 @@
 
 
 @contextlib.asynccontextmanager
-async def stage(
+async def start_dispatcher(
     folder: Path,
-    *endpoints: Endpoint,
+    *endpoints: ScriptedWorker,
     tmpdir: Path | None = None,
-    fronts: tuple[Callable[[Core], Front], ...] = (),
+    fronts: tuple[Callable[[DispatcherContext], Extension], ...] = (),
     **changes: Any,
-) -> AsyncIterator[Stage]:
+) -> AsyncIterator[DispatcherFixture]:
     async with contextlib.AsyncExitStack() as stack:
         for endpoint in endpoints:
             endpoint.address = endpoint.address or await stack.enter_async_context(listening(endpoint))
         discovery = Discovery()
         where = await stack.enter_async_context(listening(discovery))
-        listed = [entry(f"s-{n}", endpoint.address) for n, endpoint in enumerate(endpoints)]
+        listed = [target_entry(f"s-{n}", endpoint.address) for n, endpoint in enumerate(endpoints)]
         environ = environment(folder, listed, where, **changes)
         dispatcher = Dispatcher(load(environ | ({"TMPDIR": str(tmpdir)} if tmpdir else {})), *fronts)
         stack.push_async_callback(dispatcher.close)
-        yield Stage(dispatcher, await dispatcher.start(), discovery)
+        yield DispatcherFixture(dispatcher, await dispatcher.start(), discovery)
 
 
 @contextlib.asynccontextmanager
 async def running(
     environ: Mapping[str, str], words: Sequence[str] = ("-m", "rookwood"), descriptors: int | None = None
-) -> AsyncIterator[tuple[Process, Stage, list[str]]]:
+) -> AsyncIterator[tuple[Process, DispatcherFixture, list[str]]]:
     """The program as a process of its own, and what it logged before it listened. It is killed at the end
     if it is still there. `environ` is added to what there is; `descriptors`: that the system lets it have."""
 
@@ -282,7 +282,7 @@
         while " listens on " not in (text := (await child.stderr.readline()).decode()):
             assert text, "the program ended at once"
             said.append(text)
-        yield child, Stage(None, int(text.rsplit(":", 1)[1]), Discovery()), said  # type: ignore[arg-type]
+        yield child, DispatcherFixture(None, int(text.rsplit(":", 1)[1]), Discovery()), said  # type: ignore[arg-type]
     finally:
         if child.returncode is None:
             child.kill()
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -12,9 +12,9 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from rookwood.settings import Tree, settings_of
+from rookwood.settings import JsonReader, parse_settings
 from tests import stage as scripted
-from tests.stage import Endpoint, stage
+from tests.stage import ScriptedWorker, start_dispatcher
 from tests.test_rules import drive
 from tests.test_stories import play
 from tests.world import World
@@ -92,7 +92,7 @@
 @any_number(120)
 @given(told=settings_objects(), data=st.data())
 def test_rules_hold_whatever_the_settings(told: dict[str, Any], data: st.DataObject) -> None:
-    world = World(settings_of(Tree(told, "settings")), seed=data.draw(st.integers(0, 3)))
+    world = World(parse_settings(JsonReader(told, "settings")), seed=data.draw(st.integers(0, 3)))
     drive(world, data)
 
 
@@ -122,12 +122,12 @@
 
 def answers_each_and_repeats_none(told: dict[str, Any], names: list[str]) -> None:
     async def story(folder: Path) -> None:
-        boxes = [Endpoint(*(SCRIPTS[name] for name in names[n::2])) for n in range(2)]
+        boxes = [ScriptedWorker(*(SCRIPTS[name] for name in names[n::2])) for n in range(2)]
         lanes = [lane | {"give-up": 5 * SECOND} for lane in told["lanes"]]
-        async with stage(folder, *boxes, settings=told | {"lanes": lanes}) as s:
+        async with start_dispatcher(folder, *boxes, settings=told | {"lanes": lanes}) as s:
             headers = b"Tenant: a\r\nWork-Hint: 1000\r\nIdempotency-Key: k\r\n"
             paths = [f"/{lanes[n % len(lanes)]['name']}?k={n % 3}" for n in range(6)]
-            found = [(await s.ask(path, timeout=2.0, more=headers))[0] for path in paths]
+            found = [(await s.send_request(path, timeout=2.0, more=headers))[0] for path in paths]
         assert set(found) <= {200, 502, 503, 504}
         ran = Counter[str]()
         for n, box in enumerate(boxes):
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as some
 
 from rookwood.cli.main import main
-from rookwood.conf import ConfError, Peer, load
+from rookwood.conf import OperatorFileError, Peer, load
 from tests import stage
 
 SOUND = """
@@ -39,7 +39,7 @@
 
 
 def faults(place: Path) -> list[str]:
-    with pytest.raises(ConfError) as caught:
+    with pytest.raises(OperatorFileError) as caught:
         load(place)
     return [str(fault).removeprefix(f"{place}:") for fault in caught.value.faults]
 
@@ -98,7 +98,7 @@
     ],
 )
 def test_faults_between_lines_and_files(tmp_path: Path, text: str, more: str, told: str) -> None:
-    with pytest.raises(ConfError, match="(?s)" + told.replace("(", r"\(").replace(")", r"\)")):
+    with pytest.raises(OperatorFileError, match="(?s)" + told.replace("(", r"\(").replace(")", r"\)")):
         load(written(tmp_path, text, more))
 
 
@@ -111,7 +111,7 @@
     place.write_bytes(text.encode("utf-8", "surrogatepass"))
     try:
         load(place)
-    except ConfError as error:
+    except OperatorFileError as error:
         assert all(str(place) in fault.origin.file for fault in error.faults)
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -17,7 +17,7 @@
 from rookwood.net.destinations import Address
 from rookwood.net.handover import Handover
 from tests import stage as st
-from tests.stage import LIMIT, Endpoint
+from tests.stage import LIMIT, ScriptedWorker
 from tests.test_stories import play
 
 GUARD = """
@@ -61,13 +61,13 @@
 
 def test_program_serves_where_other_programs_and_unix_sockets_are_refused(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
+        endpoint = ScriptedWorker(st.served)
         async with st.listening(endpoint) as address, st.listening(st.Discovery()) as discovery:
-            environ = st.environment(tmp_path, [st.entry("s-0", address)], discovery)
+            environ = st.environment(tmp_path, [st.target_entry("s-0", address)], discovery)
             environ["TMPDIR"] = str(tmp_path)  # where it would offer its listener
             async with st.running(environ, ["-c", GUARD]) as (child, s, said):
                 refused = [line for line in said if line.startswith("refused")]
-                assert (await s.ask())[0] == 200
+                assert (await s.send_request())[0] == 200
                 assert {line.split()[1] for line in refused} <= {"socket.connect", "socket.bind"}
                 child.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(child.wait(), LIMIT) == 0
