--- a/tests/test_ground.py
+++ b/tests/test_ground.py
@@ -13,7 +13,7 @@
 import pytest
 
 from rookwood.cli import site
-from rookwood.conf import ConfError, load
+from rookwood.conf import OperatorFileError, load
 from rookwood.lab.ground import Ground, Witness
 from rookwood.lab.nodes import LISTEN, answered, tried
 
@@ -346,5 +346,5 @@
     place = tmp_path / "rookwood.conf"
     gateway = "site here\ngateway {\nlisten 127.0.0.1:0\nplaintext yes\n}\n"
     place.write_text(f"{gateway}duties {{\n{lines}\n}}\n")
-    with pytest.raises(ConfError, match=told):
+    with pytest.raises(OperatorFileError, match=told):
         load(place)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -13,7 +13,7 @@
 import pytest
 
 from rookwood.conf import load
-from rookwood.interface import Group, JobClass, Repeat
+from rookwood.interface import DeduplicationScope, JobClass, RetrySafety
 from rookwood.lab.redis import StandIn
 from rookwood.ledger.front import LedgerFront, claimed, front_of
 from rookwood.ledger.guard import Ledger, Terms
@@ -23,10 +23,10 @@
 from rookwood.ledger.store import Reply, StoreError, Tier
 from rookwood.ledger.watch import Mark
 from rookwood.net.clock import Clock
-from rookwood.net.endpoints import Outgoing
-from rookwood.net.request import Answer, Course, InboundRequest
+from rookwood.net.endpoints import WorkerRequest
+from rookwood.net.request import InboundRequest, RequestProgress, Response
 from tests import stage as st
-from tests.stage import Endpoint, Stage, entry, stage, until
+from tests.stage import DispatcherFixture, ScriptedWorker, start_dispatcher, target_entry, wait_until
 from tests.test_stories import play
 
 IDS = itertools.count(1)
@@ -37,7 +37,7 @@
     return f"{head}Request-Timeout: {timeout}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-async def ask(s: Stage, *words: Any, **more: Any) -> tuple[int, dict[str, str], bytes]:
+async def ask(s: DispatcherFixture, *words: Any, **more: Any) -> tuple[int, dict[str, str], bytes]:
     streams = await s.connect()
     try:
         return await s.exchange(streams, keyed(*words, **more))
@@ -49,7 +49,11 @@
     """Dispatchers that share one stand-in Redis; `box` is listed at each."""
 
     def __init__(
-        self, stand_in: StandIn, stages: list[Stage], fronts: list[LedgerFront], clock: list[float]
+        self,
+        stand_in: StandIn,
+        stages: list[DispatcherFixture],
+        fronts: list[LedgerFront],
+        clock: list[float],
     ) -> None:
         self.redis, self.stages, self.fronts, self._clock = stand_in, stages, fronts, clock
 
@@ -65,7 +69,7 @@
 @contextlib.asynccontextmanager
 async def tier(
     folder: Path,
-    box: Endpoint,
+    box: ScriptedWorker,
     size: int = 2,
     window: str = "0s",
     sure: bool = True,
@@ -80,7 +84,7 @@
     await stand_in.server.start()
     async with contextlib.AsyncExitStack() as stack:
         stack.callback(stand_in.server.close)
-        stages, fronts = list[Stage](), list[LedgerFront]()
+        stages, fronts = list[DispatcherFixture](), list[LedgerFront]()
         for n in range(size):
             place = folder / f"rookwood{n}.conf"
             where = f"redis {stand_in.server.address}\nprefix p\ntier {size}"
@@ -94,9 +98,11 @@
 
             own = folder / f"n{n}"
             own.mkdir()
-            stages.append(await stack.enter_async_context(stage(own, box, name=f"n{n}", fronts=(front,))))
+            stages.append(
+                await stack.enter_async_context(start_dispatcher(own, box, name=f"n{n}", fronts=(front,)))
+            )
         t = Site(stand_in, stages, fronts, clock)
-        await until(lambda: all(f.ledger._watch.generation for f in fronts))
+        await wait_until(lambda: all(f.ledger._watch.generation for f in fronts))
         if sure:
             t.later(3600)
         yield t
@@ -105,16 +111,16 @@
 @pytest.mark.parametrize(
     ("repeat", "group", "window", "claims"),
     [
-        (Repeat.UNSAFE, Group.ALL, 0, True),
-        (Repeat.SAFE, Group.ALL, 0, False),
-        (Repeat.KEYED, Group.ALL, 30, False),  # its workers drop what comes back
-        (Repeat.KEYED, Group.ALL, 29, True),  # but not for so long
-        (Repeat.KEYED, Group.ZONE, 60, True),  # or only some of them
-        (Repeat.KEYED, Group.CELL, 60, True),
+        (RetrySafety.UNSAFE, DeduplicationScope.ALL, 0, True),
+        (RetrySafety.SAFE, DeduplicationScope.ALL, 0, False),
+        (RetrySafety.KEYED, DeduplicationScope.ALL, 30, False),  # its workers drop what comes back
+        (RetrySafety.KEYED, DeduplicationScope.ALL, 29, True),  # but not for so long
+        (RetrySafety.KEYED, DeduplicationScope.ZONE, 60, True),  # or only some of them
+        (RetrySafety.KEYED, DeduplicationScope.CELL, 60, True),
     ],
 )
 def test_what_every_worker_drops_by_itself_is_not_claimed(
-    repeat: Repeat, group: Group, window: int, claims: bool
+    repeat: RetrySafety, group: DeduplicationScope, window: int, claims: bool
 ) -> None:
     job_class = JobClass("a", 1, 1, 1.0, repeat, group, window * 1_000_000)
     assert claimed([job_class], timedelta(seconds=30)) == ({"a"} if claims else set())
@@ -122,7 +128,7 @@
 
 def test_retry_at_another_dispatcher_gets_the_first_answer(tmp_path: Path) -> None:
     async def story() -> None:
-        box = Endpoint(st.served)
+        box = ScriptedWorker(st.served)
         async with tier(tmp_path, box) as t:
             status, headers, body = await ask(t.stages[0])
             assert (status, body) == (200, b"page") and "idempotency-replayed" not in headers
@@ -138,10 +144,10 @@
 
 def test_retry_while_the_first_is_in_hand_is_told_so(tmp_path: Path) -> None:
     async def story() -> None:
-        box = Endpoint(st.silent)
+        box = ScriptedWorker(st.silent)
         async with tier(tmp_path, box) as t:
             first = asyncio.create_task(ask(t.stages[0]))
-            await until(lambda: len(box.seen) == 1)
+            await wait_until(lambda: len(box.seen) == 1)
             status, headers, _ = await ask(t.stages[1])
             assert status == 409 and 0 < float(headers["retry-after"]) <= 8
             box.resume.set()
@@ -153,11 +159,11 @@
 
 def test_holder_that_dies_leaves_an_unknown_not_a_free_key(tmp_path: Path) -> None:
     async def story() -> None:
-        box = Endpoint(st.silent)
+        box = ScriptedWorker(st.silent)
         async with tier(tmp_path, box, lease="4s", patience="1s") as t:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 first = asyncio.create_task(ask(t.stages[0]))
-                await until(lambda: len(box.seen) == 1)
+                await wait_until(lambda: len(box.seen) == 1)
                 # Killed: nothing of it writes to the store any more.
                 for task in list(t.fronts[0].ledger._tasks):
                     task.cancel()
@@ -172,12 +178,12 @@
 
 def test_refused_job_frees_its_key(tmp_path: Path) -> None:
     async def story() -> None:
-        box = Endpoint(st.served)
+        box = ScriptedWorker(st.served)
         async with tier(tmp_path, box) as t:
-            t.stages[0].discovery.say(2, entry("s-0", box.address, "removed"))
-            await until(lambda: t.stages[0].dispatcher._decisions.cluster().listed == 0)
+            t.stages[0].discovery.say(2, target_entry("s-0", box.address, "removed"))
+            await wait_until(lambda: t.stages[0].dispatcher._decisions.cluster().listed == 0)
             assert (await ask(t.stages[0], timeout=0.5))[0] == 503
-            await until(lambda: not t.fronts[0].ledger._held)
+            await wait_until(lambda: not t.fronts[0].ledger._held)
             assert (await ask(t.stages[1]))[0] == 200 and len(box.seen) == 1
 
     play(story())
@@ -185,15 +191,15 @@
 
 def test_client_that_leaves_while_its_job_is_held_frees_its_key(tmp_path: Path) -> None:
     async def story() -> None:
-        box = Endpoint(st.served)
+        box = ScriptedWorker(st.served)
         async with tier(tmp_path, box) as t:
-            t.stages[0].discovery.say(2, entry("s-0", box.address, "removed"))
-            await until(lambda: t.stages[0].dispatcher._decisions.cluster().listed == 0)
+            t.stages[0].discovery.say(2, target_entry("s-0", box.address, "removed"))
+            await wait_until(lambda: t.stages[0].dispatcher._decisions.cluster().listed == 0)
             streams = await t.stages[0].connect()
             streams[1].write(keyed())
-            await until(lambda: t.figure(0, "open") == 1)
+            await wait_until(lambda: t.figure(0, "open") == 1)
             streams[1].close()
-            await until(lambda: not t.fronts[0].ledger._held)
+            await wait_until(lambda: not t.fronts[0].ledger._held)
             assert (await ask(t.stages[1]))[0] == 200 and len(box.seen) == 1
 
     play(story())
@@ -202,7 +208,7 @@
 @pytest.mark.parametrize("trouble", ["frozen", "gone", "slow", "READONLY x", "LOADING x", "OOM x"])
 def test_store_in_trouble_refuses_unlocks_and_pages_never_notice(tmp_path: Path, trouble: str) -> None:
     async def story() -> None:
-        box = Endpoint(st.served)
+        box = ScriptedWorker(st.served)
         async with tier(tmp_path, box, patience="200ms") as t:
             loop = asyncio.get_running_loop()
             if trouble == "frozen":
@@ -221,13 +227,13 @@
             assert box.seen == []
             calls = dict(t.redis.commands)
             assert (await ask(t.stages[0], path="/page?k=7"))[0] == 200  # keyed, but safe: it never asks
-            assert (await t.stages[0].ask("/unlock?k=7"))[0] == 200  # no key: as before
+            assert (await t.stages[0].send_request("/unlock?k=7"))[0] == 200  # no key: as before
             if trouble == "gone":
                 assert t.redis.commands == calls
                 return
             t.redis.thaw()
             t.redis.faults.delay, t.redis.faults.error = 0.0, ""
-            await until(lambda: t.figure(0, "circuit") == Circuit.CLOSED.value)
+            await wait_until(lambda: t.figure(0, "circuit") == Circuit.CLOSED.value)
             assert (await ask(t.stages[0], key='"after"'))[0] == 200
 
     play(story())
@@ -238,16 +244,16 @@
     """The first dispatcher's claim is lost. A retry elsewhere is refused until it has been written again."""
 
     async def story() -> None:
-        box = Endpoint(st.silent)
+        box = ScriptedWorker(st.silent)
         async with tier(tmp_path, box) as t:
             first = asyncio.create_task(ask(t.stages[0]))
-            await until(lambda: len(box.seen) == 1)
+            await wait_until(lambda: len(box.seen) == 1)
             t.redis.restart(empty=empty, lost_writes=3)
             statuses = [(await ask(t.stages[1]))[0] for _ in range(5)]
             assert set(statuses) <= {409, 503} and len(box.seen) == 1
             box.resume.set()
             assert (await first)[0] == 200
-            await until(lambda: t.figure(0, "histories") + t.figure(1, "histories") >= 1)
+            await wait_until(lambda: t.figure(0, "histories") + t.figure(1, "histories") >= 1)
             async with asyncio.timeout(5):
                 while (found := await ask(t.stages[1]))[0] in (409, 503):
                     await asyncio.sleep(0.05)
@@ -263,7 +269,7 @@
     class Racing(MemoryStore):
         async def settle(self, *words: Any) -> Reply:
             reply = await super().settle(*words)
-            await until(lambda: ledgers[0]._watch.generation == "another")
+            await wait_until(lambda: ledgers[0]._watch.generation == "another")
             return reply
 
     async def story() -> None:
@@ -275,16 +281,16 @@
         ledgers.append(ledger)
         await ledger.start()
         ends = clock.now() + timedelta(seconds=9)
-        outgoing = Outgoing("r1", b"/unlock?k=7", "api", None, b"hello")
+        outgoing = WorkerRequest("r1", b"/unlock?k=7", "api", None, b"hello")
         request = InboundRequest("unlock", ends, 1.0, None, "7", False, outgoing, '"k1"')
 
-        async def run(course: Course) -> Answer:
+        async def run(course: RequestProgress) -> Response:
             await store.begin("another", 9, ledger._watch.generation, False)
-            return Answer(200, b"page")
+            return Response(200, b"page")
 
-        assert not (await ledger.served(request, run)).replayed
-        await until(lambda: store.book.records["k1"].phase is Phase.SERVED)
-        again = await ledger.served(request, run)
+        assert not (await ledger.serve_once(request, run)).replayed
+        await wait_until(lambda: store.book.records["k1"].phase is Phase.SERVED)
+        again = await ledger.serve_once(request, run)
         assert (again.status, again.body, again.replayed) == (200, b"page", True)
         await ledger.close()
 
@@ -299,7 +305,7 @@
         async def look(self) -> Reply:
             reply, before = await super().look(), len(served)
             looks.append(reply)
-            await until(lambda: len(served) > before or bool(done))
+            await wait_until(lambda: len(served) > before or bool(done))
             return reply
 
     async def story() -> None:
@@ -311,15 +317,15 @@
         await ledger.start()
         ends = clock.now() + timedelta(seconds=9)
 
-        async def run(course: Course) -> Answer:
-            return Answer(200, b"page")
+        async def run(course: RequestProgress) -> Response:
+            return Response(200, b"page")
 
         for key in (f"k{n}" for n in range(6)):
             before = len(looks)
-            await until(lambda before=before: len(looks) > before)  # type: ignore[misc]
-            outgoing = Outgoing(key, b"/unlock?k=7", "api", None, b"hello")
+            await wait_until(lambda before=before: len(looks) > before)  # type: ignore[misc]
+            outgoing = WorkerRequest(key, b"/unlock?k=7", "api", None, b"hello")
             request = InboundRequest("unlock", ends, 1.0, None, "7", False, outgoing, f'"{key}"')
-            assert (await ledger.served(request, run)).status == 200
+            assert (await ledger.serve_once(request, run)).status == 200
             served.append(key)
         done.append(True)
         assert ledger.counts["histories"] == 0 and looked(store).generation == "first"
@@ -352,18 +358,18 @@
         await store.begin("first", 0, "", True)
         ledger = Ledger("n0", store, tier, Terms(), clock, frozenset({"unlock"}))
         await ledger.start()
-        await until(lambda: ledger._watch.generation == "first")
+        await wait_until(lambda: ledger._watch.generation == "first")
         ends = clock.now() + timedelta(seconds=9)
-        outgoing = Outgoing("r1", b"/unlock?k=7", "api", None, b"hello")
+        outgoing = WorkerRequest("r1", b"/unlock?k=7", "api", None, b"hello")
         request = InboundRequest("unlock", ends, 1.0, None, "7", False, outgoing, '"k1"')
 
-        async def run(course: Course) -> Answer:
-            return Answer(200, b"page")
+        async def run(course: RequestProgress) -> Response:
+            return Response(200, b"page")
 
-        refused = await ledger.served(request, run)
+        refused = await ledger.serve_once(request, run)
         assert refused.status == 503 and store.book.records["k1"].phase is Phase.CLAIMED
-        await until(lambda: "k1" not in store.book.records)
-        assert (await ledger.served(request, run)).status == 200
+        await wait_until(lambda: "k1" not in store.book.records)
+        assert (await ledger.serve_once(request, run)).status == 200
         await ledger.close()
 
     play(story())
@@ -371,7 +377,7 @@
 
 def test_new_store_grants_once_the_window_is_over(tmp_path: Path) -> None:
     async def story() -> None:
-        box = Endpoint(st.served)
+        box = ScriptedWorker(st.served)
         async with tier(tmp_path, box, size=1, sure=False) as t:
             status, headers, _ = await ask(t.stages[0])
             assert status == 503 and 0 < float(headers["retry-after"]) <= 1
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -30,7 +30,7 @@
 from rookwood.gateway.lease import Granted, Held
 from rookwood.gateway.lending import Home, Lender, Turns
 from rookwood.gateway.routing import Peer, Prices, Router, Waiting
-from rookwood.net.tier import Tier
+from rookwood.net.tier import DispatcherGroup
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
 MS = timedelta(milliseconds=1)
@@ -126,15 +126,15 @@
 # ---- routing ----
 
 CLASSES = {
-    "page": api.JobClass("page", 500_000, 5_000_000, 3.0, api.Repeat.SAFE, stretch=2.0),
-    "unlock": api.JobClass("unlock", 1_000_000, 10_000_000, 2.0, api.Repeat.UNSAFE, stretch=2.0),
-    "publish": api.JobClass("publish", 1_200_000, 20_000_000, 10.0, api.Repeat.UNSAFE, stretch=2.0),
+    "page": api.JobClass("page", 500_000, 5_000_000, 3.0, api.RetrySafety.SAFE, stretch=2.0),
+    "unlock": api.JobClass("unlock", 1_000_000, 10_000_000, 2.0, api.RetrySafety.UNSAFE, stretch=2.0),
+    "publish": api.JobClass("publish", 1_200_000, 20_000_000, 10.0, api.RetrySafety.UNSAFE, stretch=2.0),
 }
 SERVICE = {"page": 0.45, "unlock": 0.9, "publish": 1.8}
 
 
-def pressure(busy: float, held: float = 0.0, slots: float = 16.0) -> api.Pressure:
-    return api.Pressure(slots, busy, held, SERVICE)
+def pressure(busy: float, held: float = 0.0, slots: float = 16.0) -> api.SiteLoad:
+    return api.SiteLoad(slots, busy, held, SERVICE)
 
 
 def router(price: float = 0.13) -> Router:
@@ -254,7 +254,7 @@
 
 @given(some.lists(some.tuples(some.floats(0, 30), some.floats(0, 10)), min_size=1, max_size=30))
 def test_lending_keeps_own_traffic_first(steps: list[tuple[float, float]]) -> None:
-    lender, now = Lender(lend=0.5, reserve=0.1, tier=Tier(2)), START
+    lender, now = Lender(lend=0.5, reserve=0.1, tier=DispatcherGroup(2)), START
     for busy, guests in steps:
         now += 100 * MS
         lent = lender.update(now, pressure(max(busy, guests)), guests)
@@ -264,7 +264,7 @@
 
 
 def test_lending_falls_at_once_and_rises_slowly() -> None:
-    lender = Lender(0.5, 0.1, Tier(1))
+    lender = Lender(0.5, 0.1, DispatcherGroup(1))
     full = lender.update(START, pressure(0.0), 0.0)
     low = lender.update(START + 10 * MS, pressure(13.0), 0.0)
     again = lender.update(START + 20 * MS, pressure(0.0), 0.0)
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -13,11 +13,11 @@
 from hypothesis import strategies as st
 
 from rookwood import interface as api
-from rookwood.hints import SIZE, Codec, OddHintError, mark_of
+from rookwood.hints import SIZE, HintCodec, InvalidHintError, mark_of
 from rookwood.lab.free_ports import find_free_port
 from rookwood.net.clock import Clock
-from rookwood.net.decisions import Decisions
-from rookwood.net.destinations import Address, DestinationSet, Endpoint, State
+from rookwood.net.decisions import PolicyDriver
+from rookwood.net.destinations import Address, DestinationUpdate, Endpoint, State
 from rookwood.net.peers import Peers
 from tests.test_wire import PROFILE, hello, serve
 from tests.world import settings
@@ -26,9 +26,9 @@
 NAMES = [f"s-{n}" for n in range(60)]
 
 
-def codec(names: list[str] = NAMES) -> Codec:
-    made = Codec()
-    made.learn(names, whole=True)
+def codec(names: list[str] = NAMES) -> HintCodec:
+    made = HintCodec()
+    made.add_workers(names, whole=True)
     return made
 
 
@@ -42,7 +42,7 @@
 @profile(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=300))
 def test_any_bytes_are_a_hint_or_odd(data: bytes) -> None:
-    with contextlib.suppress(OddHintError):
+    with contextlib.suppress(InvalidHintError):
         assert {hint.worker for hint in codec().decode(data)} <= set(NAMES)
 
 
@@ -53,11 +53,11 @@
             break
     both = codec([first, f"w{n}", "other"])
     for name in (first, f"w{n}"):
-        with pytest.raises(OddHintError):
+        with pytest.raises(InvalidHintError):
             both.decode(both.encode([api.Hint(name, api.Word.SENT, 1.0)]))
-    both.learn([first], whole=True)
+    both.add_workers([first], whole=True)
     assert both.decode(both.encode([api.Hint(first, api.Word.SENT, 1.0)]))[0].worker == first
-    with pytest.raises(OddHintError):
+    with pytest.raises(InvalidHintError):
         both.decode(both.encode([api.Hint("other", api.Word.SENT, 1.0)]))
 
 
@@ -72,7 +72,7 @@
     assert lines.count("END") == 2 and not [line for line in lines if line.startswith("FATAL")]
 
 
-class Heard(Decisions):
+class Heard(PolicyDriver):
     def __init__(self) -> None:
         super().__init__(settings(peers=True), 1, Clock())
         self.hints: list[tuple[int, api.Hint]] = []
@@ -83,8 +83,10 @@
         self.some.set()
 
 
-def listed(*names: str) -> DestinationSet:
-    return DestinationSet(1, True, tuple(Endpoint(n, "h:1", State.UP, "", "", 0, 1.0, None) for n in names))
+def listed(*names: str) -> DestinationUpdate:
+    return DestinationUpdate(
+        1, True, tuple(Endpoint(n, "h:1", State.UP, "", "", 0, 1.0, None) for n in names)
+    )
 
 
 def free_address() -> Address:
--- a/tests/test_httpclient_answers.py
+++ b/tests/test_httpclient_answers.py
@@ -17,7 +17,7 @@
     UpstreamClient,
     UpstreamRequest,
 )
-from rookwood.httpclient.outcomes import Broken
+from rookwood.httpclient.outcomes import ResponseLost
 from rookwood.lab.raw_http import encode_chunks
 from tests.fake_worker import (
     STREAM_TYPE,
@@ -126,14 +126,14 @@
             return outcome.body
         if isinstance(outcome, Streaming):
             return await self.read_stream(outcome)
-        self.assertIsInstance(outcome, Broken)
+        self.assertIsInstance(outcome, ResponseLost)
         return None
 
     async def read_stream(self, stream: Streaming) -> bytes | None:
         """The whole body of a stream; None where it broke."""
         body = b""
         while data := await within(stream.answer.read_some()):
-            if isinstance(data, Broken):
+            if isinstance(data, ResponseLost):
                 stream.answer.close()
                 return None
             body += data
@@ -196,7 +196,7 @@
         reading = asyncio.create_task(stream.answer.read_some())
         await asyncio.sleep(0)
         await self.client.close()
-        self.assertIsInstance(await within(reading), Broken)
+        self.assertIsInstance(await within(reading), ResponseLost)
         ended.set()
 
 
--- a/tests/test_httpclient_library.py
+++ b/tests/test_httpclient_library.py
@@ -9,9 +9,9 @@
 from aiohttp.client_proto import ResponseHandler
 from yarl import URL
 
-from rookwood.httpclient.client import Answer, HttpClient
-from rookwood.httpclient.connections import AnswerConnector, AnswerProtocol
-from rookwood.httpclient.outcomes import Broken
+from rookwood.httpclient.client import HttpClient, Response
+from rookwood.httpclient.connections import AnswerConnector, ResponseProtocol
+from rookwood.httpclient.outcomes import ResponseLost
 from tests.fake_worker import Exchange, FakeWorker, answering, break_off, whole_answer, within
 
 PARAMETERS = {
@@ -51,12 +51,12 @@
         async with self.plain.get(f"http://{worker.address}/") as response:
             return await response.read()
 
-    async def read(self, worker: FakeWorker) -> bytes | Broken:
+    async def read(self, worker: FakeWorker) -> bytes | ResponseLost:
         """A body as our client reads it."""
         answer = await self.client.send("GET", URL(f"http://{worker.address}/"), {}, None)
-        if isinstance(answer, Answer):
+        if isinstance(answer, Response):
             return await within(answer.read_all())
-        assert isinstance(answer, Broken)
+        assert isinstance(answer, ResponseLost)
         return answer
 
 
@@ -78,10 +78,10 @@
             aiohttp.ClientSession(connector=connector) as session,
             session.get(f"http://{worker.address}/") as response,
         ):
-            self.assertIsInstance(connector._factory(), AnswerProtocol)
+            self.assertIsInstance(connector._factory(), ResponseProtocol)
             await response.read()
             (kept,) = connector._conns.values()
-            self.assertIsInstance(kept[0][0], AnswerProtocol)
+            self.assertIsInstance(kept[0][0], ResponseProtocol)
 
 
 class ReasonTests(LibraryCase):
@@ -90,7 +90,7 @@
     async def test_the_library_takes_a_reset_for_the_end_of_a_body(self) -> None:
         worker = await self.start_worker(FakeWorker(reset_in_body))
         self.assertEqual(b"half", await self.read_plain(worker))
-        self.assertIsInstance(await self.read(worker), Broken)
+        self.assertIsInstance(await self.read(worker), ResponseLost)
 
     async def test_the_library_repeats_a_request_whose_kept_connection_breaks(self) -> None:
         worker = await self.start_worker(FakeWorker(answering(b"1"), break_off, answering(b"2")))
@@ -98,7 +98,7 @@
         self.assertEqual(3, len(worker.requests))
         worker = await self.start_worker(FakeWorker(answering(b"1"), break_off, answering(b"2")))
         self.assertEqual(b"1", await self.read(worker))
-        self.assertIsInstance(await self.read(worker), Broken)
+        self.assertIsInstance(await self.read(worker), ResponseLost)
         self.assertEqual(2, len(worker.requests))
 
 
--- a/tests/test_httpclient_requests.py
+++ b/tests/test_httpclient_requests.py
@@ -10,8 +10,8 @@
 
 from rookwood.dataplane import upstream
 from rookwood.dataplane.upstream import Complete, UpstreamClient, UpstreamOutcome, UpstreamRequest
-from rookwood.httpclient.connections import AnswerProtocol
-from rookwood.httpclient.outcomes import Broken
+from rookwood.httpclient.connections import ResponseProtocol
+from rookwood.httpclient.outcomes import ResponseLost
 from tests.fake_worker import HOST, WAIT_LIMIT, Exchange, FakeWorker, within
 
 LONG_BODY = bytes(range(256)) * 40_000
@@ -97,7 +97,7 @@
 
     async def test_a_connection_with_bytes_of_the_request_still_to_write_is_not_used_again(self) -> None:
         for unwritten in (0, 1):
-            protocol = AnswerProtocol(asyncio.get_running_loop())
+            protocol = ResponseProtocol(asyncio.get_running_loop())
             transport = mock.Mock(spec=asyncio.Transport)
             transport.get_write_buffer_size.return_value = unwritten
             protocol.connection_made(transport)
@@ -115,7 +115,7 @@
         self.assertEqual((200, b"answer"), (outcome.status, outcome.body))
 
     async def test_an_interim_answer_alone_is_no_answer(self) -> None:
-        self.assertIsInstance(await self.outcome_after(b"HTTP/1.1 100 Continue\r\n\r\n"), Broken)
+        self.assertIsInstance(await self.outcome_after(b"HTTP/1.1 100 Continue\r\n\r\n"), ResponseLost)
 
 
 class SplicedHeadTests(RequestCase):
@@ -133,7 +133,7 @@
                 for cut in range(1, len(surplus) + 1):
                     with self.subTest(surplus=surplus[:cut], status=status):
                         outcome = await self.outcome_after(surplus[:cut] + answer(status=status))
-                        self.assertIsInstance(outcome, Broken)
+                        self.assertIsInstance(outcome, ResponseLost)
 
     async def test_no_transfer_coding_but_chunks_is_passed_on(self) -> None:
         for coding, body in ((b"gzip", b"answer"), (b"gzip, chunked", b"6\r\nanswer\r\n0\r\n\r\n")):
@@ -141,13 +141,13 @@
                 b"Content-Length: %d" % len(body), b"Transfer-Encoding: " + coding
             )
             with self.subTest(coding=coding):
-                self.assertIsInstance(await self.outcome_after(coded), Broken)
+                self.assertIsInstance(await self.outcome_after(coded), ResponseLost)
 
     async def test_no_second_length_counts(self) -> None:
         for lengths in (b"Content-Length: 3\r\n", b"Transfer-Encoding: chunked\r\n"):
             spoilt = answer().replace(b"Content-Length: 6\r\n", lengths + b"Content-Length: 6\r\n")
             with self.subTest(lengths=lengths):
-                self.assertIsInstance(await self.outcome_after(spoilt), Broken)
+                self.assertIsInstance(await self.outcome_after(spoilt), ResponseLost)
 
 
 if __name__ == "__main__":
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -107,7 +107,7 @@
     for key in range(300):
         world.ask(("read", "order", "fee")[key % 3], key=key % 17)
         for number in world.out()[: key % 4]:
-            world.end(number, api.Ending.OK, load={"x0": 2.0, "backlog": 0.0})
+            world.end(number, api.Outcome.OK, load={"x0": 2.0, "backlog": 0.0})
         world.advance(15 * MS)
     return world.trace
 
@@ -137,9 +137,9 @@
     world = World(settings(dispatchers=4))
     world.list_workers(worker(0))
     number = world.ask("read", key=1)
-    world.end(number, api.Ending.OK, load={"x0": 8.0, "backlog": 0.0})
+    world.end(number, api.Outcome.OK, load={"x0": 8.0, "backlog": 0.0})
     number = world.ask("read", key=1)
-    world.end(number, api.Ending.OK, load={"x0": 0.0, "backlog": 1000.0})
+    world.end(number, api.Outcome.OK, load={"x0": 0.0, "backlog": 1000.0})
     assert world.asked[world.ask("read", key=1)].tries
 
 
@@ -153,7 +153,7 @@
     world.advance(1_200 * MS)
     assert [n for n in held if world.asked[n].answered]
     first = world.out()[0]
-    world.end(first, api.Ending.OK)
+    world.end(first, api.Outcome.OK)
 
 
 def test_worth_goes_first_and_over_share_waits() -> None:
@@ -163,7 +163,7 @@
         world.ask("fee", key=1)
     vent, order = world.ask("vent", key=1), world.ask("order", key=1)
     for number in world.out():
-        world.end(number, api.Ending.OK)
+        world.end(number, api.Outcome.OK)
         if world.asked[order].tries or world.asked[vent].tries:
             break
     assert world.asked[order].tries
@@ -177,7 +177,7 @@
         number = world.ask("fee", key=4)
         world.start(number)
         world.advance(100 * MS)
-        world.end(number, api.Ending.OK)
+        world.end(number, api.Outcome.OK)
     first = world.ask("fee", key=4)
     silent = world.asked[first].tries[0].worker
     world.advance(900 * MS)
@@ -186,7 +186,7 @@
     for _ in range(6):
         world.start(first)
     for number in (first, *later):
-        world.end(number, api.Ending.OK)
+        world.end(number, api.Outcome.OK)
     again = [world.ask("fee", key=4) for _ in range(16)]  # one key alone is spread over all by phi
     assert silent in {world.asked[n].tries[0].worker for n in again}
 
@@ -224,7 +224,7 @@
         tries = world.asked[number].tries
         world.advance(5 * MS)
         if tries and not tries[-1].ending:
-            world.end(number, api.Ending.FAILED if tries[-1].worker == bad else api.Ending.OK)
+            world.end(number, api.Outcome.FAILED if tries[-1].worker == bad else api.Outcome.OK)
     late = [a.tries[0].worker for n, a in world.asked.items() if n > 60 and a.tries]
     assert late.count(bad) < len(late) / 10
 
@@ -245,11 +245,11 @@
     for key in range(40):
         number = world.ask("read", key=key)
         world.advance(100 * MS)
-        world.end(number, api.Ending.OK)
+        world.end(number, api.Outcome.OK)
     learned = world.policy.job_time
     number = world.ask("read", key=1)
     world.stall(2_000 * MS)
-    world.end(number, api.Ending.OK)
+    world.end(number, api.Outcome.OK)
     assert world.policy.job_time == learned
 
 
@@ -260,13 +260,13 @@
     free, other = world.ask("vent"), world.ask("vent", key=8)
     sent = [n for n, a in world.asked.items() if a.tries]
     assert sent == [first, free, other]
-    world.end(first, api.Ending.OK)
+    world.end(first, api.Outcome.OK)
     assert world.asked[second].tries
-    world.feed(api.Abandoned(second))  # its attempt is still out
+    world.feed(api.RequestAbandoned(second))  # its attempt is still out
     world.asked[second].answered = True
     world.advance(20 * MS)
     assert not world.asked[third].tries
-    world.end(second, api.Ending.CANCELLED)
+    world.end(second, api.Outcome.CANCELLED)
     world.advance(150 * MS)
     assert not world.asked[third].tries  # the key rests
     world.advance(60 * MS)
@@ -291,7 +291,7 @@
         for key in range(20):
             number = world.ask("fee", key=key)
             first.setdefault(key, set()).add(world.asked[number].tries[0].worker)
-            world.end(number, api.Ending.OK)
+            world.end(number, api.Outcome.OK)
     assert all(len(used) == 1 for used in first.values())
 
 
@@ -301,7 +301,7 @@
         world.list_workers(worker(0))
         number = world.ask("fee")
         world.asked[number].answered = True
-        assert (api.Cancel(number, 0) in world.feed(api.Abandoned(number))) is allowed
+        assert (api.Cancel(number, 0) in world.feed(api.RequestAbandoned(number))) is allowed
 
 
 def test_marked_first_try_with_little_patience_is_not_taken_for_an_old_request() -> None:
@@ -342,10 +342,10 @@
         number = world.ask(("fee", "vent")[key % 2], key=key)
         world.advance(20 * MS)
         if world.asked[number].tries and not world.asked[number].answered:
-            world.end(number, api.Ending.OK)
+            world.end(number, api.Outcome.OK)
     world.advance(60_000 * MS)
     policy = world.policy
-    assert not policy.jobs and not policy.owed and not policy.lanes and not policy.turns
+    assert not policy.jobs and not policy.owed and not policy.held_jobs and not policy.turns
     assert len(policy.due) < 5
     assert len(policy.demand) < 500
 
@@ -357,10 +357,10 @@
         pass
     held = [world.ask("vent", key=1) for _ in range(9)]
     first = next(n for n in world.out() if world.asked[n].tries[0].worker == worker(0).id)
-    world.end(first, api.Ending.FAILED)  # may go to its own cell alone, which has no other worker
+    world.end(first, api.Outcome.FAILED)  # may go to its own cell alone, which has no other worker
     before = sum(bool(world.asked[n].tries) for n in held)
     for number in [n for n in world.out() if world.asked[n].tries[0].worker == worker(2).id]:
-        world.end(number, api.Ending.OK)
+        world.end(number, api.Outcome.OK)
     assert sum(bool(world.asked[n].tries) for n in held) > before
 
 
@@ -381,10 +381,10 @@
     world = World(settings(probes=True))
     world.list_workers(worker(0), worker(2))
     for name in (worker(0).id, worker(2).id):
-        world.feed(api.Probed(name, api.Ending.OK, {"x0": 4.0, "backlog": 0.0, "outstanding": 0.0}))
+        world.feed(api.ProbeResult(name, api.Outcome.OK, {"x0": 4.0, "backlog": 0.0, "outstanding": 0.0}))
     world.advance(10_000 * MS)
-    world.feed(api.Probed(worker(0).id, api.Ending.OK, {"x0": 0.0, "backlog": 0.0, "outstanding": 1.0}))
-    world.feed(api.Probed(worker(2).id, api.Ending.OK, {"x0": 4.0, "backlog": 0.0, "outstanding": 0.0}))
+    world.feed(api.ProbeResult(worker(0).id, api.Outcome.OK, {"x0": 0.0, "backlog": 0.0, "outstanding": 1.0}))
+    world.feed(api.ProbeResult(worker(2).id, api.Outcome.OK, {"x0": 4.0, "backlog": 0.0, "outstanding": 0.0}))
     numbers = [world.ask("fee", key=key) for key in range(6)]
     first = [world.asked[number].tries[0].worker for number in numbers if world.asked[number].tries]
     assert first.count(worker(2).id) > first.count(worker(0).id)
@@ -395,14 +395,16 @@
     world = World(settings(probes=True))
     world.list_workers(worker(0), worker(2, zone="z1"))
     for name in (worker(0).id, worker(2).id):
-        world.feed(api.Probed(name, api.Ending.OK, {"x0": 4.0, "backlog": 0.0, "outstanding": 0.0}))
+        world.feed(api.ProbeResult(name, api.Outcome.OK, {"x0": 4.0, "backlog": 0.0, "outstanding": 0.0}))
     sent: list[str] = []
     for key in range(20):
         number = world.ask("fee", key=key)
         sent.append(world.asked[number].tries[0].worker)
-        world.end(number, api.Ending.OK)
+        world.end(number, api.Outcome.OK)
     assert set(sent) == {worker(0).id}
-    world.feed(api.Probed(worker(0).id, api.Ending.OK, {"x0": 0.0, "backlog": 20.0, "outstanding": 24.0}))
+    world.feed(
+        api.ProbeResult(worker(0).id, api.Outcome.OK, {"x0": 0.0, "backlog": 20.0, "outstanding": 24.0})
+    )
     numbers = [world.ask("fee", key=1) for _ in range(3)]
     assert [world.asked[n].tries[0].worker for n in numbers] == [worker(2).id] * 3
 
@@ -411,14 +413,14 @@
     """A late answer still earns a part of the worth, but must cost no other request its time."""
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0))
-    world.end(world.ask("fee", key=1), api.Ending.OK)
+    world.end(world.ask("fee", key=1), api.Outcome.OK)
     late = world.ask("fee", key=1, left=1_000 * MS)  # of 5 s
     assert world.asked[late].tries and not world.asked[late].answered
     for _ in range(3):
         world.ask("fee", key=1)
     refused = world.ask("fee", key=1, left=1_000 * MS)
     assert world.asked[refused].answered and not world.asked[refused].tries
-    (advice,) = (a.retry_after for _, a in world.trace if isinstance(a, api.Refuse))
+    (advice,) = (a.retry_after for _, a in world.trace if isinstance(a, api.Reject))
     assert advice > 0
 
 
@@ -430,7 +432,7 @@
         world.ask("read")
         world.advance(5_000 * MS)  # over a placement step
         for number in world.out():
-            world.end(number, api.Ending.OK)
+            world.end(number, api.Outcome.OK)
     assert all(w.slowness > 0 for w in world.policy.workers.values())
 
 
@@ -439,8 +441,8 @@
     world = World(settings(peers=True, probes=False))
     world.list_workers(worker(0))
     for free in [5.0] + 200 * [1.0]:
-        world.end(world.ask("fee"), api.Ending.OK, {"x0": free, "utilization": 0.5})
-    assert world.policy.talk.slots(world.policy.workers[worker(0).id]) == 5.0
+        world.end(world.ask("fee"), api.Outcome.OK, {"x0": free, "utilization": 0.5})
+    assert world.policy.load_exchange.slots_of(world.policy.workers[worker(0).id]) == 5.0
 
 
 @pytest.mark.parametrize(("worst_class", "first"), [(0.0, "order"), (0.6, "fee")])
@@ -451,13 +453,13 @@
     for _ in range(9):
         number = world.ask("order")
         world.advance(400 * MS)
-        world.end(number, api.Ending.OK)
-    while not world.policy.lanes:
+        world.end(number, api.Outcome.OK)
+    while not world.policy.held_jobs:
         world.ask("order")
     held = [world.ask(name) for name in ("fee", "order", "fee", "order")]
     world.advance(300 * MS)
     while not (sent := [n for n in held if world.asked[n].tries]):
-        world.end(world.out()[0], api.Ending.OK)
+        world.end(world.out()[0], api.Outcome.OK)
     assert world.asked[sent[0]].cls.name == first
 
 
@@ -472,5 +474,5 @@
         for key in range(20):
             number = world.ask("fee", key=key)
             chosen[-1].append(world.asked[number].tries[0].worker)
-            world.end(number, api.Ending.OK)
+            world.end(number, api.Outcome.OK)
     assert (chosen[0] == chosen[1]) is alike
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -18,14 +18,23 @@
 from rookwood.lab.raw_http import encode_chunk, encode_chunks
 from rookwood.net import destinations, endpoints, inbound
 from rookwood.net.clock import Clock
-from rookwood.net.decisions import Attempt, Decisions, End, Job
+from rookwood.net.decisions import Attempt, AttemptOutcome, Job, PolicyDriver
 from rookwood.net.destinations import Pace
-from rookwood.net.dispatcher import Core
+from rookwood.net.dispatcher import DispatcherContext
 from rookwood.net.endpoints import Endpoints
 from rookwood.net.http1 import Wire
-from rookwood.settings import FaultyKeyError, Tree, settings_of
+from rookwood.settings import InvalidSettingError, JsonReader, parse_settings
 from tests import stage as st
-from tests.stage import LIMIT, SETTINGS, Endpoint, Script, Stage, Streams, stage, until
+from tests.stage import (
+    LIMIT,
+    SETTINGS,
+    DispatcherFixture,
+    Script,
+    ScriptedWorker,
+    Streams,
+    start_dispatcher,
+    wait_until,
+)
 from tests.test_stories import play
 
 SECOND = timedelta(seconds=1)
@@ -52,7 +61,7 @@
         return text
 
 
-class Recorder(Endpoint):
+class Recorder(ScriptedWorker):
     """Never answers; what it was sent, byte by byte."""
 
     def __init__(self) -> None:
@@ -68,7 +77,7 @@
         writer.close()
 
 
-def moved_off(s: Stage) -> None:
+def moved_off(s: DispatcherFixture) -> None:
     """From now on, as after a drain's notice."""
     s.dispatcher._service._moves = s.dispatcher._clock.now()
     s.dispatcher._service._changed.set()
@@ -82,21 +91,21 @@
     """Its end stands behind what it sent, so that is read, though not kept without bound."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.silent, st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.silent, st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             left = s.dispatcher._inbound._bytes_left
             _, writer = await s.connect()
             writer.write(s.request("/unlock", timeout=60.0))
-            await until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.seen) == 1)
             writer.write(b"x" * ahead)
-            await until(lambda: s.dispatcher._inbound._bytes_left <= left - min(ahead, inbound.AHEAD))
+            await wait_until(lambda: s.dispatcher._inbound._bytes_left <= left - min(ahead, inbound.AHEAD))
             assert left - s.dispatcher._inbound._bytes_left <= inbound.AHEAD + 2 * 65536
             writer.close()
             await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
-            await until(lambda: not s.dispatcher._inbound._open)
+            await wait_until(lambda: not s.dispatcher._inbound._open)
             assert s.dispatcher._inbound._bytes_left == left
             assert len(endpoint.seen) == 1
-            assert (await s.ask())[0] == 200
+            assert (await s.send_request())[0] == 200
 
     play(story())
 
@@ -108,9 +117,9 @@
     """Between the decision and the first byte, of a first attempt or a further one."""
 
     async def story() -> None:
-        first, second = Endpoint(st.ends("returned")), Recorder()
-        peers: list[Endpoint] = [second] if attempt == 1 else [first, second]
-        async with stage(tmp_path, *peers) as s:
+        first, second = ScriptedWorker(st.ends("returned")), Recorder()
+        peers: list[ScriptedWorker] = [second] if attempt == 1 else [first, second]
+        async with start_dispatcher(tmp_path, *peers) as s:
             client, accepts, asked = Client(s.port), s.dispatcher._destinations.accepts, list[str]()
 
             def leaving(uid: str) -> bool:
@@ -123,9 +132,9 @@
             if attempt == 2:  # the other one is chosen once this one has handed the request back
                 s.dispatcher._decisions._policy.workers["s-1"].trust = 0.05
             client.write(s.request("/unlock"))
-            await until(lambda: client.socket.fileno() == -1)
-            await until(lambda: s.dispatcher._decisions.open == 0)
-            await until(lambda: second.connections == 0 or second.closed.is_set())
+            await wait_until(lambda: client.socket.fileno() == -1)
+            await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
+            await wait_until(lambda: second.connections == 0 or second.closed.is_set())
             assert (second.text, len(first.seen)) == (b"", attempt - 1)
             assert f"s-{len(peers) - 1}" in asked
 
@@ -137,7 +146,7 @@
 ) -> None:
     async def story() -> None:
         recorder, connecting, go_on = Recorder(), asyncio.Event(), asyncio.Event()
-        async with stage(tmp_path, recorder) as s:
+        async with start_dispatcher(tmp_path, recorder) as s:
             connect = s.dispatcher._endpoints._connect
 
             async def held(address: str) -> endpoints.Connection:
@@ -153,8 +162,8 @@
             writer.write(s.request("/unlock"))
             await asyncio.wait_for(connecting.wait(), LIMIT)
             writer.close()
-            await until(lambda: not connecting.is_set())  # called off, not left to come up
-            await until(lambda: s.dispatcher._decisions.open == 0)
+            await wait_until(lambda: not connecting.is_set())  # called off, not left to come up
+            await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
             go_on.set()
             assert (recorder.connections, s.dispatcher._endpoints._count) == (0, 0)
 
@@ -163,18 +172,18 @@
 
 def test_waiting_request_whose_client_left_is_let_go_at_once(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.silent)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.silent)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             policy = s.dispatcher._decisions._policy
             busy = [await s.connect() for _ in range(5)]
             for _, writer in busy:  # more than its slots: one of them waits here
                 writer.write(s.request("/unlock"))
-            await until(lambda: len(endpoint.seen) == 4 and s.dispatcher._decisions.open == 5)
-            (waiting,) = (job for lane in policy.lanes.values() for job in lane)
+            await wait_until(lambda: len(endpoint.seen) == 4 and s.dispatcher._decisions.open_requests == 5)
+            (waiting,) = (job for lane in policy.held_jobs.values() for job in lane)
             held = next(n for n, (_, w) in enumerate(busy) if f"r{n + 1}" not in seen_ids(endpoint))
             busy[held][1].close()
-            await until(lambda: s.dispatcher._decisions.open == 4)
-            assert waiting.req.id not in policy.jobs
+            await wait_until(lambda: s.dispatcher._decisions.open_requests == 4)
+            assert waiting.request.id not in policy.jobs
             endpoint.resume.set()
             for n, (reader, _) in enumerate(busy):
                 if n != held:
@@ -184,7 +193,7 @@
     play(story())
 
 
-def seen_ids(endpoint: Endpoint) -> set[str]:
+def seen_ids(endpoint: ScriptedWorker) -> set[str]:
     return {headers["request-id"] for headers in endpoint.headers}
 
 
@@ -197,13 +206,13 @@
     """Between the look and the close. It is not served; the client sees a clean end, and sends it anew."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(s.request())
             client.socket.settimeout(LIMIT)
             assert b"page" in await asyncio.to_thread(client.socket.recv, 65536)
-            await until(lambda: len(s.dispatcher._inbound._idle) == 1)
+            await wait_until(lambda: len(s.dispatcher._inbound._idle) == 1)
             quiet, crossed = Wire.quiet, list[bool]()
 
             def crossing(wire: Wire) -> bool:
@@ -222,11 +231,11 @@
 
 def test_request_that_comes_before_its_resting_connection_ends_is_served(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(s.request())
-            await until(lambda: len(s.dispatcher._inbound._idle) == 1)
+            await wait_until(lambda: len(s.dispatcher._inbound._idle) == 1)
             (wire, limit), *_ = s.dispatcher._inbound._idle.items()
             client.write(s.request())
             limit.reschedule(0)  # its time is up in the step in which the bytes are found
@@ -238,11 +247,11 @@
 
 def test_requests_sent_ahead_are_all_answered_before_their_connection_ends(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.silent, st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.silent, st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(b"".join(s.request() for _ in range(6)))
-            await until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.seen) == 1)
             moved_off(s)
             endpoint.resume.set()
             text = await client.rest()
@@ -256,15 +265,15 @@
     """While it waits behind another its client's patience ends: then it is not begun any more."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.silent, st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.silent, st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(s.request("/unlock"))
-            await until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.seen) == 1)
             (wire,) = s.dispatcher._inbound._open
             before = wire._came[-1]
             client.write(s.request("/unlock", timeout=3.0) + s.request("/unlock", timeout=8.0))
-            await until(lambda: wire._came[-1] != before)
+            await wait_until(lambda: wire._came[-1] != before)
             wire._came[-1] = (wire._came[-1][0], wire._came[-1][1] - 4)  # as if it had come 4 s ago
             endpoint.resume.set()
             moved_off(s)
@@ -281,8 +290,8 @@
     """After the last answer, before the close: a reset would throw away what is still on its way."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             if moving:
                 moved_off(s)
             client, write = Client(s.port), Wire.write
@@ -305,7 +314,7 @@
     """What the system still held back would go with a close over unread bytes."""
 
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             streams = await s.connect()
             assert (await s.exchange(streams, s.request()))[0] == 200
             (kept,) = (c for idle in s.dispatcher._endpoints._idle.values() for c in idle)
@@ -319,21 +328,23 @@
 class Emptying:
     """A front whose last guest goes while a client comes."""
 
-    def __init__(self, core: Core, comes: Callable[[], None]) -> None:
+    def __init__(self, core: DispatcherContext, comes: Callable[[], None]) -> None:
         self.comes = comes
 
-    def told(self, told: destinations.DestinationSet, kept: bool) -> destinations.DestinationSet:
-        return told
+    def filter_update(
+        self, update: destinations.DestinationUpdate, kept: bool
+    ) -> destinations.DestinationUpdate:
+        return update
 
     async def start(self) -> None: ...
 
     def reload(self) -> None: ...
 
-    def succeeded(self) -> None: ...
+    def handed_over(self) -> None: ...
 
-    def leave(self) -> None: ...
+    def begin_shutdown(self) -> None: ...
 
-    async def empty(self) -> None:
+    async def wait_drained(self) -> None:
         self.comes()
 
     async def close(self) -> None: ...
@@ -341,17 +352,17 @@
 
 def test_client_that_comes_as_the_process_has_just_emptied_gets_its_answer(tmp_path: Path) -> None:
     async def story() -> None:
-        clients, found = list[Client](), list[Stage]()
+        clients, found = list[Client](), list[DispatcherFixture]()
 
         def comes() -> None:
             clients.append(Client(found[0].port))
             clients[0].write(found[0].request())
 
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint, fronts=(lambda core: Emptying(core, comes),)) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint, fronts=(lambda core: Emptying(core, comes),)) as s:
             found.append(s)
             s.dispatcher._service.leave(timedelta(0))
-            await asyncio.wait_for(s.dispatcher.left(), LIMIT)
+            await asyncio.wait_for(s.dispatcher.wait_drained(), LIMIT)
             await s.dispatcher.close()
             assert b"HTTP/1.1 200" in await clients[0].rest()
 
@@ -411,7 +422,7 @@
             writer.close()
 
         async with watching(agent, grace=SECOND, asked=False):
-            await until(lambda: len(calls) == 9)
+            await wait_until(lambda: len(calls) == 9)
 
     with caplog.at_level(logging.DEBUG):
         play(story())
@@ -439,7 +450,7 @@
             writer.close()
 
         async with watching(agent, grace=SECOND, asked=False) as watched:
-            await until(lambda: watched.revision == 2)
+            await wait_until(lambda: watched.revision == 2)
             assert asked[1] - asked[0] < 1.0
 
     play(story())
@@ -463,7 +474,7 @@
         for asked in (False, True):
             revisions.clear()
             async with watching(falls_silent, SECOND, asked) as watched:
-                await until(lambda: len(revisions) >= 4)
+                await wait_until(lambda: len(revisions) >= 4)
                 assert watched.revision >= 3
 
     play(story())
@@ -473,11 +484,11 @@
     """It may have counted as told for long: to an agent that was silent, before this process began."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             assert s.dispatcher._destinations.accepts("s-0")
-            s.discovery.say(2, st.entry("s-0", endpoint.address, "draining"))
-            await until(lambda: s.dispatcher._destinations.revision == 2)
+            s.discovery.say(2, st.target_entry("s-0", endpoint.address, "draining"))
+            await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             assert not s.dispatcher._destinations.accepts("s-0")
 
     play(story())
@@ -485,23 +496,23 @@
 
 def test_lists_may_come_indented_and_in_pieces(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
-            odd = st.entry('a {[\\" b', endpoint.address)
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            odd = st.target_entry('a {[\\" b', endpoint.address)
             for rev, indent in ((2, 2), (3, None), (4, 1)):
-                told = {"rev": rev, "all": True, "targets": [odd, st.entry("s-0", endpoint.address)]}
+                told = {"rev": rev, "all": True, "targets": [odd, st.target_entry("s-0", endpoint.address)]}
                 text = json.dumps(told, indent=indent).encode() + b"\n"
                 for at in range(0, len(text), 50):
                     s.discovery.lines.put_nowait(text[at : at + 50])
                 s.discovery.lines.put_nowait(b"\n")
-                await until(lambda rev=rev: s.dispatcher._destinations.revision == rev)  # type: ignore[misc]
+                await wait_until(lambda rev=rev: s.dispatcher._destinations.revision == rev)  # type: ignore[misc]
             assert len(s.discovery.asked) == 1 and s.dispatcher._destinations.accepts('a {[\\" b')
 
     play(story())
 
 
 def entries(**spoilt: object) -> bytes:
-    told = {"rev": 3, "all": False, "targets": [st.entry("s-9", "127.0.0.1:7") | spoilt]}
+    told = {"rev": 3, "all": False, "targets": [st.target_entry("s-9", "127.0.0.1:7") | spoilt]}
     return json.dumps(told).encode() + b"\n"
 
 
@@ -520,14 +531,14 @@
     tmp_path: Path, line: bytes, key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
-            await until(lambda: len(s.discovery.asked) == 1)
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            await wait_until(lambda: len(s.discovery.asked) == 1)
             s.discovery.lines.put_nowait(line)
-            await until(lambda: len(s.discovery.asked) == 2)
-            assert (await s.ask())[0] == 200
-            s.discovery.say(4, st.entry("s-0", endpoint.address))
-            await until(lambda: s.dispatcher._destinations.revision == 4)
+            await wait_until(lambda: len(s.discovery.asked) == 2)
+            assert (await s.send_request())[0] == 200
+            s.discovery.say(4, st.target_entry("s-0", endpoint.address))
+            await wait_until(lambda: s.dispatcher._destinations.revision == 4)
 
     with caplog.at_level(logging.INFO):
         play(story())
@@ -540,14 +551,14 @@
     """A string without an end, and brackets without one: both are looked at once, not over and over."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
-            await until(lambda: len(s.discovery.asked) == 1)
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            await wait_until(lambda: len(s.discovery.asked) == 1)
             loop = asyncio.get_running_loop()
             begun = loop.time()
             s.discovery.lines.put_nowait(line + b"\n\n")
-            await until(lambda: len(s.discovery.asked) == 2)
-            assert (await s.ask())[0] == 200
+            await wait_until(lambda: len(s.discovery.asked) == 2)
+            assert (await s.send_request())[0] == 200
             assert loop.time() - begun < 4
 
     play(story())
@@ -559,11 +570,11 @@
     """A defect at one moment must not leave the decisions with an endpoint that is gone."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             update, failed = s.dispatcher._decisions.update, list[int]()
 
-            def fails_once(told: destinations.DestinationSet, kept: bool) -> None:
+            def fails_once(told: destinations.DestinationUpdate, kept: bool) -> None:
                 failed.append(told.revision)
                 if len(failed) == 1:
                     raise ZeroDivisionError
@@ -571,9 +582,9 @@
 
             monkeypatch.setattr(s.dispatcher._decisions, "update", fails_once)
             for asked in (1, 2):
-                await until(lambda asked=asked: len(s.discovery.asked) == asked)  # type: ignore[misc]
-                s.discovery.say(2, st.entry("s-9", endpoint.address))
-            await until(lambda: len(failed) == 2 and s.dispatcher._destinations.revision == 2)
+                await wait_until(lambda asked=asked: len(s.discovery.asked) == asked)  # type: ignore[misc]
+                s.discovery.say(2, st.target_entry("s-9", endpoint.address))
+            await wait_until(lambda: len(failed) == 2 and s.dispatcher._destinations.revision == 2)
             assert s.discovery.asked == ["/api/targets?follow=1&since=1"] * 2
             assert "s-9" in s.dispatcher._decisions._policy.workers
 
@@ -584,18 +595,27 @@
     """A reload amid drains: the list stays until the new one speaks; the old one is not heard any more."""
 
     async def story() -> None:
-        one, two, newer = Endpoint(st.served), Endpoint(st.ends("done", result="two")), st.Discovery()
-        async with stage(tmp_path, one, two) as s, st.listening(newer) as where:
+        one, two, newer = (
+            ScriptedWorker(st.served),
+            ScriptedWorker(st.ends("done", result="two")),
+            st.Discovery(),
+        )
+        async with start_dispatcher(tmp_path, one, two) as s, st.listening(newer) as where:
             watched = s.dispatcher._destinations
-            await until(lambda: len(s.discovery.asked) == 1)
+            await wait_until(lambda: len(s.discovery.asked) == 1)
             host, _, port = where.rpartition(":")
-            s.discovery.say(9, st.entry("s-1", two.address, "draining"))
+            s.discovery.say(9, st.target_entry("s-1", two.address, "draining"))
             watched.move(destinations.Address(host, int(port)))
             assert watched.accepts("s-0")
-            newer.say(1, st.entry("s-0", one.address, "draining"), st.entry("s-1", two.address), whole=True)
-            await until(lambda: watched.revision == 1 and not watched._foreign)
+            newer.say(
+                1,
+                st.target_entry("s-0", one.address, "draining"),
+                st.target_entry("s-1", two.address),
+                whole=True,
+            )
+            await wait_until(lambda: watched.revision == 1 and not watched._foreign)
             assert (watched.accepts("s-0"), watched.accepts("s-1")) == (False, True)
-            assert [(await s.ask(f"/unlock?k={n}"))[2] for n in range(4)] == [b"two"] * 4
+            assert [(await s.send_request(f"/unlock?k={n}"))[2] for n in range(4)] == [b"two"] * 4
 
     play(story())
 
@@ -604,9 +624,9 @@
     """The kept list is enough to be ready; nobody waits for a word."""
 
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             assert s.dispatcher._service.ready and not s.dispatcher._destinations.current.is_set()
-            assert (await s.ask())[0] == 200
+            assert (await s.send_request())[0] == 200
 
     play(story())
 
@@ -615,7 +635,7 @@
     """More idle clients than there are descriptors, while discovery is away; then it comes back."""
 
     async def story() -> None:
-        endpoint, newer = Endpoint(st.served), Endpoint(st.ends("done", result="newer"))
+        endpoint, newer = ScriptedWorker(st.served), ScriptedWorker(st.ends("done", result="newer"))
         discovery, held = st.Discovery(), list[Streams]()
         async with contextlib.AsyncExitStack() as stack:
             for peer in (endpoint, newer):
@@ -623,7 +643,7 @@
             place = stack.enter_context(socket.socket())  # discovery's: nobody listens there yet
             place.bind(("127.0.0.1", 0))
             where = f"127.0.0.1:{place.getsockname()[1]}"
-            listed = [st.entry("s-0", endpoint.address)]
+            listed = [st.target_entry("s-0", endpoint.address)]
             changes: dict[str, Any] = {"limits": {"sockets": 64}, "mgmt": "127.0.0.1:0"}
             environ = st.environment(tmp_path, listed, where, **changes)
             child, s, said = await stack.enter_async_context(st.running(environ, descriptors=64))
@@ -633,13 +653,13 @@
                 stack.callback(held[-1][1].transport.abort)
             server = await asyncio.start_server(discovery.serve, sock=place)
             stack.callback(server.close)
-            await until(lambda: len(discovery.asked) == 1)
-            discovery.say(2, st.entry("s-9", newer.address), listed[0] | {"state": "draining"})
-            status, _, body = await s.ask()
+            await wait_until(lambda: len(discovery.asked) == 1)
+            discovery.say(2, st.target_entry("s-9", newer.address), listed[0] | {"state": "draining"})
+            status, _, body = await s.send_request()
             for _ in range(100):  # until the new list is in force
                 if body == b"newer":
                     break
-                status, _, body = await s.ask()
+                status, _, body = await s.send_request()
             assert (status, body) == (200, b"newer")
             reader, writer = await asyncio.open_connection("127.0.0.1", mgmt)
             writer.write(b"GET /ops/readiness HTTP/1.1\r\nHost: ops\r\n\r\n")
@@ -654,13 +674,17 @@
 # ---- endpoints ----
 
 
-async def without_a_last_newline(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def without_a_last_newline(
+    endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
+) -> bool:
     text = json.dumps({"id": request_id, "state": "done", "result": "page"}).encode()
     writer.write(st.HEAD + st.line(request_id, "started") + encode_chunks(text))
     return True
 
 
-async def cut_amid_the_last_line(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def cut_amid_the_last_line(
+    endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
+) -> bool:
     text = json.dumps({"id": request_id, "state": "done", "result": "page"}).encode()[:-2]
     writer.write(st.HEAD + encode_chunks(text))
     return True
@@ -673,16 +697,16 @@
     tmp_path: Path, script: Script, status: int, connections: int
 ) -> None:
     async def story() -> None:
-        endpoint = Endpoint(script, st.served)
-        async with stage(tmp_path, endpoint) as s:
-            assert (await s.ask("/unlock"))[0] == status
-            assert (await s.ask("/unlock"))[0] == 200
+        endpoint = ScriptedWorker(script, st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            assert (await s.send_request("/unlock"))[0] == status
+            assert (await s.send_request("/unlock"))[0] == 200
             assert endpoint.connections == connections
 
     play(story())
 
 
-class Late(Endpoint):
+class Late(ScriptedWorker):
     """Serves the first request of a connection, and says one thing more as soon as the next one begins."""
 
     def __init__(self, word: bytes) -> None:
@@ -719,15 +743,15 @@
 
     async def story() -> None:
         endpoint = Late(word)
-        async with stage(tmp_path, endpoint) as s:
-            assert [(await s.ask("/unlock"))[0] for _ in range(2)] == [200, 200]
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            assert [(await s.send_request("/unlock"))[0] for _ in range(2)] == [200, 200]
             assert (endpoint.connections, endpoint.whole) == (2, 2)
             assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
 
     play(story())
 
 
-async def never_ends(endpoint: Endpoint, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def never_ends(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     writer.write(st.HEAD + st.line(request_id, "started"))
     with contextlib.suppress(ConnectionError):
         while not writer.transport.is_closing():
@@ -751,10 +775,10 @@
     tmp_path: Path, script: Script, status: int, timeout: float, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
-        endpoint = Endpoint(script, st.served)
-        async with stage(tmp_path, endpoint) as s:
-            assert (await s.ask("/unlock", timeout=timeout))[0] == status
-            assert (await s.ask("/unlock"))[0] == 200
+        endpoint = ScriptedWorker(script, st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            assert (await s.send_request("/unlock", timeout=timeout))[0] == status
+            assert (await s.send_request("/unlock"))[0] == 200
             assert len(endpoint.seen) == 2
 
     play(story())
@@ -766,14 +790,14 @@
     tmp_path: Path, error: OSError, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
 
             async def gone(*words: object) -> endpoints.Result:
                 raise error
 
             monkeypatch.setattr(s.dispatcher._endpoints, "_answer", gone)
-            assert (await s.ask("/unlock"))[0] == 502
+            assert (await s.send_request("/unlock"))[0] == 502
             assert s.dispatcher._endpoints._count == 0
 
     play(story())
@@ -786,8 +810,8 @@
     roster = st.lane("roster", "keyed", group="all", window=3_000_000, **{"aim-stretch": 2.0})
 
     async def story() -> None:
-        endpoint = Endpoint(st.breaks, st.served)
-        async with stage(tmp_path, endpoint, settings=SETTINGS | {"lanes": [roster]}) as s:
+        endpoint = ScriptedWorker(st.breaks, st.served)
+        async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"lanes": [roster]}) as s:
             clock, connect, connected = s.dispatcher._clock, s.dispatcher._endpoints._connect, list[str]()
 
             async def slow(address: str) -> endpoints.Connection:
@@ -799,7 +823,7 @@
             monkeypatch.setattr(s.dispatcher._endpoints, "_connect", slow)
             loop = asyncio.get_running_loop()
             begun = loop.time()
-            status, _, _ = await s.ask("/roster", more=b"Idempotency-Key: k\r\n")
+            status, _, _ = await s.send_request("/roster", more=b"Idempotency-Key: k\r\n")
             assert (status, len(endpoint.seen), len(connected)) == (503, 1, 2)
             assert loop.time() - begun < 2  # given up, it is answered at once
 
@@ -809,15 +833,15 @@
 def test_window_of_a_repeat_counts_from_the_first_attempt_that_may_have_run() -> None:
     async def story() -> None:
         keyed = st.lane("roster", "keyed", group="zone", window=3_000_000)
-        conf = settings_of(Tree(SETTINGS | {"lanes": [keyed]}))
+        conf = parse_settings(JsonReader(SETTINGS | {"lanes": [keyed]}))
         clock = Clock()
-        decisions = Decisions(conf, 1, clock)
-        decisions.update(destinations.destination_set_of(Tree(
-            {"rev": 1, "all": True, "targets": [st.entry(f"s-{n}", "127.0.0.1:9") for n in range(3)]}
+        decisions = PolicyDriver(conf, 1, clock)
+        decisions.update(destinations.destination_set_of(JsonReader(
+            {"rev": 1, "all": True, "targets": [st.target_entry(f"s-{n}", "127.0.0.1:9") for n in range(3)]}
         )))  # fmt: skip
         begun = clock.now()
         with decisions.admit(Job("roster", begun + 9 * SECOND, key="7")) as ticket:
-            ends = [End.NO_CONNECTION, End.RESET, End.TURNED_AWAY]
+            ends = [AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET, AttemptOutcome.TURNED_AWAY]
             found = list[Attempt]()
             for end in ends:
                 attempt = await ticket.decision()
@@ -833,20 +857,20 @@
 
 
 def test_file_whose_settings_are_faulty_names_the_key() -> None:
-    with pytest.raises(FaultyKeyError, match="lanes\\[0\\].name: not Unicode"):
-        settings_of(Tree(SETTINGS | {"lanes": [st.lane("\ud800", "safe")]}))
+    with pytest.raises(InvalidSettingError, match="lanes\\[0\\].name: not Unicode"):
+        parse_settings(JsonReader(SETTINGS | {"lanes": [st.lane("\ud800", "safe")]}))
 
 
 def test_every_part_of_an_attempt_is_released_whatever_ends_it(tmp_path: Path) -> None:
     """Called off at each step of its life in turn: nothing stays counted, and no connection stays open."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.served)
+        endpoint = ScriptedWorker(st.served)
         async with st.listening(endpoint) as address:
             clock, after = Clock(), 0
             while True:
                 pool = Endpoints(clock, SECOND, 60 * SECOND, 4)
-                outgoing = endpoints.Outgoing("a", b"/page", "api", None, b"body")
+                outgoing = endpoints.WorkerRequest("a", b"/page", "api", None, b"body")
                 words = (outgoing, address, clock.now() + LIMIT * SECOND, lambda: True, lambda stage: None)
                 task = asyncio.create_task(pool.attempt(*words, lambda: None, True))
                 for _ in range(after):
@@ -858,6 +882,6 @@
                 if not isinstance(done[0], asyncio.CancelledError):
                     break
                 after += 1
-            assert after > 5 and done[0].end is End.SERVED  # type: ignore[union-attr]
+            assert after > 5 and done[0].end is AttemptOutcome.SERVED  # type: ignore[union-attr]
 
     play(story())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,12 +19,14 @@
         {"x0": st.floats(-5, 1e6), "backlog": st.floats(0, 1e6), "outstanding": st.floats(0, 1e6)}
     ),
 )
-LATER_ENDINGS = [e for e in api.Ending if e is not api.Ending.IGNORED]
+LATER_ENDINGS = [e for e in api.Outcome if e is not api.Outcome.IGNORED]
 
 
 def drive(world: World, data: st.DataObject) -> None:
     """Any legal events in any order; the world judges each action, and at the end all must be answered."""
-    world.list_workers(*(worker(n) for n in range(data.draw(st.integers(0, 5)))), how=api.Listing.KEPT)
+    world.list_workers(
+        *(worker(n) for n in range(data.draw(st.integers(0, 5)))), how=api.WorkerListKind.CACHED
+    )
     world.judge_cold = False  # here sizes, hints and answers contradict each other: see the pointed test
     tenants = [None, *(tenant.name for tenant in world.conf.tenants), "unlisted"]
     happens = ["ask", "ask", "end", "end", "start", "list", "gone", "heard", "wait"]
@@ -51,7 +53,7 @@
                 said = data.draw(st.sampled_from(api.Word))
                 uid = data.draw(st.sampled_from(sorted(world.listed)))
                 hint = api.Hint(uid, said, data.draw(st.sampled_from([0.0, 1.0, 255.0])), 0.1)
-                world.feed(api.Heard(data.draw(st.integers(0, world.conf.dispatchers - 1)), (hint,)))
+                world.feed(api.HintsReceived(data.draw(st.integers(0, world.conf.dispatchers - 1)), (hint,)))
             case "list":
                 info = worker(
                     data.draw(st.integers(0, 5)),
@@ -60,12 +62,12 @@
                     size=data.draw(st.sampled_from([0.0, 0.5, 4.0])),
                     started_at=data.draw(st.sampled_from([None, 0, world.now - 100 * MS, world.now])),
                 )
-                hows = [api.Listing.CHANGES, api.Listing.WHOLE]
+                hows = [api.WorkerListKind.CHANGES, api.WorkerListKind.FULL]
                 world.list_workers(info, how=data.draw(st.sampled_from(hows)))
             case "gone" if world.asked:
                 number = data.draw(st.sampled_from(sorted(world.asked)))
                 world.asked[number].answered = True
-                world.feed(api.Abandoned(number))
+                world.feed(api.RequestAbandoned(number))
             case _:
                 world.advance(data.draw(st.sampled_from([1, 20 * MS, 300 * MS, 2_500 * MS])))
     world.advance(30_000 * MS)
@@ -112,7 +114,7 @@
     world = World(settings())
     world.list_workers(worker(0), worker(2))
     number = world.ask("fee")
-    world.end(number, api.Ending.CONNECT_FAILED)
+    world.end(number, api.Outcome.CONNECT_FAILED)
     first, second = world.asked[number].tries
     assert first.worker != second.worker
 
@@ -121,7 +123,7 @@
     world = World(settings())
     world.list_workers(worker(0), worker(2))
     number = world.ask("fee")
-    world.end(number, api.Ending.FAILED)
+    world.end(number, api.Outcome.FAILED)
     assert len(world.asked[number].tries) == 1
     assert world.asked[number].answered
 
@@ -131,15 +133,15 @@
     world.list_workers(worker(0), worker(1), worker(4), worker(5))
     for _ in range(6):
         number = world.ask("vent", key=3)
-        world.end(number, api.Ending.FAILED)
+        world.end(number, api.Outcome.FAILED)
         if len(world.asked[number].tries) > 1:
-            world.end(number, api.Ending.OK)
+            world.end(number, api.Outcome.OK)
 
 
 def test_nothing_goes_to_a_draining_worker() -> None:
     world = World(settings())
     world.list_workers(worker(0), worker(1))
-    world.list_workers(worker(0, health=api.Health.DRAINING), how=api.Listing.CHANGES)
+    world.list_workers(worker(0, health=api.Health.DRAINING), how=api.WorkerListKind.CHANGES)
     for key in range(8):
         world.ask("fee", key=key)
     sent = {a.worker for _, a in world.trace if isinstance(a, api.Send)}
@@ -153,7 +155,7 @@
     for key in range(200):
         world.ask("read", key=key)
         for number in list(world.out()):
-            world.end(number, api.Ending.FAILED)
+            world.end(number, api.Outcome.FAILED)
         world.advance(100 * MS)
     tries = sum(len(a.tries) for a in world.asked.values())
     assert tries <= 200 * 1.1 + 12
@@ -164,8 +166,8 @@
     world.list_workers(worker(0))
     number = world.ask("fee")
     world.asked[number].answered = True
-    world.feed(api.Abandoned(number))
-    world.end(number, api.Ending.FAILED)
+    world.feed(api.RequestAbandoned(number))
+    world.end(number, api.Outcome.FAILED)
     assert len(world.asked[number].tries) == 1
 
 
@@ -178,13 +180,13 @@
         world.advance(10 * MS)
         for number in world.out()[:2]:
             if world.now - world.asked[number].tries[0].sent >= 300 * MS:
-                world.end(number, api.Ending.OK, load={"x0": 2.0, "backlog": 0.0})
+                world.end(number, api.Outcome.OK, load={"x0": 2.0, "backlog": 0.0})
     assert 3 < len(world.sends_to_cold[worker(0).id]) < 100
 
 
 def test_wrong_use_is_named() -> None:
     policy = Policy(settings(), 1)
-    policy.handle(10, api.WorkersChanged(api.Listing.KEPT))
+    policy.handle(10, api.WorkersChanged(api.WorkerListKind.CACHED))
     policy.handle(10, api.Request(1, "fee", 1_000_000))
     with pytest.raises(ValueError, match="request 1 came twice"):
         policy.handle(10, api.Request(1, "fee", 1_000_000))
@@ -195,8 +197,8 @@
     for change, match in (
         ({"order_settle": -1}, "order_settle is negative"),
         ({"cold_share": 1.5}, "cold_share is no fraction"),
-        ({"classes": (api.JobClass("a", -1, 1, 1.0, api.Repeat.SAFE),)}, "a.aim is negative"),
-        ({"classes": (api.JobClass("a", 1, 1, 1.0, api.Repeat.SAFE),) * 2}, "one name"),
+        ({"classes": (api.JobClass("a", -1, 1, 1.0, api.RetrySafety.SAFE),)}, "a.aim is negative"),
+        ({"classes": (api.JobClass("a", 1, 1, 1.0, api.RetrySafety.SAFE),) * 2}, "one name"),
     ):
         with pytest.raises(ValueError, match=match):
             api.Settings(**{"classes": (), **change})  # type: ignore[arg-type]
@@ -216,7 +218,7 @@
             number = world.ask("read", key=key, work_hint=300 * MS)
             if world.asked[number].tries:
                 sent.append(world.now)
-                world.end(number, api.Ending.OK)
+                world.end(number, api.Outcome.OK)
             world.advance(25 * MS)
     window, slots, conf = 2_000 * MS, 4.0, settings()
     for at in sent:
@@ -244,8 +246,8 @@
     """Without messages and probes: who has just started, or is told late, has saved up no budget, and takes
     classes of which nothing is known yet for no shorter than the mean. Beyond N only chance may come: twice
     the root of N, and 2. All are started anew amid it, or none."""
-    short = api.JobClass("short", aim * MS, 5_000 * MS, 3.0, api.Repeat.SAFE)
-    long = api.JobClass("long", 300 * MS, 5_000 * MS, 3.0, api.Repeat.SAFE)  # none of it comes
+    short = api.JobClass("short", aim * MS, 5_000 * MS, 3.0, api.RetrySafety.SAFE)
+    long = api.JobClass("long", 300 * MS, 5_000 * MS, 3.0, api.RetrySafety.SAFE)  # none of it comes
     conf, born = replace(settings(dispatchers=dispatchers), classes=(short, long), tenants=()), 1_000_000
     sent = list[tuple[int, str]]()
     listed = [worker(n, kind="even", started_at=born) for n in range(2)]
@@ -259,7 +261,7 @@
             world.advance(20 * MS)
             for number in world.out():
                 if world.now - world.asked[number].tries[-1].sent >= work * MS:
-                    world.end(number, api.Ending.OK)
+                    world.end(number, api.Outcome.OK)
         sent += [(t.sent, t.worker) for w in (*out, world) for a in w.asked.values() for t in a.tries]
     assert len(sent) >= 20
     for at, name in sent:
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -18,13 +18,21 @@
 from rookwood.net.dispatcher import Dispatcher
 from rookwood.net.room import BASE, CALL_ACCEPTS, room_of
 from tests import stage as st
-from tests.stage import LIMIT, SETTINGS, Endpoint, Stage, Streams, stage, until
+from tests.stage import (
+    LIMIT,
+    SETTINGS,
+    DispatcherFixture,
+    ScriptedWorker,
+    Streams,
+    start_dispatcher,
+    wait_until,
+)
 from tests.test_stories import READY, play
 
 MGMT = "127.0.0.1:0"
 
 
-async def call(s: Stage, path: str, method: str = "GET") -> tuple[int, str]:
+async def call(s: DispatcherFixture, path: str, method: str = "GET") -> tuple[int, str]:
     assert s.dispatcher.mgmt
     reader, writer = await asyncio.open_connection("127.0.0.1", s.dispatcher.mgmt)
     writer.write(f"{method} /ops/{path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
@@ -33,7 +41,7 @@
     return int(text.split()[1]), text.partition("\r\n\r\n")[2]
 
 
-async def stats(s: Stage) -> dict[str, str]:
+async def stats(s: DispatcherFixture) -> dict[str, str]:
     status, text = await call(s, "stats")
     assert status == 200
     return dict(line.removeprefix("dispatcher.").split(":") for line in text.splitlines())
@@ -52,7 +60,7 @@
 )
 def test_second_address_answers_each_call(tmp_path: Path, method: str, path: str, status: int) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT) as s:
             assert (await call(s, path, method))[0] == status
 
     play(story())
@@ -65,7 +73,7 @@
     """More of them than there is room for, so the oldest go at once; the rest when their time is up."""
 
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT) as s:
             assert s.dispatcher.mgmt
             stalled: list[Streams] = []
             for _ in range(2 * s.dispatcher._management._room.callers):
@@ -84,26 +92,26 @@
 def test_figures_tell_what_became_of_jobs(tmp_path: Path) -> None:
     async def story() -> None:
         scripts = [st.served, st.status(500), st.status(500), st.status(503, "Not-Started: 1"), st.served]
-        endpoint = Endpoint(*scripts, st.silent)
-        async with stage(tmp_path, endpoint, mgmt=MGMT) as s:
+        endpoint = ScriptedWorker(*scripts, st.silent)
+        async with start_dispatcher(tmp_path, endpoint, mgmt=MGMT) as s:
             first = await stats(s)
             assert {v for k, v in first.items() if k.startswith("transactions.")} == {"0|c"}
             assert len([k for k in first if k.startswith("transactions.")]) == 8
             gauges = [first[name] for name in ("current", "cluster_size", "cluster_unhealthy")]
             assert gauges == ["0|g", "1|g", "0|g"]
-            asked = [(await s.ask(path))[0] for path in ("/page", "/unlock", "/nothing", "/unlock")]
+            asked = [(await s.send_request(path))[0] for path in ("/page", "/unlock", "/nothing", "/unlock")]
             assert asked == [200, 502, 404, 502]
-            assert (await s.ask("/page"))[0] == 200  # turned away once, so written twice
+            assert (await s.send_request("/page"))[0] == 200  # turned away once, so written twice
             reader, writer = await s.connect()
             writer.write(s.request("/page"))
-            await until(lambda: len(endpoint.seen) == 6)
+            await wait_until(lambda: len(endpoint.seen) == 6)
             found = await stats(s)
             assert found["transactions.page.answered"] == "2|c"
             assert found["transactions.unlock.errored"] == "2|c"
             assert (found["transactions.page.sends"], found["transactions.unlock.sends"]) == ("4|c", "2|c")
             assert found["current"] == "1|g"
             writer.close()  # who leaves is no longer counted as there
-            await until(lambda: s.dispatcher._decisions.open == 0)
+            await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
             assert (await stats(s))["current"] == "0|g"
 
     play(story())
@@ -112,9 +120,9 @@
 def test_figures_count_refusals_that_the_decisions_never_see(tmp_path: Path) -> None:
     async def story() -> None:
         limits = {"sockets": 256, "memory_mb": 1}
-        async with stage(tmp_path, Endpoint(st.served), mgmt=MGMT, limits=limits) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT, limits=limits) as s:
             s.dispatcher._inbound._bytes_left = 0
-            assert (await s.ask("/page"))[0] == 503
+            assert (await s.send_request("/page"))[0] == 503
             assert (await stats(s))["transactions.page.deferred"] == "1|c"
 
     play(story())
@@ -122,11 +130,11 @@
 
 def test_cluster_figures_come_from_the_decisions(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoints = [Endpoint(st.served) for _ in range(4)]
-        async with stage(tmp_path, *endpoints, mgmt=MGMT) as s:
-            listed = [st.entry(f"s-{n}", e.address) for n, e in enumerate(endpoints)]
+        endpoints = [ScriptedWorker(st.served) for _ in range(4)]
+        async with start_dispatcher(tmp_path, *endpoints, mgmt=MGMT) as s:
+            listed = [st.target_entry(f"s-{n}", e.address) for n, e in enumerate(endpoints)]
             s.discovery.say(2, listed[0] | {"state": "draining"}, listed[1] | {"state": "removed"})
-            await until(lambda: s.dispatcher._destinations.revision == 2)
+            await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             s.dispatcher._decisions._policy.workers["s-2"].trust = 0.1
             found = await stats(s)
             assert (found["cluster_size"], found["cluster_unhealthy"]) == ("3|g", "2|g")
@@ -141,8 +149,8 @@
     monkeypatch.setattr(phase, "TAKEN", timedelta(hours=1))
 
     async def story() -> None:
-        endpoint = Endpoint(st.served, st.silent)
-        async with stage(tmp_path, endpoint, mgmt=MGMT) as s:
+        endpoint = ScriptedWorker(st.served, st.silent)
+        async with start_dispatcher(tmp_path, endpoint, mgmt=MGMT) as s:
             idle, busy = await s.connect(), await s.connect()
             assert (await s.exchange(idle, READY))[0] == 200
             assert (await s.exchange(busy, s.request()))[0] == 200
@@ -151,7 +159,7 @@
             assert (await s.exchange(await s.connect(), READY))[0] == 503
             # The front has not heard yet: connections are served as ever, and nothing is lost later on.
             busy[1].write(s.request())
-            await until(lambda: len(endpoint.seen) == 2)
+            await wait_until(lambda: len(endpoint.seen) == 2)
             s.dispatcher._service._moves = s.dispatcher._clock.now()
             assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""
             s.dispatcher._service._refuses = s.dispatcher._clock.now()
@@ -171,14 +179,14 @@
 
 def test_leaving_is_final_also_for_the_end_of_a_drain(tmp_path: Path) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT) as s:
             await call(s, "drain/start", "POST")
             s.discovery.say(2)  # what else goes on goes on amid a drain
-            await until(lambda: s.dispatcher._destinations.revision == 2)
+            await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             usual = await s.connect()
             assert (await s.exchange(usual, s.request()))[0] == 200
-            s.dispatcher.leave()
-            await asyncio.wait_for(s.dispatcher.left(), LIMIT)  # and it ends, as nobody is left
+            s.dispatcher.begin_shutdown()
+            await asyncio.wait_for(s.dispatcher.wait_drained(), LIMIT)  # and it ends, as nobody is left
             assert await call(s, "drain/stop", "POST") == (409, "leaving\n")
             assert await call(s, "drain/start", "POST") == (200, "leaving\n")
             assert (await call(s, "readiness"))[0] == 503
@@ -188,18 +196,21 @@
 
 @contextlib.asynccontextmanager
 async def upgrade(
-    folder: Path, *endpoints: Endpoint, **changes: Any
-) -> AsyncIterator[tuple[Stage, Stage, st.Discovery]]:
+    folder: Path, *endpoints: ScriptedWorker, **changes: Any
+) -> AsyncIterator[tuple[DispatcherFixture, DispatcherFixture, st.Discovery]]:
     """The old one, the new one that waits for its list, and the discovery that is to give it."""
     discovery, place = st.Discovery(), {"TMPDIR": str(folder)}
     changes["mgmt"] = MGMT
-    async with stage(folder, *endpoints, tmpdir=folder, **changes) as old, st.listening(discovery) as where:
+    async with (
+        start_dispatcher(folder, *endpoints, tmpdir=folder, **changes) as old,
+        st.listening(discovery) as where,
+    ):
         changes["listen"] = f"127.0.0.1:{old.port}"
         new = Dispatcher(load(st.environment(folder, [], where, **changes) | place))
         starting = asyncio.create_task(new.start())
         try:
-            await until(lambda: len(discovery.asked) == 1)
-            both = Stage(new, old.port, discovery)
+            await wait_until(lambda: len(discovery.asked) == 1)
+            both = DispatcherFixture(new, old.port, discovery)
             both.ids = old.ids
             yield old, both, discovery
         finally:
@@ -210,24 +221,24 @@
 
 def test_upgrade_loses_no_connection_and_the_old_process_ends_what_it_has(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served, st.silent, st.served)
+        endpoint = ScriptedWorker(st.served, st.silent, st.served)
         async with upgrade(tmp_path, endpoint) as (old, new, discovery):
             idle, busy = await old.connect(), await old.connect()
             assert (await old.exchange(idle, old.request()))[0] == 200
             busy[1].write(text := old.request())
-            await until(lambda: len(endpoint.seen) == 2)
+            await wait_until(lambda: len(endpoint.seen) == 2)
             # No yes before the list is current; the old one serves.
             assert (await call(new, "readiness"))[0] == 503
             assert (await old.exchange(await old.connect(), READY))[0] == 200
-            listed = st.entry("s-0", endpoint.address)
+            listed = st.target_entry("s-0", endpoint.address)
             old.dispatcher._inbound._server.close()  # type: ignore[union-attr]  # waits in the queue now:
             waiting = await old.connect()
             waiting[1].write(old.request("/unlock"))
             discovery.say(7, listed, whole=True)
-            await until(lambda: new.dispatcher._service.ready)
+            await wait_until(lambda: new.dispatcher._service.ready)
             assert (await asyncio.wait_for(waiting[0].readline(), LIMIT)).startswith(b"HTTP/1.1 200")
             assert new.dispatcher._figures.text().count(":1|c") == 2  # answered and sent there
-            await until(lambda: old.dispatcher._service.succeeded)
+            await wait_until(lambda: old.dispatcher._service.succeeded)
             assert new.dispatcher._decisions._policy.firsts["page", None] > 0.9  # what was learned before
             assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""
             assert (await call(old, "readiness"))[0] == 503
@@ -238,11 +249,11 @@
             assert (await new.exchange(await new.connect(), text))[0] == 409  # nor do they run twice
             endpoint.resume.set()
             assert b"late" in await asyncio.wait_for(busy[0].read(), LIMIT)
-            await asyncio.wait_for(old.dispatcher.left(), LIMIT)
+            await asyncio.wait_for(old.dispatcher.wait_drained(), LIMIT)
             await old.dispatcher.close()
-            await until(lambda: new.dispatcher._endpoints.most > old.dispatcher._endpoints.most)
+            await wait_until(lambda: new.dispatcher._endpoints.most > old.dispatcher._endpoints.most)
             assert (await call(new, "readiness"))[0] == 200
-            assert (await new.ask())[0] == 200
+            assert (await new.send_request())[0] == 200
 
     play(story())
 
@@ -251,7 +262,7 @@
     """It has the listening socket already, and was just waiting for its list."""
 
     async def story() -> None:
-        async with upgrade(tmp_path, Endpoint(st.served)) as (old, new, _):
+        async with upgrade(tmp_path, ScriptedWorker(st.served)) as (old, new, _):
             streams = await old.connect()
             assert (await old.exchange(streams, old.request()))[0] == 200
             await new.dispatcher.close()
@@ -266,7 +277,7 @@
     """The old one kept it for as long as its jobs ran, and the new one decided deaf and dumb."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.silent, st.served)
+        endpoint = ScriptedWorker(st.silent, st.served)
         peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         peer.bind(("127.0.0.1", 0))
         peer.settimeout(LIMIT)
@@ -280,15 +291,15 @@
             busy[1].write(old.request())
             assert len(await asyncio.to_thread(peer.recv, 512)) == 4  # word of that job
             host, _, port = places[0].partition(":")
-            discovery.say(7, st.entry("s-0", endpoint.address), whole=True)
-            await until(lambda: old.dispatcher._service.succeeded)
+            discovery.say(7, st.target_entry("s-0", endpoint.address), whole=True)
+            await wait_until(lambda: old.dispatcher._service.succeeded)
             for serial in range(20):  # all of it reaches the new one alone, while the old one still runs
                 peer.sendto(b"odd" + bytes([serial]), (host, int(port)))
-            await until(lambda: new_peers.dropped.total() == 20)
+            await wait_until(lambda: new_peers.dropped.total() == 20)
             assert not old_peers.dropped
             (held,) = new.dispatcher._decisions._policy.workers.values()
             assert sum(slots for _, _, slots in held.told) == 1  # the old one's job is in the books
-            assert (await new.ask())[0] == 200
+            assert (await new.send_request())[0] == 200
             sent = [await asyncio.to_thread(peer.recv, 512) for _ in range(2)]
             endpoint.resume.set()
             ended = await asyncio.to_thread(peer.recv, 512)  # and the old one still tells of its end
@@ -307,7 +318,7 @@
     monkeypatch.setattr(dispatcher, "HANDOVER_LIMIT", timedelta(milliseconds=100))
 
     async def story() -> None:
-        endpoint = Endpoint(st.silent)
+        endpoint = ScriptedWorker(st.silent)
         async with upgrade(tmp_path, endpoint) as (old, new, _):
             busy = await old.connect()
             busy[1].write(old.request())
@@ -321,13 +332,13 @@
 
 def test_process_told_to_end_before_it_took_over_leaves_the_old_one_in_place(tmp_path: Path) -> None:
     async def story() -> None:
-        async with upgrade(tmp_path, Endpoint(st.served)) as (old, new, discovery):
-            new.dispatcher.leave()
+        async with upgrade(tmp_path, ScriptedWorker(st.served)) as (old, new, discovery):
+            new.dispatcher.begin_shutdown()
             discovery.say(7, whole=True)
-            await until(lambda: new.dispatcher._destinations.revision == 7)
+            await wait_until(lambda: new.dispatcher._destinations.revision == 7)
             await asyncio.sleep(0.1)
             assert old.dispatcher._service.ready and not old.dispatcher._service.succeeded
-            assert (await old.ask())[0] == 200
+            assert (await old.send_request())[0] == 200
 
     play(story())
 
@@ -336,9 +347,9 @@
     """Calls would go to either process, as the kernel likes."""
 
     async def story() -> None:
-        async with stage(tmp_path, mgmt=MGMT) as first:
+        async with start_dispatcher(tmp_path, mgmt=MGMT) as first:
             with pytest.raises(OSError):
-                async with stage(tmp_path, mgmt=f"127.0.0.1:{first.dispatcher.mgmt}"):
+                async with start_dispatcher(tmp_path, mgmt=f"127.0.0.1:{first.dispatcher.mgmt}"):
                     pass
 
     play(story())
@@ -347,9 +358,9 @@
 @pytest.mark.parametrize("text", ["{}", "[]", "", '{"ids": 3}', '{"ids": [], "decisions": {"form": 99}}'])
 def test_unsound_memory_of_the_old_process_stops_no_start(tmp_path: Path, text: str) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             s.dispatcher._recall(text.encode())
-            assert (await s.ask())[0] == 200
+            assert (await s.send_request())[0] == 200
 
     play(story())
 
@@ -369,8 +380,8 @@
                 peer.bind(str(place))
             if left == "a process that hangs":
                 peer.listen()
-            async with stage(tmp_path, Endpoint(st.served), tmpdir=tmp_path) as s:
-                assert (await s.ask())[0] == 200
+            async with start_dispatcher(tmp_path, ScriptedWorker(st.served), tmpdir=tmp_path) as s:
+                assert (await s.send_request())[0] == 200
                 assert place.is_socket()  # its own: the next can take over from it
         assert not place.exists()
 
@@ -379,8 +390,8 @@
 
 def test_process_at_another_address_is_no_upgrade(tmp_path: Path) -> None:
     async def story() -> None:
-        other = stage(tmp_path, tmpdir=tmp_path, listen="127.0.0.2:0")
-        async with stage(tmp_path, tmpdir=tmp_path) as first, other as second:
+        other = start_dispatcher(tmp_path, tmpdir=tmp_path, listen="127.0.0.2:0")
+        async with start_dispatcher(tmp_path, tmpdir=tmp_path) as first, other as second:
             assert second.dispatcher._service.ready and not first.dispatcher._service.succeeded
 
     play(story())
@@ -390,8 +401,8 @@
     """Else who writes for long is taken for a repeat that is late already, and refused."""
 
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             text, streams = s.request(timeout=8.0), await s.connect()
             streams[1].write(text[:-1])
             await asyncio.sleep(1)
@@ -403,7 +414,7 @@
 
 def test_full_house_lets_go_of_who_stalls_not_of_who_writes_slowly(tmp_path: Path) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served), limits={"sockets": 128}) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), limits={"sockets": 128}) as s:
             text, slow = s.request(body=b"x" * 200), await s.connect()
             slow[1].write(text[:-100])
             crowd = []
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 from rookwood.net import inbound, request
 from rookwood.net.endpoints import History
 from tests import stage as st
-from tests.stage import LIMIT, Endpoint, Script, stage, until
+from tests.stage import LIMIT, Script, ScriptedWorker, start_dispatcher, wait_until
 from tests.test_stories import POST, READY, play
 
 
@@ -25,7 +25,7 @@
     monkeypatch.setattr(inbound, "FIRST_LIMIT", timedelta(milliseconds=200))
 
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             usual = await s.connect()
             assert (await s.exchange(usual, s.request()))[0] == 200
             reader, writer = await s.connect()
@@ -39,7 +39,7 @@
 
 def test_crowd_that_says_nothing_costs_no_usual_client_its_connection(tmp_path: Path) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served), limits={"sockets": 128}) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), limits={"sockets": 128}) as s:
             usual = [await s.connect() for _ in range(20)]
             for streams in usual:
                 assert (await s.exchange(streams, s.request()))[0] == 200
@@ -49,7 +49,7 @@
             for _ in range(50):  # these ask whether the program is ready, and stay
                 crowd.append(await s.connect())
                 assert (await s.exchange(crowd[-1], READY))[0] == 200
-                assert (await s.ask())[0] == 200
+                assert (await s.send_request())[0] == 200
             for streams in usual:
                 assert (await s.exchange(streams, s.request()))[0] == 200
             for _, writer in (*crowd, *usual):
@@ -61,29 +61,29 @@
 def test_bodies_in_hand_are_bounded_by_memory(tmp_path: Path) -> None:
     async def story() -> None:
         limits = {"sockets": 256, "memory_mb": 1}  # an eighth of it holds two bodies
-        async with stage(tmp_path, Endpoint(st.served), limits=limits) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), limits=limits) as s:
             request = s.request(body=b"x" * 65536)
             held = [await s.connect() for _ in range(2)]
             for _, writer in held:
                 writer.write(request[:-1])
-            await until(lambda: s.dispatcher._inbound._bytes_left == 0)
-            assert (await s.ask(body=b"x"))[0] == 503
+            await wait_until(lambda: s.dispatcher._inbound._bytes_left == 0)
+            assert (await s.send_request(body=b"x"))[0] == 503
             for _, writer in held:
                 writer.close()
-            await until(lambda: s.dispatcher._inbound._bytes_left == 2 * 65536)
-            assert (await s.ask(body=b"x"))[0] == 200
+            await wait_until(lambda: s.dispatcher._inbound._bytes_left == 2 * 65536)
+            assert (await s.send_request(body=b"x"))[0] == 200
 
     play(story())
 
 
 def test_id_that_was_here_is_turned_away(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.silent, st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.silent, st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             text = s.request("/unlock")
             reader, writer = await s.connect()
             writer.write(text)
-            await until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.seen) == 1)
             assert (await s.exchange(await s.connect(), text))[0] == 409
             endpoint.resume.set()
             assert b"late" in await asyncio.wait_for(reader.readuntil(b"late"), LIMIT)
@@ -95,16 +95,16 @@
 
 def test_request_that_no_endpoint_can_use_costs_none_its_trust(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.status(400), st.served)
-        async with stage(tmp_path, endpoint) as s:
-            assert (await s.ask())[0] == 400
+        endpoint = ScriptedWorker(st.status(400), st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            assert (await s.send_request())[0] == 400
             policy = s.dispatcher._decisions._policy
-            assert (len(endpoint.seen), policy.workers["s-0"].trust, policy.used) == (1, 1.0, 0.0)
+            assert (len(endpoint.seen), policy.workers["s-0"].trust, policy.used_slots) == (1, 1.0, 0.0)
 
     play(story())
 
 
-class Forgetful(Endpoint):
+class Forgetful(ScriptedWorker):
     """Drops each connection after its first answer without a word: what comes then is reset."""
 
     def __init__(self, patience: float) -> None:
@@ -127,9 +127,9 @@
 
     async def story() -> None:
         endpoint = Forgetful(patience=0)
-        async with stage(tmp_path, endpoint) as s:
+        async with start_dispatcher(tmp_path, endpoint) as s:
             for n in range(3):
-                assert (await s.ask(f"/unlock?k={n}"))[0] == 200
+                assert (await s.send_request(f"/unlock?k={n}"))[0] == 200
             assert len(endpoint.seen) == 3
             assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
 
@@ -139,11 +139,14 @@
 def test_what_must_not_run_twice_avoids_kept_connections_that_break(tmp_path: Path) -> None:
     async def story() -> None:
         endpoint = Forgetful(patience=0.1)
-        async with stage(tmp_path, endpoint) as s:
-            assert [(await s.ask())[0] for _ in range(2)] == [200, 200]  # the second at its second try
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            assert [(await s.send_request())[0] for _ in range(2)] == [
+                200,
+                200,
+            ]  # the second at its second try
             assert endpoint.resets == 1
             assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0  # a connection is no endpoint
-            assert [(await s.ask("/unlock"))[0] for _ in range(3)] == [200] * 3
+            assert [(await s.send_request("/unlock"))[0] for _ in range(3)] == [200] * 3
             assert endpoint.resets == 1
 
     play(story())
@@ -164,9 +167,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             monkeypatch.setattr(s.dispatcher._endpoints, "most", 0)
-            status, headers, _ = await s.ask("/unlock")
+            status, headers, _ = await s.send_request("/unlock")
             assert (status, "retry-after" in headers) == (503, True)
             assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
 
@@ -180,15 +183,15 @@
     monkeypatch.setattr(request, "EXCUSED", timedelta(0))
 
     async def story() -> None:
-        endpoints = [Endpoint(*scripts)] if scripts else []
-        async with stage(tmp_path, *endpoints) as s:
+        endpoints = [ScriptedWorker(*scripts)] if scripts else []
+        async with start_dispatcher(tmp_path, *endpoints) as s:
             clock = s.dispatcher._clock
             s.dispatcher._requests.leave(clock.now() + timedelta(milliseconds=300))
             start = clock.now()
-            found, headers, _ = await s.ask(path)
+            found, headers, _ = await s.send_request(path)
             assert (found, "retry-after" in headers) == (status, status == 503)
             assert clock.now() - start < timedelta(seconds=6)  # of the 8 that the client would wait
-            assert s.dispatcher._decisions.open == 0
+            assert s.dispatcher._decisions.open_requests == 0
 
     play(story())
 
@@ -204,13 +207,13 @@
             data = json.loads(place.read_text())
             async with st.running(environ) as (child, _, _):
                 assert child.stderr
-                await until(lambda: len(old.asked) == 1)
+                await wait_until(lambda: len(old.asked) == 1)
                 place.write_text(json.dumps(data | {"discovery": second}))
                 child.send_signal(signal.SIGHUP)
-                await until(lambda: len(new.asked) == 1)
+                await wait_until(lambda: len(new.asked) == 1)
                 assert new.asked == ["/api/targets"]
                 new.say(0, whole=True)
-                await until(lambda: len(new.asked) == 2)
+                await wait_until(lambda: len(new.asked) == 2)
                 assert new.asked[1] == "/api/targets?follow=1&since=0"
                 place.write_text(json.dumps(data | {"discovery": 5}))
                 child.send_signal(signal.SIGHUP)
@@ -218,7 +221,7 @@
                     assert text, "it ended on SIGHUP"
                 place.write_text(json.dumps(data))
                 child.send_signal(signal.SIGHUP)
-                await until(lambda: len(old.asked) == 2)
+                await wait_until(lambda: len(old.asked) == 2)
                 child.send_signal(signal.SIGTERM)
                 child.send_signal(signal.SIGHUP)
                 assert await asyncio.wait_for(child.wait(), LIMIT) == 0
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rookwood.settings import Tree, settings_of
+from rookwood.settings import JsonReader, parse_settings
 from tests.test_any_settings import PLAYED, SECOND, answers_each_and_repeats_none, any_number
 from tests.test_rules import drive
 from tests.world import World
@@ -67,7 +67,7 @@
     @any_number(40)
     @given(data=st.data())
     def played(data: st.DataObject) -> None:
-        drive(World(settings_of(Tree(told(site))), seed=data.draw(st.integers(0, 3))), data)
+        drive(World(parse_settings(JsonReader(told(site))), seed=data.draw(st.integers(0, 3))), data)
 
     played()
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -18,11 +18,11 @@
 from rookwood import interface as api
 from rookwood.net import destinations, endpoints
 from rookwood.net.clock import EPOCH, Clock
-from rookwood.net.decisions import Decisions, End
+from rookwood.net.decisions import AttemptOutcome, PolicyDriver
 from rookwood.net.destinations import LONGEST_PAUSE, PAUSE, Pace
-from rookwood.net.endpoints import Endpoints, Outgoing
+from rookwood.net.endpoints import Endpoints, WorkerRequest
 from tests import stage as st
-from tests.stage import LIMIT, SETTINGS, Endpoint, Script, stage, until
+from tests.stage import LIMIT, SETTINGS, Script, ScriptedWorker, start_dispatcher, wait_until
 
 
 def play(story: Coroutine[Any, Any, None]) -> None:
@@ -62,15 +62,15 @@
     tmp_path: Path, path: str, scripts: list[Script], status: int, attempts: int
 ) -> None:
     async def story() -> None:
-        endpoint = Endpoint(*scripts)
-        async with stage(tmp_path, endpoint) as s:
-            found, _, body = await s.ask(path + "?k=7&x=%20")
+        endpoint = ScriptedWorker(*scripts)
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            found, _, body = await s.send_request(path + "?k=7&x=%20")
             assert (found, len(endpoint.seen)) == (status, attempts)
             assert (body == b"page") == (status == 200)
             assert set(endpoint.seen) == {path + "?k=7&x=%20"}
             assert {h["request-id"] for h in endpoint.headers} == {"r1"}
             assert all(float(h["request-timeout"]) < 8 for h in endpoint.headers)
-            assert (await s.ask("/unlock"))[0] == 200  # and the next is not affected
+            assert (await s.send_request("/unlock"))[0] == 200  # and the next is not affected
 
     play(story())
 
@@ -90,12 +90,12 @@
     tmp_path: Path, path: str, values: list[bytes]
 ) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.ends("returned"), st.served)
+        endpoint = ScriptedWorker(st.ends("returned"), st.served)
         roster = st.lane("roster", "keyed", group="zone", window=30_000_000)
         lanes = [*SETTINGS["lanes"], roster]
-        async with stage(tmp_path, endpoint, settings=SETTINGS | {"lanes": lanes}) as s:
+        async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"lanes": lanes}) as s:
             more = b"".join(b"idempotency-KEY: %s\r\n" % value for value in values)
-            assert (await s.ask(path, more=more))[0] == 200
+            assert (await s.send_request(path, more=more))[0] == 200
             sent = b"|".join(values).decode("latin-1")
             assert [h.get("idempotency-key", "") for h in endpoint.headers] == [sent] * 2
 
@@ -104,12 +104,12 @@
 
 def test_slots_named_by_a_request_are_counted_at_its_endpoint(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.silent)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.silent)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             _, writer = await s.connect()
             writer.write(s.request(more=b"Request-Info: slots=3,memory=2\r\n"))
-            await until(lambda: len(endpoint.seen) == 1)
-            assert s.dispatcher._decisions._policy.workers["s-0"].used == 3
+            await wait_until(lambda: len(endpoint.seen) == 1)
+            assert s.dispatcher._decisions._policy.workers["s-0"].used_slots == 3
             writer.close()
 
     play(story())
@@ -117,11 +117,11 @@
 
 def test_refused_connection_is_an_attempt_that_never_ran(tmp_path: Path) -> None:
     async def story() -> None:
-        dead, alive = Endpoint(st.served), Endpoint(st.served)
+        dead, alive = ScriptedWorker(st.served), ScriptedWorker(st.served)
         async with st.listening(dead) as dead.address:
             pass  # nobody listens there any more
-        async with stage(tmp_path, dead, alive) as s:
-            assert [(await s.ask(f"/unlock?k={n}"))[0] for n in range(6)] == [200] * 6
+        async with start_dispatcher(tmp_path, dead, alive) as s:
+            assert [(await s.send_request(f"/unlock?k={n}"))[0] for n in range(6)] == [200] * 6
 
     play(story())
 
@@ -133,12 +133,12 @@
     tmp_path: Path, first: Script, connections: int
 ) -> None:
     async def story() -> None:
-        endpoint = Endpoint(first, st.served)
-        async with stage(tmp_path, endpoint) as s:
-            assert (await s.ask("/unlock"))[0] == 200
+        endpoint = ScriptedWorker(first, st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
+            assert (await s.send_request("/unlock"))[0] == 200
             if first is st.serves_and_closes:
                 await endpoint.closed.wait()
-            assert (await s.ask("/unlock"))[0] == 200
+            assert (await s.send_request("/unlock"))[0] == 200
             assert endpoint.connections == connections
 
     play(story())
@@ -146,11 +146,11 @@
 
 def test_connection_that_stood_idle_too_long_is_not_used_again(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
+        endpoint = ScriptedWorker(st.served)
         bounds = SETTINGS["bounds"] | {"conn-idle": 1000}
-        async with stage(tmp_path, endpoint, settings=SETTINGS | {"bounds": bounds}) as s:
+        async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"bounds": bounds}) as s:
             for _ in range(2):
-                assert (await s.ask())[0] == 200
+                assert (await s.send_request())[0] == 200
                 await asyncio.sleep(0.002)
             assert endpoint.connections == 2
 
@@ -159,15 +159,15 @@
 
 def test_client_that_goes_away_ends_its_attempt(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.silent, st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.silent, st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             _, writer = await s.connect()
             writer.write(s.request())
-            await until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.seen) == 1)
             writer.close()
             await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
-            await until(lambda: s.dispatcher._decisions.open == 0)
-            assert (await s.ask())[0] == 200
+            await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
+            assert (await s.send_request())[0] == 200
             assert endpoint.connections == 2  # the given-up connection was not kept
 
     play(story())
@@ -176,11 +176,11 @@
 @pytest.mark.parametrize(("path", "status"), [("/page", 503), ("/unlock", 504)])
 def test_silent_endpoint_is_given_up_before_the_client_does(tmp_path: Path, path: str, status: int) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.silent)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.silent)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             loop = asyncio.get_running_loop()
             start = loop.time()
-            found, _, _ = await s.ask(path, timeout=0.3)
+            found, _, _ = await s.send_request(path, timeout=0.3)
             assert found == status
             assert loop.time() - start >= 0.25  # it did wait
             await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
@@ -190,8 +190,8 @@
 
 def test_request_that_no_endpoint_can_take_is_refused(tmp_path: Path) -> None:
     async def story() -> None:
-        async with stage(tmp_path) as s:
-            status, headers, _ = await s.ask(timeout=0.2)
+        async with start_dispatcher(tmp_path) as s:
+            status, headers, _ = await s.send_request(timeout=0.2)
             assert status == 503 and 0.5 <= float(headers["retry-after"]) <= 1.5
 
     play(story())
@@ -201,10 +201,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             monkeypatch.setattr(s.dispatcher._decisions._policy, "handle", lambda now, event: [])
-            assert (await s.ask(timeout=0.2))[0] == 504
-            assert s.dispatcher._decisions.open == 0
+            assert (await s.send_request(timeout=0.2))[0] == 504
+            assert s.dispatcher._decisions.open_requests == 0
 
     play(story())
     assert "no decision before the deadline" in caplog.text
@@ -214,7 +214,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             policy = s.dispatcher._decisions._policy
             good = policy.handle
 
@@ -227,7 +227,7 @@
             streams = await s.connect()
             assert (await s.exchange(streams, s.request("/page")))[0] == 500
             assert (await s.exchange(streams, s.request("/page?k=1")))[0] == 200
-            assert s.dispatcher._decisions.open == 0
+            assert s.dispatcher._decisions.open_requests == 0
 
     play(story())
 
@@ -273,8 +273,8 @@
     tmp_path: Path, data: bytes, status: int
 ) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint) as s:
             streams = await s.connect()
             found, headers, _ = await s.exchange(streams, data)
             assert (found, headers.get("connection") == "close") == (status, status != 200)
@@ -282,7 +282,7 @@
                 assert (await s.exchange(streams, s.request()))[0] == 200
             else:
                 assert await asyncio.wait_for(streams[0].read(), LIMIT) == b""
-            assert (await s.ask("/page?k=last"))[0] == 200
+            assert (await s.send_request("/page?k=last"))[0] == 200
             assert endpoint.seen in (["/page?k=last"], ["/page?k=7", "/page?k=last"])
 
     play(story())
@@ -290,7 +290,7 @@
 
 def test_answer_to_head_has_no_body(tmp_path: Path) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             reader, writer = await s.connect()
             writer.write(b"HEAD /page HTTP/1.1\r\nHost: api\r\n\r\n")
             head = await asyncio.wait_for(reader.read(), LIMIT)
@@ -301,29 +301,29 @@
 
 def test_more_clients_than_descriptors_are_still_answered(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
-        async with stage(tmp_path, endpoint, limits={"sockets": 128}) as s:
+        endpoint = ScriptedWorker(st.served)
+        async with start_dispatcher(tmp_path, endpoint, limits={"sockets": 128}) as s:
             kept = [await s.connect() for _ in range(70)]  # more than the bound on this side
             for streams in kept:
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     assert (await s.exchange(streams, s.request()))[0] in (200, 503)
-            await until(lambda: len(s.dispatcher._inbound._open) <= s.dispatcher._inbound.most)
+            await wait_until(lambda: len(s.dispatcher._inbound._open) <= s.dispatcher._inbound.most)
             for streams in kept:
                 streams[1].close()
-            await until(lambda: not s.dispatcher._inbound._open)
-            assert (await s.ask())[0] == 200
+            await wait_until(lambda: not s.dispatcher._inbound._open)
+            assert (await s.send_request())[0] == 200
 
     play(story())
 
 
 def test_requests_over_the_bound_are_refused_at_once(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.silent, st.served)
+        endpoint = ScriptedWorker(st.silent, st.served)
         bounds = SETTINGS["bounds"] | {"max-open": 1, "max-retry-after": 1_500_000}
-        async with stage(tmp_path, endpoint, settings=SETTINGS | {"bounds": bounds}) as s:
-            first = asyncio.ensure_future(s.ask())
-            await until(lambda: len(endpoint.seen) == 1)
-            status, headers, _ = await s.ask()
+        async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"bounds": bounds}) as s:
+            first = asyncio.ensure_future(s.send_request())
+            await wait_until(lambda: len(endpoint.seen) == 1)
+            status, headers, _ = await s.send_request()
             assert (status, headers["retry-after"]) == (503, "1.500")
             endpoint.resume.set()
             assert (await first)[::2] == (200, b"late")
@@ -333,24 +333,26 @@
 
 def test_list_follows_discovery_through_bad_lines_and_broken_watches(tmp_path: Path) -> None:
     async def story() -> None:
-        old, new = Endpoint(st.served), Endpoint(st.ends("done", result="new"))
+        old, new = ScriptedWorker(st.served), ScriptedWorker(st.ends("done", result="new"))
         rules = SETTINGS["rules"] | {"drain-grace": 0}
         changed = SETTINGS | {"rules": rules}
-        async with stage(tmp_path, old, settings=changed) as s, st.listening(new) as address:
-            assert (await s.ask())[2] == b"page"  # discovery has not said a word yet
-            s.discovery.say(2, st.entry("s-9", address), st.entry("s-0", old.address, "draining"))
-            await until(lambda: s.dispatcher._destinations.revision == 2)
-            assert (await s.ask())[2] == b"new"
+        async with start_dispatcher(tmp_path, old, settings=changed) as s, st.listening(new) as address:
+            assert (await s.send_request())[2] == b"page"  # discovery has not said a word yet
+            s.discovery.say(
+                2, st.target_entry("s-9", address), st.target_entry("s-0", old.address, "draining")
+            )
+            await wait_until(lambda: s.dispatcher._destinations.revision == 2)
+            assert (await s.send_request())[2] == b"new"
             s.discovery.lines.put_nowait(b"\n")  # a sign of life
             s.discovery.lines.put_nowait(b'{"rev":3,"all":false,"targets":[{"uid":4}]}\n')
-            await until(lambda: len(s.discovery.asked) == 2)
+            await wait_until(lambda: len(s.discovery.asked) == 2)
             assert s.discovery.asked == [f"/api/targets?follow=1&since={n}" for n in (1, 2)]
-            assert (await s.ask())[2] == b"new"  # the list stays
+            assert (await s.send_request())[2] == b"new"  # the list stays
             s.discovery.lines.put_nowait(None)
-            await until(lambda: len(s.discovery.asked) == 3)
-            s.discovery.say(4, st.entry("s-0", old.address), whole=True)
-            await until(lambda: s.dispatcher._destinations.revision == 4)
-            assert (await s.ask())[2] == b"page"
+            await wait_until(lambda: len(s.discovery.asked) == 3)
+            s.discovery.say(4, st.target_entry("s-0", old.address), whole=True)
+            await wait_until(lambda: s.dispatcher._destinations.revision == 4)
+            assert (await s.send_request())[2] == b"page"
             assert [s.dispatcher._destinations.accepts(uid) for uid in ("s-0", "s-9")] == [True, False]
 
     play(story())
@@ -371,15 +373,15 @@
 )
 def test_load_comes_by_probes(tmp_path: Path, load: bytes, slots: int) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.served)
+        endpoint = ScriptedWorker(st.served)
         endpoint.load = load
         bounds = SETTINGS["bounds"] | {"probes": True}
         changed = SETTINGS | {"bounds": bounds, "load-report": {"how": "pull"}}
-        async with stage(tmp_path, endpoint, settings=changed) as s:
-            await until(lambda: endpoint.probes > 1)
+        async with start_dispatcher(tmp_path, endpoint, settings=changed) as s:
+            await wait_until(lambda: endpoint.probes > 1)
             policy = s.dispatcher._decisions._policy
-            assert policy.talk.slots(policy.workers["s-0"]) == slots
-            assert (await s.ask())[0] == 200
+            assert policy.load_exchange.slots_of(policy.workers["s-0"]) == slots
+            assert (await s.send_request())[0] == 200
 
     play(story())
 
@@ -399,10 +401,10 @@
 )
 def test_load_told_with_an_answer_reaches_the_decisions(tmp_path: Path, script: Script, slots: int) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(script, st.served)) as s:
-            assert (await s.ask("/page"))[0] == 200
+        async with start_dispatcher(tmp_path, ScriptedWorker(script, st.served)) as s:
+            assert (await s.send_request("/page"))[0] == 200
             policy = s.dispatcher._decisions._policy
-            assert policy.talk.slots(policy.workers["s-0"]) == slots
+            assert policy.load_exchange.slots_of(policy.workers["s-0"]) == slots
 
     play(story())
 
@@ -424,16 +426,16 @@
     tmp_path: Path, headers: bytes, tenant: str | None, hint: int | None
 ) -> None:
     async def story() -> None:
-        async with stage(tmp_path, Endpoint(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
             policy, seen = s.dispatcher._decisions._policy, list[api.Request]()
-            handle = policy.on[api.Request]
+            handle = policy.event_handlers[api.Request]
 
             def watched(request: api.Request) -> None:
                 seen.append(request)
                 handle(request)
 
-            policy.on[api.Request] = watched
-            assert (await s.ask(more=headers))[0] == 200
+            policy.event_handlers[api.Request] = watched
+            assert (await s.send_request(more=headers))[0] == 200
             assert [(r.tenant, r.work_hint) for r in seen] == [(tenant, hint)]
 
     play(story())
@@ -479,7 +481,7 @@
                 )
                 watched.start()
                 stack.push_async_callback(watched.close)
-            await until(lambda: asked[False] >= 4)
+            await wait_until(lambda: asked[False] >= 4)
             assert asked[True] == 1
 
     play(story())
@@ -487,11 +489,11 @@
 
 def test_endpoint_told_to_drain_while_connecting_gets_nothing() -> None:
     async def story() -> None:
-        endpoint, clock = Endpoint(st.served), Clock()
+        endpoint, clock = ScriptedWorker(st.served), Clock()
         async with st.listening(endpoint) as address:
             pool = Endpoints(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
             result = await pool.attempt(
-                Outgoing("a", b"/page", "api", None, b""),
+                WorkerRequest("a", b"/page", "api", None, b""),
                 address,
                 clock.now() + timedelta(seconds=2),
                 still_wanted=lambda: False,
@@ -500,7 +502,7 @@
                 repeatable=True,
             )
             await pool.close()
-            assert (result.end, endpoint.seen) == (End.NEVER_SENT, [])
+            assert (result.end, endpoint.seen) == (AttemptOutcome.NEVER_SENT, [])
 
     play(story())
 
@@ -510,14 +512,14 @@
     monkeypatch.setattr(endpoints, "SWEEP", timedelta(0))
 
     async def story() -> None:
-        endpoint, clock = Endpoint(st.served), Clock()
+        endpoint, clock = ScriptedWorker(st.served), Clock()
         async with st.listening(endpoint) as address:
             pool = Endpoints(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
-            outgoing = Outgoing("a", b"/page", "api", None, b"")
+            outgoing = WorkerRequest("a", b"/page", "api", None, b"")
             last = clock.now() + timedelta(seconds=LIMIT)
             words = (outgoing, address, last, lambda: True, lambda stage: None, lambda: None, True)
             tries = (pool.attempt(*words) for _ in range(3))
-            assert {result.end for result in await asyncio.gather(*tries)} == {End.SERVED}
+            assert {result.end for result in await asyncio.gather(*tries)} == {AttemptOutcome.SERVED}
             assert len(pool._idle[address]) == 3
             sweep = asyncio.create_task(pool.sweep())
             await asyncio.sleep(0)
@@ -540,15 +542,15 @@
             return self._start
 
     async def story() -> None:
-        decisions, told = Decisions(api.Settings(classes=()), 1, Stopped()), list[tuple[int, api.Event]]()
+        decisions, told = PolicyDriver(api.Settings(classes=()), 1, Stopped()), list[tuple[int, api.Event]]()
 
         def handle(now: int, event: api.Event) -> list[api.Action]:
             told.append((now, event))
             return [api.SetTimer(5, 1000)] if len(told) == 1 else []
 
         decisions._policy.handle = handle  # type: ignore[method-assign]
-        decisions.feed(api.Abandoned(1))
-        await until(lambda: len(told) == 2)
+        decisions.feed(api.RequestAbandoned(1))
+        await wait_until(lambda: len(told) == 2)
         assert told[1] == (told[0][0] + 1000, api.Timer(5))
 
     play(story())
@@ -556,18 +558,18 @@
 
 def test_sigterm_hands_over_and_loses_nothing(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Endpoint(st.silent, st.served)
+        endpoint = ScriptedWorker(st.silent, st.served)
         async with st.listening(endpoint) as address, st.listening(st.Discovery()) as discovery:
-            listed = [st.entry("s-0", address)]
+            listed = [st.target_entry("s-0", address)]
             async with st.running(st.environment(tmp_path, listed, discovery)) as (child, s, _):
                 assert child.stderr
                 idle = await s.connect()
-                first = asyncio.ensure_future(s.ask())
-                await until(lambda: len(endpoint.seen) == 1)
+                first = asyncio.ensure_future(s.send_request())
+                await wait_until(lambda: len(endpoint.seen) == 1)
                 child.send_signal(signal.SIGTERM)
                 while b" leaving" not in await child.stderr.readline():
                     pass
-                assert (await s.ask())[0] == 200  # a connection that came after the signal
+                assert (await s.send_request())[0] == 200  # a connection that came after the signal
                 # There may be nobody else to go to yet: who has a connection is served on it.
                 for _ in range(2):
                     assert (await s.exchange(idle, s.request()))[0] == 200
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -50,7 +50,7 @@
 
 
 def messages(tier: Tier) -> int:
-    return sum(len(a.to) for _, _, a in tier.done if isinstance(a, api.Tell))
+    return sum(len(a.to) for _, _, a in tier.done if isinstance(a, api.SendHints))
 
 
 def test_messages_a_job_do_not_grow_with_the_fleet() -> None:
@@ -61,7 +61,7 @@
         tier.load(150, 3 * SECOND)
         tier.run(7 * SECOND)
         # Two words to each keeper; a question and its answer for each worker of the own zone in question.
-        assert messages(tier) / tier.ended[api.Ending.OK] < 2 * KEEPERS + 2 * MOST
+        assert messages(tier) / tier.ended[api.Outcome.OK] < 2 * KEEPERS + 2 * MOST
 
 
 @pytest.mark.parametrize("lost", [0.3, 1.0])
@@ -72,7 +72,7 @@
     tier.load(180, 5 * SECOND)  # 90 of 160 slots
     tier.run(10 * SECOND)
     assert sum(wait > 700 * MS for wait in tier.started) < 0.03 * len(tier.started)
-    assert tier.count(api.Refuse) < 0.06 * len(tier.started)
+    assert tier.count(api.Reject) < 0.06 * len(tier.started)
 
 
 def asking(dispatchers: int = 200) -> tuple[World, int, int]:
@@ -81,7 +81,7 @@
     world = World(settings(peers=True, dispatchers=dispatchers, me=me))
     world.list_workers(worker(0))
     number = world.ask("fee", key=1)
-    told = [a for _, a in world.trace if isinstance(a, api.Tell)]
+    told = [a for _, a in world.trace if isinstance(a, api.SendHints)]
     assert [(len(a.to), [h.word for h in a.hints]) for a in told] == [(1, [Word.ASK])]
     return world, number, told[0].to[0]
 
@@ -89,7 +89,7 @@
 def test_request_waits_for_the_answer_and_goes() -> None:
     world, number, keeper = asking()
     assert not world.asked[number].tries
-    world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 1.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, Word.LOAD, 1.0),)))
     assert world.asked[number].tries
 
 
@@ -101,7 +101,7 @@
 
 def test_worker_told_to_be_full_gets_nothing_while_that_is_fresh() -> None:
     world, number, keeper = asking()
-    world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 9.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, Word.LOAD, 9.0),)))
     assert not world.asked[number].tries
 
 
@@ -111,12 +111,12 @@
     world = World(settings(peers=True, dispatchers=200, me=me, sequential=("vent",)))
     world.list_workers(worker(0))
     number = world.ask("vent", key=1)
-    (keeper,) = (a.to[0] for _, a in world.trace if isinstance(a, api.Tell))
+    (keeper,) = (a.to[0] for _, a in world.trace if isinstance(a, api.SendHints))
     found = world.policy.workers[worker(0).id]
     found.report_at = world.now  # known by other means
     world.policy._turn(1)
     world.policy.workers[worker(0).id].asked = keeper
-    world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
     world.advance(2 * LOOK)
     assert len([a for _, a in world.trace if isinstance(a, api.Send) and a.request == number]) == 1
 
@@ -125,10 +125,10 @@
     """A liar says of every worker that it is full, or bad."""
     world, number, keeper = asking()
     for sender in (n for n in range(200) if n != keeper):
-        world.feed(api.Heard(sender, (Hint(worker(0).id, Word.LOAD, 99.0, 0.35),)))
+        world.feed(api.HintsReceived(sender, (Hint(worker(0).id, Word.LOAD, 99.0, 0.35),)))
     found = world.policy.workers[worker(0).id]
     assert found.others == 0 and found.told_faults == 0
-    world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
     assert world.asked[number].tries
 
 
@@ -136,12 +136,12 @@
     me = next(n for n in range(200) if Keepers(n, 200).mine(state(0)))
     world = World(settings(peers=True, dispatchers=200, me=me))
     world.list_workers(worker(0))
-    ask = api.Heard((me + 1) % 200, (Hint(worker(0).id, Word.ASK),))
+    ask = api.HintsReceived((me + 1) % 200, (Hint(worker(0).id, Word.ASK),))
     assert not world.feed(ask)
     world.advance(3 * SECOND)
-    world.feed(api.Heard((me + 2) % 200, (Hint(worker(0).id, Word.SENT, 4.0),)))
-    answers = [a for a in world.feed(ask) if isinstance(a, api.Tell)]
-    assert answers == [api.Tell(((me + 1) % 200,), (Hint(worker(0).id, Word.LOAD, 4.0, 0.0),))]
+    world.feed(api.HintsReceived((me + 2) % 200, (Hint(worker(0).id, Word.SENT, 4.0),)))
+    answers = [a for a in world.feed(ask) if isinstance(a, api.SendHints)]
+    assert answers == [api.SendHints(((me + 1) % 200,), (Hint(worker(0).id, Word.LOAD, 4.0, 0.0),))]
 
 
 def test_each_held_request_has_its_own_workers_asked_again() -> None:
@@ -151,7 +151,7 @@
     world.list_workers(*(worker(n) for n in range(60)))
 
     def asked(since: int) -> dict[str, int]:
-        tells = [a for t, a in world.trace if isinstance(a, api.Tell) and t >= since]
+        tells = [a for t, a in world.trace if isinstance(a, api.SendHints) and t >= since]
         return {hint.worker: a.to[0] for a in tells for hint in a.hints if hint.word is Word.ASK}
 
     first: list[set[str]] = []
@@ -160,10 +160,10 @@
         world.ask("fee", key=key)
         for _ in range(3):
             for name, keeper in asked(since).items():
-                world.feed(api.Heard(keeper, (Hint(name, Word.LOAD, 9.0),)))
+                world.feed(api.HintsReceived(keeper, (Hint(name, Word.LOAD, 9.0),)))
         first.append(set(asked(since)))
         world.advance(1)
-    assert len(world.policy.lanes) == 1 and sum(map(len, world.policy.lanes.values())) == 4
+    assert len(world.policy.held_jobs) == 1 and sum(map(len, world.policy.held_jobs.values())) == 4
     since = world.now + 200 * MS
     world.advance(500 * MS)
     assert all(names & set(asked(since)) for names in first)
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -30,7 +30,7 @@
     tier.load(8, 6 * SECOND, "fee", slots=4)  # 16 more
     tier.run(10 * SECOND)
     late = sum(wait > 100 * MS for wait in tier.started)
-    assert tier.count(api.Refuse) < 5
+    assert tier.count(api.Reject) < 5
     assert late < 0.05 * len(tier.started)
 
 
@@ -45,13 +45,13 @@
         tier.boxes[name].dead = True
     tier.run(8 * SECOND)
     assert all(policy.eject for policy in tier.policies)
-    assert tier.ended[api.Ending.CONNECT_FAILED] < 4 * len(dead)
+    assert tier.ended[api.Outcome.CONNECT_FAILED] < 4 * len(dead)
     # Half of the dispatchers lose all of their own zone.
-    assert tier.count(api.Refuse) + tier.count(api.Fail) < 0.08 * tier.ended[api.Ending.OK]
+    assert tier.count(api.Reject) + tier.count(api.Fail) < 0.08 * tier.ended[api.Outcome.OK]
 
 
 def told(world: World, sender: int, word: api.Word, slots: float = 1.0) -> None:
-    world.feed(api.Heard(sender, (api.Hint(worker(0).id, word, slots),)))
+    world.feed(api.HintsReceived(sender, (api.Hint(worker(0).id, word, slots),)))
 
 
 def test_word_of_others_makes_room_and_takes_it() -> None:
@@ -82,7 +82,7 @@
     for _ in range(1000):
         told(world, 7, api.Word.SENT)
         told(world, 8, api.Word.BAD)
-    assert len(state.told) <= 100 and world.policy.cluster().avoided == 1
+    assert len(state.told) <= 100 and world.policy.cluster_health().avoided == 1
     trust = state.trust
     for _ in range(1000):
         told(world, 7, api.Word.ENDED)
@@ -92,7 +92,9 @@
     for _ in range(1000):
         told(world, 7, api.Word.ENDED)
     assert world.policy._sound(state) <= worth
-    world.feed(api.Heard(7, (api.Hint("10.9.9.9:80", api.Word.SENT, 1.0),)))  # of a worker that no list named
+    world.feed(
+        api.HintsReceived(7, (api.Hint("10.9.9.9:80", api.Word.SENT, 1.0),))
+    )  # of a worker that no list named
 
 
 def test_worker_that_turns_jobs_away_is_told_of() -> None:
@@ -100,9 +102,9 @@
     world = World(settings(peers=True, dispatchers=4))
     world.list_workers(worker(0))
     number = world.ask("read", key=1)
-    world.end(number, api.Ending.FULL)
-    assert world.policy.cluster().avoided == 1
-    told = [hint for _, action in world.trace if isinstance(action, api.Tell) for hint in action.hints]
+    world.end(number, api.Outcome.QUEUE_FULL)
+    assert world.policy.cluster_health().avoided == 1
+    told = [hint for _, action in world.trace if isinstance(action, api.SendHints) for hint in action.hints]
     assert api.Hint(worker(0).id, api.Word.BAD, 1.0) in told
 
 
@@ -113,10 +115,10 @@
     words = [api.Word.ENDED, api.Word.BAD, api.Word.ENDED, api.Word.ENDED, api.Word.BAD]
     for sender, word in enumerate(words * 3):
         told(world, sender, word)
-    assert world.policy.cluster().avoided == 1
+    assert world.policy.cluster_health().avoided == 1
     assert [world.asked[world.ask("fee", key=n)].tries[0].worker for n in range(3)] == [worker(2).id] * 3
     world.advance(20 * SECOND)  # it has its trial
-    assert world.policy.cluster().avoided == 0
+    assert world.policy.cluster_health().avoided == 0
 
 
 def test_refused_clients_are_told_different_times() -> None:
@@ -126,7 +128,7 @@
         for _ in range(5):
             tier.ask(policy_number, "read", SECOND, key=1)  # there is no worker at all
     tier.run(6 * SECOND)
-    waits = sorted(a.retry_after for _, _, a in tier.done if isinstance(a, api.Refuse))
+    waits = sorted(a.retry_after for _, _, a in tier.done if isinstance(a, api.Reject))
     assert len(waits) == 200
     tenths = {wait // (SECOND // 10) for wait in waits}
     assert len(tenths) == 10 and waits[0] >= SECOND // 2 and waits[-1] <= 3 * SECOND // 2
@@ -200,4 +202,4 @@
     for key in range(15):
         tier.ask(0, "read", SECOND // 2, key=key)
     tier.run(2 * SECOND)
-    assert (tier.count(api.Send), tier.count(api.Refuse)) == (15, 0)
+    assert (tier.count(api.Send), tier.count(api.Reject)) == (15, 0)
--- a/tests/test_worker_answers.py
+++ b/tests/test_worker_answers.py
@@ -20,9 +20,9 @@
 
 from rookwood.dataplane import repeats, upstream
 from rookwood.httpclient import client as http_client
-from rookwood.httpclient.client import Answer
-from rookwood.httpclient.connections import AnswerProtocol
-from rookwood.httpclient.outcomes import Broken
+from rookwood.httpclient.client import Response
+from rookwood.httpclient.connections import ResponseProtocol
+from rookwood.httpclient.outcomes import ResponseLost
 from rookwood.lab.exchange_clients import ClientHabits
 from rookwood.lab.exchange_judge import (
     EVENTS,
@@ -172,7 +172,7 @@
             self.assertIn(rule, await self.rules_broken(plans, kind))
 
     async def test_a_reset_taken_for_the_end(self) -> None:
-        fault = mock.patch.object(AnswerProtocol, "_break_answer", lambda self, cause: None)
+        fault = mock.patch.object(ResponseProtocol, "_break_answer", lambda self, cause: None)
         plans = [
             Misbehaviour(framing=Framing.UNFRAMED, cut=share / 200, ending=Ending.RESET)
             for share in range(100, 200)
@@ -181,13 +181,13 @@
         await self.assert_found(fault, Rule.ORDER, *plans, kind=RequestKind.STREAM)
 
     async def test_a_break_taken_for_the_end_of_a_stream(self) -> None:
-        read = Answer.read_some
+        read = Response.read_some
 
-        async def read_to_any_end(answer: Answer) -> bytes | Broken:
+        async def read_to_any_end(answer: Response) -> bytes | ResponseLost:
             data = await read(answer)
-            return b"" if isinstance(data, Broken) else data
+            return b"" if isinstance(data, ResponseLost) else data
 
-        fault = mock.patch.object(Answer, "read_some", read_to_any_end)
+        fault = mock.patch.object(Response, "read_some", read_to_any_end)
         plans = [Misbehaviour(framing=Framing.CHUNKED, cut=share / 200) for share in range(100, 200)]
         await self.assert_found(fault, Rule.ORDER, *plans, kind=RequestKind.STREAM)
 
--- a/tests/tier.py
+++ b/tests/tier.py
@@ -47,7 +47,7 @@
             Policy(replace(base, me=n, zone=f"z{n % zones}"), seed=n) for n in range(dispatchers)
         ]
         self.done: list[tuple[int, int, api.Action]] = []  # time, dispatcher, action
-        self.ended: Counter[api.Ending] = Counter()
+        self.ended: Counter[api.Outcome] = Counter()
         self.started: list[int] = []  # microseconds that jobs waited at a box
         self.numbers = itertools.count(1)
         self.jobs: dict[tuple[int, int], tuple[int, int]] = {}  # slots and running time
@@ -57,7 +57,7 @@
 
     def tell(self, whole: tuple[api.Worker, ...] | None = None) -> None:
         for n in range(len(self.policies)):
-            self.feed(n, api.WorkersChanged(api.Listing.WHOLE, whole or tuple(self.infos)))
+            self.feed(n, api.WorkersChanged(api.WorkerListKind.FULL, whole or tuple(self.infos)))
 
     def at(self, span: int, what: Callable[[], None]) -> None:
         heapq.heappush(self.due, (self.now + max(1, span), next(self.order), what))
@@ -86,10 +86,10 @@
                 self.at(delay, lambda: self.feed(n, api.Timer(token)))
             case api.Probe(name):
                 self.at(ANSWER, lambda: self.feed(n, self.probed(name)))
-            case api.Tell(to, hints):
+            case api.SendHints(to, hints):
                 for other in to:
                     if self.rng.random() >= self.lost:
-                        heard = api.Heard(n, hints)
+                        heard = api.HintsReceived(n, hints)
                         self.at(3 * MS, lambda to=other, said=heard: self.feed(to, said))  # type: ignore[misc]
             case api.Send(number, name):
                 slots, time = self.jobs[n, number]
@@ -97,12 +97,14 @@
                 self.sent[n, number] = self.now
                 self.at(MS, lambda: self.serve(name))
 
-    def probed(self, name: str) -> api.Probed:
+    def probed(self, name: str) -> api.ProbeResult:
         box = self.boxes[name]
         if box.dead:
-            return api.Probed(name, api.Ending.TIMED_OUT)
+            return api.ProbeResult(name, api.Outcome.TIMED_OUT)
         load = {"x0": float(box.slots - box.running), "backlog": float(len(box.queue))}
-        return api.Probed(name, api.Ending.OK, load | {"outstanding": float(box.running + len(box.queue))})
+        return api.ProbeResult(
+            name, api.Outcome.OK, load | {"outstanding": float(box.running + len(box.queue))}
+        )
 
     def serve(self, name: str) -> None:
         box = self.boxes[name]
@@ -111,21 +113,21 @@
             attempt = self.attempts[n, number]
             self.attempts[n, number] += 1
             if box.dead:
-                self.at(150 * MS, self.ending(n, number, attempt, name, api.Ending.CONNECT_FAILED))
+                self.at(150 * MS, self.ending(n, number, attempt, name, api.Outcome.CONNECT_FAILED))
                 continue
             box.running += slots
             self.started.append(self.now - self.sent[n, number])
-            self.feed(n, api.Note(number, attempt, name, True))
+            self.feed(n, api.AttemptProgress(number, attempt, name, True))
             took = int(time / self.speed.get(name, 1.0))
-            self.at(took, self.ending(n, number, attempt, name, api.Ending.OK, slots))
+            self.at(took, self.ending(n, number, attempt, name, api.Outcome.OK, slots))
 
     def ending(
-        self, n: int, number: int, attempt: int, name: str, ending: api.Ending, slots: int = 0
+        self, n: int, number: int, attempt: int, name: str, ending: api.Outcome, slots: int = 0
     ) -> Callable[[], None]:
         def end() -> None:
             self.ended[ending] += 1
             self.boxes[name].running -= slots
-            self.feed(n, api.Outcome(number, attempt, name, ending, 0, ending is api.Ending.OK))
+            self.feed(n, api.AttemptEnded(number, attempt, name, ending, 0, ending is api.Outcome.OK))
             self.serve(name)
 
         return end
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,11 +16,15 @@
 GRACE = 500 * MS
 
 CLASSES = (
-    api.JobClass("read", 500 * MS, 5_000 * MS, 5.0, api.Repeat.SAFE, stretch=2.0),
-    api.JobClass("order", 1_500 * MS, 8_000 * MS, 10.0, api.Repeat.KEYED, api.Group.ALL, 3_000 * MS),
-    api.JobClass("vent", 1_500 * MS, 8_000 * MS, 3.0, api.Repeat.KEYED, api.Group.CELL, 3_000 * MS),
-    api.JobClass("fee", 750 * MS, 5_000 * MS, 3.0, api.Repeat.UNSAFE, stretch=1.75),
-    api.JobClass("bound", 750 * MS, 5_000 * MS, 3.0, api.Repeat.UNSAFE, kind="big"),
+    api.JobClass("read", 500 * MS, 5_000 * MS, 5.0, api.RetrySafety.SAFE, stretch=2.0),
+    api.JobClass(
+        "order", 1_500 * MS, 8_000 * MS, 10.0, api.RetrySafety.KEYED, api.DeduplicationScope.ALL, 3_000 * MS
+    ),
+    api.JobClass(
+        "vent", 1_500 * MS, 8_000 * MS, 3.0, api.RetrySafety.KEYED, api.DeduplicationScope.CELL, 3_000 * MS
+    ),
+    api.JobClass("fee", 750 * MS, 5_000 * MS, 3.0, api.RetrySafety.UNSAFE, stretch=1.75),
+    api.JobClass("bound", 750 * MS, 5_000 * MS, 3.0, api.RetrySafety.UNSAFE, kind="big"),
 )
 
 
@@ -59,7 +63,7 @@
 class Try:
     worker: str
     sent: int
-    ending: api.Ending | None = None
+    ending: api.Outcome | None = None
     ended: int = 0
 
 
@@ -98,8 +102,10 @@
             self.judge(action)
         return actions
 
-    def list_workers(self, *workers: api.Worker, how: api.Listing = api.Listing.WHOLE) -> list[api.Action]:
-        if how in (api.Listing.WHOLE, api.Listing.KEPT):
+    def list_workers(
+        self, *workers: api.Worker, how: api.WorkerListKind = api.WorkerListKind.FULL
+    ) -> list[api.Action]:
+        if how in (api.WorkerListKind.FULL, api.WorkerListKind.CACHED):
             for name in set(self.listed) - {w.id for w in workers}:
                 self.told_stop.setdefault(name, self.now)
         for info in workers:
@@ -122,20 +128,22 @@
         self.feed(api.Request(number, name, left, **more))  # type: ignore[arg-type]
         return number
 
-    def end(self, number: int, ending: api.Ending, load: dict[str, float] | None = None) -> None:
+    def end(self, number: int, ending: api.Outcome, load: dict[str, float] | None = None) -> None:
         asked = self.asked[number]
         attempt = len(asked.tries) - 1
         one = asked.tries[attempt]
         assert one.ending is None
         one.ending, one.ended = ending, self.now
-        if ending is api.Ending.OK:
+        if ending is api.Outcome.OK:
             asked.answered = True
-        event = api.Outcome(number, attempt, one.worker, ending, self.now - one.sent, asked.answered, load)
+        event = api.AttemptEnded(
+            number, attempt, one.worker, ending, self.now - one.sent, asked.answered, load
+        )
         self.feed(event)
 
     def start(self, number: int) -> None:
         tries = self.asked[number].tries
-        self.feed(api.Note(number, len(tries) - 1, tries[-1].worker, True))
+        self.feed(api.AttemptProgress(number, len(tries) - 1, tries[-1].worker, True))
 
     def advance(self, span: int) -> None:
         """Let time pass: due timers fire, attempts still out at the deadline time out."""
@@ -155,7 +163,7 @@
                 self.timers.remove((when, which))
                 self.feed(api.Timer(which))
             else:
-                self.end(which, api.Ending.TIMED_OUT)
+                self.end(which, api.Outcome.TIMED_OUT)
             self.overdue()
         self.now = until
         self.overdue()
@@ -183,12 +191,15 @@
         match action:
             case api.Send(number, name, _):
                 self.judge_send(self.asked[number], number, name)
-            case api.Refuse(number):
+            case api.Reject(number):
                 asked = self.asked[number]
                 assert not asked.answered, "rule 1: answered twice"
                 asked.answered = True
-                harmless = asked.cls.repeat is api.Repeat.SAFE or not self.maybe_ran(asked)
-                keyed_all = asked.cls.repeat is api.Repeat.KEYED and asked.cls.group is api.Group.ALL
+                harmless = asked.cls.repeat is api.RetrySafety.SAFE or not self.maybe_ran(asked)
+                keyed_all = (
+                    asked.cls.repeat is api.RetrySafety.KEYED
+                    and asked.cls.group is api.DeduplicationScope.ALL
+                )
                 assert harmless or keyed_all, "rule 2: refused though it may have run"
             case api.Fail(number):
                 assert not self.asked[number].answered, "rule 1: answered twice"
@@ -205,7 +216,7 @@
                 assert earlier.answered, "rule 5: an earlier one is not over"
                 for one in earlier.tries:
                     assert one.ending is not None, "rule 5: an earlier one has an attempt out"
-                    if one.ending in (api.Ending.TIMED_OUT, api.Ending.RESET, api.Ending.CANCELLED):
+                    if one.ending in (api.Outcome.TIMED_OUT, api.Outcome.RESET, api.Outcome.CANCELLED):
                         assert self.now >= one.ended + self.conf.order_settle, "rule 5: the key rests"
 
     def maybe_ran(self, asked: Asked) -> list[Try]:
@@ -217,12 +228,12 @@
         assert len(asked.tries) < self.conf.max_attempts
         assert all(t.ending is not None for t in asked.tries), "two attempts out"
         ran = self.maybe_ran(asked)
-        if ran and asked.cls.repeat is not api.Repeat.SAFE:
-            assert asked.cls.repeat is api.Repeat.KEYED, "rule 2: unsafe request sent again"
+        if ran and asked.cls.repeat is not api.RetrySafety.SAFE:
+            assert asked.cls.repeat is api.RetrySafety.KEYED, "rule 2: unsafe request sent again"
             assert self.now <= ran[0].sent + asked.cls.window, "rule 2: sent after the window"
-            if asked.cls.group is api.Group.CELL:
+            if asked.cls.group is api.DeduplicationScope.CELL:
                 assert self.listed[name].cell == self.listed[ran[0].worker].cell, "rule 2: other cell"
-            if asked.cls.group is api.Group.ZONE:
+            if asked.cls.group is api.DeduplicationScope.ZONE:
                 assert self.listed[name].zone == self.listed[ran[0].worker].zone, "rule 2: other zone"
         if asked.cls.sequential and asked.key is not None:
             self.judge_turn(asked)
