--- a/rookwood/cli/control_client.py
+++ b/rookwood/cli/control_client.py
@@ -71,7 +71,7 @@
 
     def primaries(self) -> list[str]:
         """The addresses of the machines that take themselves for the primary of the newest epoch."""
-        claims = {address: status for address, status in self.machines.items() if status.leads}
+        claims = {address: status for address, status in self.machines.items() if status.claims_primary}
         newest = max((status.epoch for status in claims.values()), default=0)
         return [address for address, status in claims.items() if status.epoch == newest]
 
@@ -91,7 +91,7 @@
     """
     view = GroupView()
     _ask(view, addresses)
-    if sum(status.leads for status in view.machines.values()) > 1:
+    if sum(status.claims_primary for status in view.machines.values()) > 1:
         _ask(view, list(view.answers))
     view.completed_at = time.monotonic()
     return view
--- a/rookwood/cli/control_recover.py
+++ b/rookwood/cli/control_recover.py
@@ -9,15 +9,15 @@
 from rookwood.cli.exit_codes import DONE, FAILED, FAULTY
 from rookwood.cluster.settings import NodeSettings, SettingsError, load_settings
 from rookwood.controlplane.group_recovery import (
-    MajorityHolds,
-    NeverStored,
+    EmptyCopy,
+    MajorityAvailable,
     NewerCopy,
     NoCopy,
-    Observed,
-    Plan,
+    ObservedMembers,
+    RecoveryPlan,
     Refusal,
-    StillUnknown,
     TargetInUse,
+    UnaccountedMembers,
     load_copy,
     plan_recovery,
     write_plan,
@@ -39,7 +39,7 @@
     if not isinstance(fetch_status(str(settings.listen[CONTROL_LISTENER])), Unreachable):
         return _refuse(f"the control process of {settings.ip} still runs: stop it first")
     plan = make_plan(settings, settings.data_directory, from_copy, lost)
-    if not isinstance(plan, Plan):
+    if not isinstance(plan, RecoveryPlan):
         return _refuse(explain(plan))
     print(describe(plan, settings.ip))
     if not accept_loss:
@@ -53,17 +53,17 @@
 
 def make_plan(
     settings: NodeSettings, directory: str, from_copy: Path | None, lost: frozenset[str]
-) -> Plan | Refusal:
+) -> RecoveryPlan | Refusal:
     """Read the copy, look at the other members, and decide."""
     source = str(from_copy) if from_copy else directory
     if source != directory and load_copy(directory, settings.disk_megabytes) != Empty():
         return TargetInUse(directory)
     copy = load_copy(source, settings.disk_megabytes)
-    members = copy.record.document.configuration.everyone() if isinstance(copy, Found) else ()
+    members = copy.record.document.configuration.all_addresses() if isinstance(copy, Found) else ()
     return plan_recovery(settings.ip, copy, observe(settings, members), lost)
 
 
-def observe(settings: NodeSettings, members: tuple[str, ...]) -> Observed:
+def observe(settings: NodeSettings, members: tuple[str, ...]) -> ObservedMembers:
     """Ask the other members whether they hold a copy."""
     port = settings.listen[CONTROL_LISTENER].port
     holders: dict[str, Position] = {}
@@ -78,7 +78,7 @@
             holders[member] = Position(status.stored.epoch, status.stored.sequence)
         else:
             emptied.add(member)
-    return Observed(holders, emptied)
+    return ObservedMembers(holders, emptied)
 
 
 def explain(refusal: Refusal) -> str:
@@ -87,11 +87,11 @@
         case NoCopy(faults):
             told = "; ".join(f"{fault.slot}: {fault.kind.value}, {fault.detail}" for fault in faults)
             return f"no copy can be read here: {told or 'the folder is empty'}"
-        case NeverStored():
+        case EmptyCopy():
             return "this machine never stored a document: there is nothing to recover from"
-        case MajorityHolds(holders):
+        case MajorityAvailable(holders):
             return f"with this copy a majority still has its disk ({', '.join(holders)}): start this machine"
-        case StillUnknown(members):
+        case UnaccountedMembers(members):
             return (
                 f"not known to be lost: {', '.join(members)}. Where such a disk can be brought back, do so. "
                 "Name each that is gone for good with --lost"
@@ -102,7 +102,7 @@
             return f"{directory} holds files already: empty it, or leave --from-copy out"
 
 
-def describe(plan: Plan, ip: str) -> str:
+def describe(plan: RecoveryPlan, ip: str) -> str:
     """What the new group begins with, and what is given up."""
     old, new = plan.copy_position, plan.record.document.position
     return "\n".join(
--- a/rookwood/cli/control_text.py
+++ b/rookwood/cli/control_text.py
@@ -54,7 +54,7 @@
 
 def _role(status: MachineStatus, newest_epoch: int) -> str:
     """The role; who says to lead an older epoch than another machine knows has been replaced."""
-    if status.leads and status.epoch < newest_epoch:
+    if status.claims_primary and status.epoch < newest_epoch:
         return f"{status.role.value} until epoch {newest_epoch}"
     return status.role.value + (f" ({status.reason})" if status.reason else "")
 
--- a/rookwood/cluster/configuration_follower.py
+++ b/rookwood/cluster/configuration_follower.py
@@ -26,10 +26,10 @@
 from rookwood.cluster.progress import ConfigurationProgress
 from rookwood.clusterconfig.configuration_store import Applied, ApplyOutcome
 from rookwood.clusterconfig.items import ItemChanges
-from rookwood.coordination.rendezvous import weight
+from rookwood.coordination.rendezvous import rendezvous_weight
 
 # Four machines can be asked in turn within the shortest time in which a change must be in force.
-ANSWER_LIMIT = 0.5  # seconds
+RESPONSE_TIMEOUT = 0.5  # seconds
 PREFERENCE_PAUSE = 0.03  # seconds by which a machine is asked later for each one that is preferred to it
 LEVEL_AGE = 1.0  # seconds since a heartbeat for which its answer is taken for the present state
 AVOIDANCE = 2.0  # seconds for which a machine that did not answer is the last to be asked
@@ -109,7 +109,7 @@
         announced = (announcement.position for announcement in self._announcements.values())
         return max(announced, default=NO_CONFIGURATION)
 
-    def is_level(self, now: float) -> bool:
+    def is_up_to_date(self, now: float) -> bool:
         """Whether a machine in touch with the primary just confirmed this position, and none told a newer.
 
         Only the answer to a heartbeat confirms. A status does not tell when it was sent: this process may
@@ -120,7 +120,7 @@
         )
         return informed and self.newest <= self.position
 
-    def received(self, peer: str, message: Message, now: float) -> None:
+    def message_received(self, peer: str, message: Message, now: float) -> None:
         """Take in a message; those that tell nothing of configurations are passed over."""
         if isinstance(message, Status):
             self.announced(peer, message, now)
@@ -162,7 +162,7 @@
         if answer.fresh:
             known.confirmed_at = answer.heartbeat_sent_at
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """The link to a control machine ended; what was asked there is not answered any more."""
         self._announcements.pop(peer, None)
         if not self._has_news():
@@ -199,20 +199,20 @@
         self._invariants.violated(Invariant.DELTA_FITS, detail)
         self._needs_whole = True
 
-    def answering(self, peer: str, now: float) -> None:
+    def restart_response_timeout(self, peer: str, now: float) -> None:
         """A part of a message is coming from a machine: what is under way there is not overdue yet."""
         if self._under_way is not None and self._under_way.peer == peer:
             self._under_way = UnderWay(peer, now)
 
     @property
-    def asked(self) -> str | None:
+    def awaited_peer(self) -> str | None:
         """The machine whose answer is waited for."""
         return self._under_way.peer if self._under_way is not None else None
 
-    def overdue(self, now: float) -> str | None:
+    def overdue_peer(self, now: float) -> str | None:
         """The machine whose answer is overdue."""
         under_way = self._under_way
-        if under_way is None or now - under_way.asked_at <= ANSWER_LIMIT:
+        if under_way is None or now - under_way.asked_at <= RESPONSE_TIMEOUT:
             return None
         return under_way.peer
 
@@ -233,7 +233,7 @@
     def next_wakeup(self, now: float) -> float | None:
         """When `next_request` is to be called again without news; None if news come first."""
         if self._under_way is not None:
-            return self._under_way.asked_at + ANSWER_LIMIT
+            return self._under_way.asked_at + RESPONSE_TIMEOUT
         return min((turn.begins for turn in self._turns(now) if turn.begins > now), default=None)
 
     def _choose(self, now: float) -> str | None:
@@ -261,10 +261,10 @@
 
     def _preference(self, peer: str, now: float) -> tuple[bool, int]:
         avoided = self._avoided_until.get(peer, now) > now
-        return avoided, -weight(f"configuration {self._identity}", peer)
+        return avoided, -rendezvous_weight(f"configuration {self._identity}", peer)
 
     def _give_up_overdue(self, now: float) -> None:
-        peer = self.overdue(now)
+        peer = self.overdue_peer(now)
         if peer is not None:
             self._avoided_until[peer] = now + AVOIDANCE
             self._under_way = None
--- a/rookwood/cluster/control_status.py
+++ b/rookwood/cluster/control_status.py
@@ -85,7 +85,7 @@
     dispatchers: DispatcherOverview | None
 
     @property
-    def leads(self) -> bool:
+    def claims_primary(self) -> bool:
         """Whether the machine takes itself for the primary."""
         return self.primary == self.machine
 
--- a/rookwood/cluster/feed.py
+++ b/rookwood/cluster/feed.py
@@ -32,13 +32,13 @@
 class FeedHandler(Protocol):
     """What a feed server calls."""
 
-    def greeting(self, connection: Connection) -> Iterable[Message]:
+    def initial_messages(self, connection: Connection) -> Iterable[Message]:
         """The messages that a new subscriber gets first."""
 
-    def received(self, connection: Connection, message: Message) -> None:
+    def message_received(self, connection: Connection, message: Message) -> None:
         """A subscriber sent a message."""
 
-    def lost(self, connection: Connection) -> None:
+    def subscriber_lost(self, connection: Connection) -> None:
         """A subscriber's link ended."""
 
 
@@ -99,7 +99,7 @@
             return
         if isinstance(message, Heartbeat):
             connection.position = message.position
-        self._handler.received(connection, message)
+        self._handler.message_received(connection, message)
 
     def _greet(self, connection: Connection, message: Message) -> None:
         """The first message has to say who calls."""
@@ -109,26 +109,26 @@
         connection.hello = message
         connection.peer_kind = peer_kind(message.tier)
         self._connections.add(connection)
-        for greeting in self._handler.greeting(connection):
+        for greeting in self._handler.initial_messages(connection):
             connection.send(greeting)
 
     def _end(self, connection: Connection) -> None:
         self._accepted.discard(connection)
         if connection in self._connections:
             self._connections.discard(connection)
-            self._handler.lost(connection)
+            self._handler.subscriber_lost(connection)
 
 
 class LinkHandler(Protocol):
     """What a feed link calls; `peer` is the IP that the link leads to."""
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """The link is open."""
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """A message arrived."""
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """The link is gone; it is opened again by itself."""
 
 
@@ -196,18 +196,18 @@
         beats = asyncio.create_task(self._send_heartbeats(connection))
         self.connection = connection
         try:
-            self._handler.linked(self.peer, connection)
+            self._handler.link_opened(self.peer, connection)
             connection.start(self._receive, lambda _: ended.set())
             await ended.wait()
         finally:
             self.connection = None
             beats.cancel()
             connection.abort()
-            self._handler.unlinked(self.peer)
+            self._handler.link_closed(self.peer)
 
     def _receive(self, connection: Connection, message: Message) -> None:
         if connection is self.connection:
-            self._handler.received(self.peer, message)
+            self._handler.message_received(self.peer, message)
 
     async def _send_heartbeats(self, connection: Connection) -> None:
         loop = asyncio.get_running_loop()
@@ -252,7 +252,7 @@
         self._links: dict[str, FeedLink] = {}
         self._subscribed: set[str] = set()
 
-    def want(self, peers: Iterable[str], listened: Iterable[str] = ()) -> None:
+    def set_peers(self, peers: Iterable[str], listened: Iterable[str] = ()) -> None:
         """Subscribe to these peers, listen to those besides, and close the links to all others.
 
         A link that is to become a subscription, or is one no more, is opened anew.
--- a/rookwood/cluster/messages.py
+++ b/rookwood/cluster/messages.py
@@ -8,7 +8,7 @@
 from rookwood.cluster.workers import WorkerRecord
 from rookwood.clusterconfig.items import ItemChanges
 
-RELEASE = 1
+PROTOCOL_RELEASE = 1
 """Of the protocol of these links. 0 is that of programs which do not tell it.
 
 Fields are only ever added at the end of a message, and have a default here: a program of the release before
@@ -16,7 +16,7 @@
 release that knows it alone.
 """
 
-RELEASE_WITH_ONE_FEED = 1  # from this on control machines pass on what dispatchers report, to one another
+RELEASE_WITH_RELAYED_FEED = 1  # from this on control machines pass on what dispatchers report, to one another
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookwood/cluster/outbox.py
+++ b/rookwood/cluster/outbox.py
@@ -29,7 +29,7 @@
 )
 
 
-class Subject(enum.Enum):
+class ConflationKey(enum.Enum):
     """What a message tells the newest state of, where there is one such state for a link."""
 
     STATUS = enum.auto()
@@ -63,15 +63,15 @@
     """The state that a message tells; None where it tells news of its own, which no later message repeats."""
     match message:
         case Status():
-            return Subject.STATUS
+            return ConflationKey.STATUS
         case Heartbeat():
-            return Subject.HEARTBEAT
+            return ConflationKey.HEARTBEAT
         case HeartbeatAnswer():
-            return Subject.HEARTBEAT_ANSWER
+            return ConflationKey.HEARTBEAT_ANSWER
         case FetchConfiguration():
-            return Subject.QUESTION
+            return ConflationKey.QUESTION
         case ConfigurationBody() | ConfigurationDelta():
-            return Subject.CONFIGURATION
+            return ConflationKey.CONFIGURATION
         case WorkerUpdates(records=(record,), complete=False):
             return PresenceSubject(record.id, final=False)
         case WorkerGone():
@@ -79,7 +79,7 @@
         case PresenceAck():
             return AcknowledgedSubject(message)
         case DemandReport() | DemandSummary():
-            return Subject.DEMAND if message.complete else None
+            return ConflationKey.DEMAND if message.complete else None
         case WorkNotices():
             return Never.QUEUED
         case WorkerUpdates() | Hello():
--- a/rookwood/cluster/primary_witness.py
+++ b/rookwood/cluster/primary_witness.py
@@ -5,7 +5,7 @@
 from rookwood.cluster.invariants import INVARIANTS, Invariant, InvariantCounter
 
 
-class PrimaryWitness:
+class SinglePrimaryCheck:
     """Remembers the primary of the newest epoch that any machine claimed."""
 
     def __init__(self, invariants: InvariantCounter = INVARIANTS) -> None:
@@ -13,7 +13,7 @@
         self._epoch = -1
         self._primary = ""
 
-    def claimed(self, epoch: int, machine: str) -> None:
+    def record_claim(self, epoch: int, machine: str) -> None:
         """A control machine says that it is the primary of this epoch."""
         if epoch > self._epoch:
             self._epoch, self._primary = epoch, machine
--- a/rookwood/cluster/progress.py
+++ b/rookwood/cluster/progress.py
@@ -42,7 +42,7 @@
     def has_run_for(self, span: float) -> bool:
         """Whether the process has run without a pause for so many seconds; called at every check."""
         now = self._clock()
-        if self._pauses.paused(now):
+        if self._pauses.detect_pause(now):
             self._running_since = now
         return now - self._running_since > span
 
@@ -149,8 +149,8 @@
 
     dispatcher: str
     position: ConfigurationPosition
-    behind: float
-    take_up: float | None
+    behind_seconds: float
+    take_up_seconds: float | None
 
 
 class DispatcherProgress:
@@ -173,12 +173,12 @@
         self._reports: dict[str, DispatcherReport] = {}
         self._periodic = PeriodicCheck(clock)
 
-    def committed(self, position: ConfigurationPosition) -> None:
+    def record_commit(self, position: ConfigurationPosition) -> None:
         """A position is committed; positions only rise."""
         if not self._commits or position > self._commits[-1].position:
             self._commits.append(Commit(position, self._clock(), self._stalled()))
 
-    def reported(self, dispatcher: str, position: ConfigurationPosition, stalled: float = 0.0) -> None:
+    def record_report(self, dispatcher: str, position: ConfigurationPosition, stalled: float = 0.0) -> None:
         """A dispatcher has this position in force; called for each of its heartbeats."""
         report = self._reports.get(dispatcher)
         if report is None:
@@ -188,7 +188,7 @@
             report.position = position
         report.heartbeats.append(HeardHeartbeat(self._clock(), stalled))
 
-    def lost(self, dispatcher: str) -> None:
+    def remove_dispatcher(self, dispatcher: str) -> None:
         """A dispatcher's link ended; it is counted again once it reports."""
         self._reports.pop(dispatcher, None)
 
@@ -202,7 +202,7 @@
     def farthest_behind(self) -> DispatcherLag | None:
         """The dispatcher that lacks the oldest commit; None where all that have reported are level."""
         farthest = min(self.lags(), key=lambda lag: (lag.position, lag.dispatcher), default=None)
-        return farthest if farthest is not None and farthest.behind > 0 else None
+        return farthest if farthest is not None and farthest.behind_seconds > 0 else None
 
     def check(self, limit: float) -> None:
         """Count dispatchers that lack a commit for longer than the limit, in seconds, as violations.
@@ -215,7 +215,7 @@
             return
         for lag in self.lags():
             taken = self._time_taken(self._reports[lag.dispatcher])
-            detail = f"{lag.dispatcher} has {lag.position}, {lag.behind:.1f} s after a newer commit"
+            detail = f"{lag.dispatcher} has {lag.position}, {lag.behind_seconds:.1f} s after a newer commit"
             self._invariants.check(taken <= limit, Invariant.DISPATCHERS_IN_TIME, detail)
 
     def _time_taken(self, report: DispatcherReport) -> float:
--- a/rookwood/cluster/settings.py
+++ b/rookwood/cluster/settings.py
@@ -50,7 +50,7 @@
     retry_window: float = 10.0
     retry_slack: float = 50.0
     load_window: float = 5.0
-    load_over: float = 1.1
+    load_rate_tolerance: float = 1.1
     synchronise: float = 4.0
     fenced: bool = False
 
@@ -66,11 +66,11 @@
     internal_ports: tuple[int, int]
     seeds: tuple[Address, ...]
     bootstrap: bool
-    tolerated_machines: int
+    tolerated_machine_failures: int
     data_directory: str | None
     disk_megabytes: int
     descriptors: int
-    beat: float
+    heartbeat_interval: float
     bounds: Bounds
 
     @property
@@ -148,11 +148,11 @@
         internal_ports=(int(first_port), int(last_port)),
         seeds=tuple(Address.parse(text) for text in document["seeds"]),
         bootstrap=bool(document.get("bootstrap", False)),
-        tolerated_machines=int((document.get("tolerate") or {}).get("boxes", 0)),
+        tolerated_machine_failures=int((document.get("tolerate") or {}).get("boxes", 0)),
         data_directory=document.get("datadir"),
         disk_megabytes=int(limits.get("disk-mb", 0)),
         descriptors=int(limits.get("nofile", 1024)),
-        beat=float(document.get("beat-ms", 1200)) / MILLISECONDS,
+        heartbeat_interval=float(document.get("beat-ms", 1200)) / MILLISECONDS,
         bounds=parse_bounds(document.get("bounds") or {}),
     )
 
@@ -177,7 +177,7 @@
         retry_window=number("retry-window-s", default.retry_window),
         retry_slack=number("retry-slack", default.retry_slack),
         load_window=number("cap-win-s", default.load_window),
-        load_over=number("cap-over", default.load_over),
+        load_rate_tolerance=number("cap-over", default.load_rate_tolerance),
         synchronise=number("sync-s", default.synchronise),
         fenced=bool(document.get("fenced", default.fenced)),
     )
--- a/rookwood/cluster/startup.py
+++ b/rookwood/cluster/startup.py
@@ -5,7 +5,7 @@
 import sys
 
 
-def leave_out_tls() -> None:
+def skip_tls_import() -> None:
     """Keep the `ssl` module from being imported.
 
     All connections of the system are plain TCP. With `ssl` at hand, aiohttp reads the certificate store
--- a/rookwood/cluster/view.py
+++ b/rookwood/cluster/view.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from rookwood.cluster.messages import Message, Status, WorkerGone, WorkerUpdates
-from rookwood.cluster.primary_witness import PrimaryWitness
+from rookwood.cluster.primary_witness import SinglePrimaryCheck
 from rookwood.cluster.workers import WorkerRecord, WorkerRegistry
 
 LINGER = 6.0  # seconds for which a lost source's workers are still believed in
@@ -31,17 +31,17 @@
         on_worker_gone: Callable[[str], None],
     ) -> None:
         self.registry = WorkerRegistry()
-        self._witness = PrimaryWitness()
+        self._witness = SinglePrimaryCheck()
         self._on_worker = on_worker
         self._on_worker_gone = on_worker_gone
         self._sources: dict[str, Source] = {}
         self._presence: dict[str, set[str]] = {}
 
-    def linked(self, peer: str) -> None:
+    def link_opened(self, peer: str) -> None:
         """A link to a control machine is open."""
         self._sources.setdefault(peer, Source()).linked = True
 
-    def unlinked(self, peer: str, now: float) -> None:
+    def link_closed(self, peer: str, now: float) -> None:
         """A link is gone; the workers that it told of stay for a while."""
         source = self._sources.get(peer)
         if source is None:
@@ -51,12 +51,12 @@
             source.linked = False
             source.unlinked_at = now
 
-    def received(self, peer: str, message: Message, now: float) -> None:
+    def message_received(self, peer: str, message: Message, now: float) -> None:
         """Take in a message; those that tell nothing of workers or control machines are passed over."""
         if isinstance(message, Status):
             self._sources.setdefault(peer, Source(linked=True)).status = message
             if message.claims_primary:
-                self._witness.claimed(message.epoch, message.identity)
+                self._witness.record_claim(message.epoch, message.identity)
         elif isinstance(message, WorkerUpdates):
             self._take_workers(peer, message, now)
         elif isinstance(message, WorkerGone):
@@ -81,7 +81,7 @@
                 named.update(source.status.members)
         return frozenset(named)
 
-    def attached(self) -> int:
+    def attached_dispatchers(self) -> int:
         """How many dispatchers subscribe to the linked machines, all together."""
         return sum(s.status.attached for s in self._sources.values() if s.status is not None)
 
@@ -90,12 +90,12 @@
         source = self._sources.get(peer)
         return source.status.release if source is not None and source.status is not None else 0
 
-    def dispatchers(self) -> int:
+    def dispatcher_count(self) -> int:
         """The largest number of dispatchers that a linked machine counts."""
         counts = [s.status.dispatchers for s in self._sources.values() if s.status is not None]
         return max(counts, default=1)
 
-    def drop_silent(self, now: float) -> tuple[str, ...]:
+    def remove_unreported_workers(self, now: float) -> tuple[str, ...]:
         """Forget workers that no source knows any more, once a settled one is linked; returns them."""
         for peer, source in self._sources.items():
             if not source.linked and now - source.unlinked_at > LINGER:
--- a/rookwood/cluster/workers.py
+++ b/rookwood/cluster/workers.py
@@ -163,7 +163,7 @@
         self._records.pop(worker, None)
         return news
 
-    def deleted_lately(self, most: int) -> tuple[str, ...]:
+    def recently_deleted(self, most: int) -> tuple[str, ...]:
         """The workers that said last that they ended, the oldest of them first."""
         newest = itertools.islice(reversed(self._deleted), most)
         return tuple(newest)[::-1]
--- a/rookwood/clusterconfig/configuration_store.py
+++ b/rookwood/clusterconfig/configuration_store.py
@@ -68,7 +68,7 @@
         self._version = 0
         self._limits = ClientLimits()
         self.digest = 0
-        self.index = RouteIndex()
+        self.route_index = RouteIndex()
         self.configuration = self._build()
 
     @property
@@ -127,7 +127,7 @@
         if key.section is Section.ROUTE:
             route = self._routes.pop(key.name, None)
             if route is not None:
-                self.index.remove(route)
+                self.route_index.remove(route)
         elif key.section is Section.SERVICE:
             self._services.pop(key.name, None)
         elif key == LIMITS:
@@ -138,10 +138,10 @@
         for name in routes:
             known = self._routes.get(name)
             if known is not None:
-                self.index.remove(known)
+                self.route_index.remove(known)
         for name, route in routes.items():
             self._routes[name] = route
-            self.index.add(route)
+            self.route_index.add(route)
 
 
 def build_items(changes: ItemChanges) -> BuiltItems:
--- a/rookwood/clusterconfig/control_document.py
+++ b/rookwood/clusterconfig/control_document.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 
 from rookwood.clusterconfig.taken_changes import (
+    AcceptedChange,
+    AcceptedChanges,
     DamagedError,
-    TakenChange,
-    TakenChanges,
     decode_long,
     encode_long,
 )
@@ -23,7 +23,7 @@
 MAX_TAKEN_CHANGES = 4096
 ENCODING_VERSION = 1
 END_OF_ARRAY = b"\0"
-NOTHING_TAKEN = TakenChanges()
+NOTHING_TAKEN = AcceptedChanges()
 
 
 class ControlDocumentError(ValueError):
@@ -39,11 +39,11 @@
 
     version: int = 0
     source: bytes = b""
-    taken: TakenChanges = NOTHING_TAKEN
+    accepted: AcceptedChanges = NOTHING_TAKEN
 
-    def find_taken(self, digest: bytes) -> TakenChange | None:
+    def find_accepted(self, digest: bytes) -> AcceptedChange | None:
         """Return the remembered change with this digest."""
-        return self.taken.find(digest)
+        return self.accepted.find(digest)
 
     def may_have_forgotten(self, base: int) -> bool:
         """Tell whether a change on this base may have been accepted and forgotten since.
@@ -51,11 +51,11 @@
         Versions rise with each accepted change, and a change builds on the version before its own, so all
         changes on the oldest remembered version and on later ones are remembered.
         """
-        return len(self.taken) >= MAX_TAKEN_CHANGES and base < self.taken[0].version
+        return len(self.accepted) >= MAX_TAKEN_CHANGES and base < self.accepted[0].version
 
-    def with_change(self, change: TakenChange, source: bytes) -> ControlDocument:
+    def with_change(self, change: AcceptedChange, source: bytes) -> ControlDocument:
         """Return the document after an accepted change, forgetting the oldest beyond the bound."""
-        return ControlDocument(change.version, source, self.taken.with_change(change, MAX_TAKEN_CHANGES))
+        return ControlDocument(change.version, source, self.accepted.with_change(change, MAX_TAKEN_CHANGES))
 
     def encode(self) -> bytes:
         """Serialise as one byte of encoding version followed by an Avro record."""
@@ -65,12 +65,12 @@
             encode_long(len(self.source)),
             self.source,
         ]
-        if self.taken:
-            parts += [encode_long(len(self.taken)), self.taken.encoded]
+        if self.accepted:
+            parts += [encode_long(len(self.accepted)), self.accepted.encoded]
         return b"".join([*parts, END_OF_ARRAY])
 
     @staticmethod
-    def decode(encoded: bytes, known: Iterable[TakenChanges] = ()) -> ControlDocument:
+    def decode(encoded: bytes, known: Iterable[AcceptedChanges] = ()) -> ControlDocument:
         """Read what `encode` wrote; raises `ControlDocumentError` for anything else.
 
         Accepted changes that are in one of the known lists as well are not read again.
@@ -83,7 +83,7 @@
             raise ControlDocumentError(f"damaged control document: {error}") from error
 
 
-def _decode_record(encoded: bytes, known: Iterable[TakenChanges]) -> ControlDocument:
+def _decode_record(encoded: bytes, known: Iterable[AcceptedChanges]) -> ControlDocument:
     version, place = decode_long(encoded, 1)
     size, place = decode_long(encoded, place)
     source = encoded[place : place + size]
@@ -94,4 +94,4 @@
         return ControlDocument(version, source)
     if count <= 0 or encoded[-1:] != END_OF_ARRAY:
         raise DamagedError("the list of changes has no end")
-    return ControlDocument(version, source, TakenChanges.read(encoded[place:-1], count, known))
+    return ControlDocument(version, source, AcceptedChanges.read(encoded[place:-1], count, known))
--- a/rookwood/clusterconfig/history.py
+++ b/rookwood/clusterconfig/history.py
@@ -11,7 +11,7 @@
 
 from rookwood.clusterconfig.control_document import ControlDocument
 from rookwood.clusterconfig.json_text import JsonObject, JsonTextError, read_object, write_canonical
-from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, TakenChange
+from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, AcceptedChange
 from rookwood.clusterconfig.validation import (
     CheckedDocument,
     Fault,
@@ -23,15 +23,15 @@
 
 __all__ = [
     "Accepted",
-    "AlreadyTaken",
+    "AlreadyAccepted",
     "Change",
     "ChangeMethod",
     "Conflict",
     "ControlDocument",
     "Decision",
-    "Forgotten",
+    "BaseTooOld",
     "InvalidChange",
-    "TakenChange",
+    "AcceptedChange",
     "decide",
 ]
 
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True)
-class AlreadyTaken:
+class AlreadyAccepted:
     """The same change was accepted before, as `version`."""
 
     version: int
@@ -87,11 +87,11 @@
 
 
 @dataclass(frozen=True)
-class Forgotten:
+class BaseTooOld:
     """The change builds on a version before the remembered ones: it may have been accepted."""
 
 
-Decision = Accepted | AlreadyTaken | Conflict | Forgotten | InvalidChange
+Decision = Accepted | AlreadyAccepted | Conflict | BaseTooOld | InvalidChange
 
 
 def decide(document: ControlDocument, change: Change) -> Decision:
@@ -102,13 +102,13 @@
     digest, or it builds on a version that `may_have_forgotten` names, before anything else is looked at.
     """
     digest = change.digest()
-    taken = document.find_taken(digest)
+    taken = document.find_accepted(digest)
     if taken is not None:
-        return AlreadyTaken(taken.version)
+        return AlreadyAccepted(taken.version)
     if change.base < 0:
         return InvalidChange((Fault("If-Match", "required: the version that the change builds on"),))
     if document.may_have_forgotten(change.base):
-        return Forgotten()
+        return BaseTooOld()
     if change.base != document.version:
         return Conflict(document.version)
     checked = _check_result(document, change)
@@ -116,7 +116,7 @@
         return InvalidChange(checked.faults)
     if checked.version <= document.version:
         return InvalidChange((Fault("ver", f"must be above the current version {document.version}"),))
-    accepted = TakenChange(digest, checked.version)
+    accepted = AcceptedChange(digest, checked.version)
     return Accepted(document.with_change(accepted, checked.source), checked.version)
 
 
--- a/rookwood/clusterconfig/taken_changes.py
+++ b/rookwood/clusterconfig/taken_changes.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class TakenChange:
+class AcceptedChange:
     """A change that was accepted, by its digest, and the version it led to."""
 
     digest: bytes
@@ -30,22 +30,22 @@
         return self.digest + encode_long(self.version)
 
 
-class TakenChanges(Sequence[TakenChange]):
+class AcceptedChanges(Sequence[AcceptedChange]):
     """Accepted changes, oldest first; immutable."""
 
     def __init__(self, encoded: bytes = b"", count: int = 0) -> None:
         self._encoded = encoded
         self._count = count
-        self._changes: tuple[TakenChange, ...] | None = None
+        self._changes: tuple[AcceptedChange, ...] | None = None
 
     @classmethod
-    def of(cls, changes: Iterable[TakenChange]) -> TakenChanges:
+    def of(cls, changes: Iterable[AcceptedChange]) -> AcceptedChanges:
         """Return these changes."""
         listed = [change.encode() for change in changes]
         return cls(b"".join(listed), len(listed))
 
     @classmethod
-    def read(cls, encoded: bytes, count: int, known: Iterable[TakenChanges] = ()) -> TakenChanges:
+    def read(cls, encoded: bytes, count: int, known: Iterable[AcceptedChanges] = ()) -> AcceptedChanges:
         """Return the changes in their stored form; what is in a known list as well is not looked at again.
 
         Raises `DamagedError` where these are not as many changes, and nothing else.
@@ -60,17 +60,17 @@
         """The stored form."""
         return self._encoded
 
-    def find(self, digest: bytes) -> TakenChange | None:
+    def find(self, digest: bytes) -> AcceptedChange | None:
         """Return the change with this digest."""
         if digest not in self._encoded:
             return None
         return next((change for change in _read_all(self._encoded) if change.digest == digest), None)
 
-    def with_change(self, change: TakenChange, most: int) -> TakenChanges:
+    def with_change(self, change: AcceptedChange, most: int) -> AcceptedChanges:
         """Return these changes and a new one, without the oldest beyond the bound."""
         dropped = max(0, self._count + 1 - most)
         start = _skip(self._encoded, 0, min(dropped, self._count))
-        return TakenChanges(self._encoded[start:] + change.encode(), self._count + 1 - dropped)
+        return AcceptedChanges(self._encoded[start:] + change.encode(), self._count + 1 - dropped)
 
     def _shared_with(self, encoded: bytes) -> tuple[int, int]:
         """Return how many bytes and changes at the begin of a list are the end of this one."""
@@ -85,7 +85,7 @@
         except DamagedError:
             return 0, 0
 
-    def _all(self) -> tuple[TakenChange, ...]:
+    def _all(self) -> tuple[AcceptedChange, ...]:
         if self._changes is None:
             self._changes = tuple(_read_all(self._encoded))
         return self._changes
@@ -94,18 +94,18 @@
         return self._count
 
     @overload
-    def __getitem__(self, index: int) -> TakenChange: ...
+    def __getitem__(self, index: int) -> AcceptedChange: ...
 
     @overload
-    def __getitem__(self, index: slice) -> tuple[TakenChange, ...]: ...
+    def __getitem__(self, index: slice) -> tuple[AcceptedChange, ...]: ...
 
-    def __getitem__(self, index: int | slice) -> TakenChange | tuple[TakenChange, ...]:
+    def __getitem__(self, index: int | slice) -> AcceptedChange | tuple[AcceptedChange, ...]:
         if index == 0 and self._count:
             return _read_change(self._encoded, 0)[0]
         return self._all()[index]
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, TakenChanges) and self._encoded == other._encoded
+        return isinstance(other, AcceptedChanges) and self._encoded == other._encoded
 
     def __hash__(self) -> int:
         return hash(self._encoded)
@@ -160,13 +160,13 @@
     return count
 
 
-def _read_change(encoded: bytes, start: int) -> tuple[TakenChange, int]:
+def _read_change(encoded: bytes, start: int) -> tuple[AcceptedChange, int]:
     version_at = start + DIGEST_BYTES
     version, end = decode_long(encoded, version_at)
-    return TakenChange(encoded[start:version_at], version), end
+    return AcceptedChange(encoded[start:version_at], version), end
 
 
-def _read_all(encoded: bytes) -> Iterator[TakenChange]:
+def _read_all(encoded: bytes) -> Iterator[AcceptedChange]:
     place = 0
     while place < len(encoded):
         change, place = _read_change(encoded, place)
--- a/rookwood/controlplane/configuration_feed.py
+++ b/rookwood/controlplane/configuration_feed.py
@@ -11,7 +11,7 @@
 from rookwood.cluster.connection import Connection
 from rookwood.cluster.frames import encode_frame
 from rookwood.cluster.messages import ConfigurationBody, FetchConfiguration
-from rookwood.cluster.outbox import Subject
+from rookwood.cluster.outbox import ConflationKey
 from rookwood.cluster.position import ConfigurationPosition
 from rookwood.clusterconfig.configuration_store import BUILD_ERRORS
 from rookwood.clusterconfig.document import Configuration
@@ -69,7 +69,7 @@
         """Send the configuration, or its changes since what the subscriber has."""
         if not question.confirm:
             snapshot = self._group.snapshot()
-            connection.send_frame(self._frame(snapshot, question.base), Subject.CONFIGURATION)
+            connection.send_frame(self._frame(snapshot, question.base), ConflationKey.CONFIGURATION)
             return
         answering = asyncio.create_task(self._send_confirmed(connection))
         self.answers.add(answering)
@@ -80,7 +80,7 @@
         outcome = await self._group.confirm()
         if isinstance(outcome, Confirmed):
             frame = self._whole_frame(outcome.snapshot, confirmed=True)
-            connection.send_frame(frame, Subject.CONFIGURATION)
+            connection.send_frame(frame, ConflationKey.CONFIGURATION)
 
     def _take(self, snapshot: Snapshot) -> bool:
         source = read_payload(snapshot.payload).source
--- a/rookwood/controlplane/control_api.py
+++ b/rookwood/controlplane/control_api.py
@@ -64,7 +64,7 @@
         if not text.isascii() or not text.isdecimal() or not 0 < len(text) < DIGEST_CHARACTERS:
             return web.json_response({"err": "limit is not a number"}, status=400)
         snapshot = self._group.snapshot()
-        taken = read_payload(snapshot.payload).taken
+        taken = read_payload(snapshot.payload).accepted
         newest = taken[max(0, len(taken) - int(text)) :]
         changes = tuple(HistoryEntry(change.version, change.digest.hex()) for change in newest)
         return web.json_response(MachineHistory(self._ip, position_of(snapshot), changes).to_json())
@@ -78,23 +78,23 @@
             return web.json_response({"err": "not the primary", "primary": outcome.primary}, status=409)
         if isinstance(outcome, NoSuccessor):
             return web.json_response({"err": "no other member is reachable"}, status=409)
-        return web.json_response({"err": outcome.why}, status=503)
+        return web.json_response({"err": outcome.reason}, status=503)
 
     def _status(self) -> MachineStatus:
         group = self._group
         role = group.role()
         snapshot = group.snapshot()
-        stored = group.stored()
+        stored = group.stored_position()
         return MachineStatus(
             machine=self._ip,
             role=role_name(role),
             reason=role.reason if isinstance(role, Unattached) else "",
             primary=self._primary_of(role),
             epoch=0 if isinstance(role, Unattached) else role.epoch,
-            fresh=isinstance(role, Primary) or (isinstance(role, Following) and role.fresh),
-            holds_copy=group.holds_copy(),
+            fresh=isinstance(role, Primary) or (isinstance(role, Following) and role.is_fresh),
+            holds_copy=group.is_member(),
             members=group.members(),
-            reachable=tuple(sorted(group.reachable())),
+            reachable=tuple(sorted(group.reachable_members())),
             committed=position_of(snapshot),
             stored=StatePosition(stored.epoch, stored.sequence),
             version=read_payload(snapshot.payload).version,
@@ -115,7 +115,7 @@
     if lag is None:
         return DispatcherOverview(reporting, None)
     position = StatePosition(lag.position.epoch, lag.position.sequence)
-    seconds = round(lag.behind, SECONDS_DIGITS)
+    seconds = round(lag.behind_seconds, SECONDS_DIGITS)
     return DispatcherOverview(reporting, DispatcherBehind(lag.dispatcher, position, seconds))
 
 
--- a/rookwood/controlplane/demand.py
+++ b/rookwood/controlplane/demand.py
@@ -103,7 +103,7 @@
                     key.model,
                     key.adapter,
                     total.rate,
-                    total.busy,
+                    total.busy_slots,
                     total.waiting,
                     total.oldest_wait_s,
                 )
@@ -142,5 +142,5 @@
         rate=sum(demand.rate for demand in demands),
         waiting=sum(demand.waiting for demand in demands),
         oldest_wait_s=max(demand.oldest_wait for demand in demands),
-        busy=sum(demand.busy for demand in demands),
+        busy_slots=sum(demand.busy for demand in demands),
     )
--- a/rookwood/controlplane/demand_relay.py
+++ b/rookwood/controlplane/demand_relay.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from rookwood.cluster.connection import Connection
-from rookwood.cluster.messages import RELEASE_WITH_ONE_FEED, DemandReport
+from rookwood.cluster.messages import RELEASE_WITH_RELAYED_FEED, DemandReport
 from rookwood.controlplane.demand import DemandSum
 
 SUMMARY_INTERVAL = 0.5  # seconds; dispatchers report once a second
@@ -25,7 +25,7 @@
     @property
     def takes_sums(self) -> bool:
         """Whether the primary understands sums."""
-        return self.release >= RELEASE_WITH_ONE_FEED
+        return self.release >= RELEASE_WITH_RELAYED_FEED
 
 
 FindPrimary = Callable[[], PrimaryLink | None]
--- a/rookwood/controlplane/group_recovery.py
+++ b/rookwood/controlplane/group_recovery.py
@@ -32,12 +32,12 @@
 
 
 @dataclass(frozen=True)
-class NeverStored:
+class EmptyCopy:
     """The copy is of a machine that held no document yet."""
 
 
 @dataclass(frozen=True)
-class MajorityHolds:
+class MajorityAvailable:
     """With this copy a majority of the members has its disk: they only have to be started."""
 
     holders: tuple[str, ...]
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class StillUnknown:
+class UnaccountedMembers:
     """These members neither say that their disk is gone, nor were named as lost."""
 
     members: tuple[str, ...]
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class RecoveryPlan:
     """What would be written, and what is known of the copy."""
 
     record: Record
@@ -75,11 +75,11 @@
     left_out: tuple[str, ...]
 
 
-Refusal = NoCopy | NeverStored | MajorityHolds | NewerCopy | StillUnknown | TargetInUse
+Refusal = NoCopy | EmptyCopy | MajorityAvailable | NewerCopy | UnaccountedMembers | TargetInUse
 
 
 @dataclass(frozen=True)
-class Observed:
+class ObservedMembers:
     """What other members tell: how new the copy is that they hold, or that they have lost theirs."""
 
     holders: Mapping[str, Position]
@@ -87,18 +87,18 @@
 
 
 def plan_recovery(
-    ip: str, copy: LoadOutcome, observed: Observed, named_lost: Collection[str]
-) -> Plan | Refusal:
+    ip: str, copy: LoadOutcome, observed: ObservedMembers, named_lost: Collection[str]
+) -> RecoveryPlan | Refusal:
     """Decide whether the copy may become a new group; pure."""
     if not isinstance(copy, Found):
         return NoCopy(() if isinstance(copy, Empty) else copy.faults)
     record = copy.record
     if not record.initialised:
-        return NeverStored()
-    members = record.document.configuration.everyone()
+        return EmptyCopy()
+    members = record.document.configuration.all_addresses()
     holders = tuple(member for member in members if member in observed.holders)
     if len(holders) + (ip in members) >= vote_quorum(len(members)):
-        return MajorityHolds(holders)
+        return MajorityAvailable(holders)
     for member in holders:
         if observed.holders[member] > record.document.position:
             return NewerCopy(member, observed.holders[member])
@@ -106,15 +106,15 @@
     others = tuple(member for member in members if member not in holders and member != ip)
     unknown = tuple(member for member in others if member not in gone)
     if unknown:
-        return StillUnknown(unknown)
+        return UnaccountedMembers(unknown)
     epoch = record.promised + EPOCH_MARGIN
     token = secrets.randbits(TOKEN_BITS) + 1
     document = Document(Position(epoch, 1), Configuration((Member(ip, token),)), record.document.payload)
     version = ControlDocument.decode(document.payload).version if document.payload else 0
-    return Plan(Record(token, epoch, True, document), record.document.position, version, others)
+    return RecoveryPlan(Record(token, epoch, True, document), record.document.position, version, others)
 
 
-def write_plan(plan: Plan, directory: str, disk_mb: int) -> bool:
+def write_plan(plan: RecoveryPlan, directory: str, disk_mb: int) -> bool:
     """Store the record twice, so that neither of the two files holds an older one; whether that succeeded."""
     storage = Storage(directory, disk_mb)
     try:
--- a/rookwood/controlplane/load_scheduler.py
+++ b/rookwood/controlplane/load_scheduler.py
@@ -147,7 +147,10 @@
         plan.engine = engine
         bounds = self._bounds
         plan.planner.reconfigure(
-            model_specs(engine), engine.loads_per_s, window_s=bounds.load_window, over=bounds.load_over
+            model_specs(engine),
+            engine.loads_per_s,
+            window_s=bounds.load_window,
+            over=bounds.load_rate_tolerance,
         )
         return plan
 
@@ -160,7 +163,7 @@
             model_specs(engine),
             engine.loads_per_s,
             window_s=bounds.load_window,
-            over=bounds.load_over,
+            over=bounds.load_rate_tolerance,
             mechanisms=self._mechanisms,
         )
 
@@ -178,7 +181,7 @@
             return None
         if role.epoch == self._leading_epoch:
             return role.epoch
-        if not self._tenure.may_order(role.epoch, role.since, self._now()):
+        if not self._tenure.may_issue_orders(role.epoch, role.since, self._now()):
             return None
         return role.epoch
 
@@ -267,30 +270,30 @@
         record = self._view.registry.get(order.worker)
         status = plan.workers.get(order.worker)
         if record is None or status is None or self._leading() != epoch:
-            plan.planner.outcome(self._now(), order, False)
+            plan.planner.record_outcome(self._now(), order, False)
             return
         now = self._now()
-        plan.planner.ordered(now, order)
+        plan.planner.record_sending(now, order)
         status.executing = True
-        if not order.place and self._mechanisms.has(Mechanism.UNLOAD_NOTICE):
+        if not order.is_load and self._mechanisms.has(Mechanism.UNLOAD_NOTICE):
             status.leaving = order.key
             self._tell_holding(order.worker, status)
         call = OrderCall(
-            order.place, order.key.model, order.key.adapter, self._owner, epoch, order.if_sequence
+            order.is_load, order.key.model, order.key.adapter, self._owner, epoch, order.if_sequence
         )
         try:
             outcome = await self._client.order(record.address, record.id, call)
             if isinstance(outcome, OrderTaken):
-                plan.planner.outcome(self._now(), order, True)
+                plan.planner.record_outcome(self._now(), order, True)
                 if not outcome.done:
                     await self._follow(record, status, order.if_sequence, poll_interval(plan, order))
             elif isinstance(outcome, OrderRefused):
                 logger.info("order refused", extra={"worker": order.worker, "status": outcome.status})
                 if outcome.status == HIGHER_FENCE_SEEN:
                     status.refused_epoch = epoch
-                plan.planner.outcome(self._now(), order, False)
+                plan.planner.record_outcome(self._now(), order, False)
             else:
-                plan.planner.outcome(self._now(), order, None)
+                plan.planner.record_outcome(self._now(), order, None)
         finally:
             status.executing = False
             status.leaving = None
@@ -344,7 +347,7 @@
 def poll_interval(plan: ServicePlan, order: LoadOrder) -> float:
     """How often to ask after an order, in seconds."""
     model = plan.engine.models.get(order.key.model)
-    if model is None or order.key.adapter or not order.place:
+    if model is None or order.key.adapter or not order.is_load:
         return BUSY_POLL_INTERVAL
     return max(BUSY_POLL_INTERVAL, model.load_s / POLLS_PER_LOAD)
 
--- a/rookwood/controlplane/metrics.py
+++ b/rookwood/controlplane/metrics.py
@@ -77,12 +77,14 @@
         name = role_name(role).value
         yield gauges("role", "1 for the present role.", ("role",), [Sample({"role": name}, 1)])
         yield gauge("epoch", "Epoch of the primary that is known.", _epoch(self._group))
-        yield gauge("promised_epoch", "Highest epoch promised.", self._group.promised())
+        yield gauge("promised_epoch", "Highest epoch promised.", self._group.promised_epoch())
         yield gauge(
-            "members_reachable", "Members heard lately, itself included.", len(self._group.reachable())
+            "members_reachable",
+            "Members heard lately, itself included.",
+            len(self._group.reachable_members()),
         )
-        yield gauge("calls_open", "Changes and confirmations under way.", self._group.open_calls)
-        yield gauge("disk_writes_open", "Writes that are not synced yet.", self._group.open_writes)
+        yield gauge("calls_open", "Changes and confirmations under way.", self._group.pending_calls)
+        yield gauge("disk_writes_open", "Writes that are not synced yet.", self._group.pending_writes)
 
 
 def _epoch(group: ControlGroup) -> int:
@@ -96,13 +98,17 @@
         "dispatcher_behind_seconds",
         "Age of the oldest commit that the dispatcher has not reported; 0 when level.",
         DISPATCHER_LABELS,
-        (Sample({"dispatcher": lag.dispatcher}, lag.behind) for lag in lags),
+        (Sample({"dispatcher": lag.dispatcher}, lag.behind_seconds) for lag in lags),
     )
     yield gauges(
         "dispatcher_take_up_seconds",
         "From the commit of the position that the dispatcher last reported to that report.",
         DISPATCHER_LABELS,
-        (Sample({"dispatcher": lag.dispatcher}, lag.take_up) for lag in lags if lag.take_up is not None),
+        (
+            Sample({"dispatcher": lag.dispatcher}, lag.take_up_seconds)
+            for lag in lags
+            if lag.take_up_seconds is not None
+        ),
     )
     yield gauges(
         "dispatcher_sequence",
@@ -115,8 +121,8 @@
 def activity_families(activity: GroupActivity) -> Iterator[Metric]:
     """Elections, refusals and changes of role."""
     refused = (
-        Sample({"kind": "older_epoch"}, activity.older_epochs_refused),
-        Sample({"kind": "pre_vote"}, activity.pre_votes_refused),
+        Sample({"kind": "older_epoch"}, activity.old_epoch_refusals),
+        Sample({"kind": "pre_vote"}, activity.pre_vote_refusals),
     )
     yield counter("elections_begun", "Epochs for which this member asked for votes.", activity.elections)
     yield counter("pre_votes_begun", "Pre-vote ballots that this member sent.", activity.pre_votes)
@@ -128,6 +134,6 @@
     """Durable writes and how long they took."""
     yield counter("disk_writes", "Durable writes, failed ones included.", writes.writes)
     yield counter("disk_write_failures", "Durable writes that failed.", writes.failures)
-    yield counter("disk_write_seconds", "Time spent in durable writes.", writes.seconds)
-    yield gauge("disk_write_last_seconds", "Time of the last durable write.", writes.last)
-    yield gauge("disk_write_longest_seconds", "Time of the longest durable write.", writes.longest)
+    yield counter("disk_write_seconds", "Time spent in durable writes.", writes.total_seconds)
+    yield gauge("disk_write_last_seconds", "Time of the last durable write.", writes.last_seconds)
+    yield gauge("disk_write_longest_seconds", "Time of the longest durable write.", writes.longest_seconds)
--- a/rookwood/controlplane/operator_api.py
+++ b/rookwood/controlplane/operator_api.py
@@ -13,11 +13,11 @@
 from rookwood.cluster.settings import NodeSettings
 from rookwood.clusterconfig.history import (
     Accepted,
-    AlreadyTaken,
+    AlreadyAccepted,
+    BaseTooOld,
     Change,
     ChangeMethod,
     Conflict,
-    Forgotten,
     InvalidChange,
     decide,
 )
@@ -117,7 +117,7 @@
             logger.info("configuration taken", extra={"version": version})
             return web.json_response({"ver": version})
         if isinstance(outcome, Declined):
-            return answer_declined(outcome.answer)
+            return answer_declined(outcome.result)
         if isinstance(outcome, Overloaded):
             reason = "too many changes wait; this call changed nothing"
             return unavailable(reason, OVERLOAD_RETRY_AFTER)
@@ -140,7 +140,7 @@
             role = self._group.role()
             if isinstance(role, Primary):
                 return Here()
-            if isinstance(role, Following) and role.in_touch:
+            if isinstance(role, Following) and role.in_contact:
                 return Elsewhere(role.primary)
             if asyncio.get_running_loop().time() > deadline:
                 return Nowhere()
@@ -168,11 +168,11 @@
 
 def answer_declined(answer: object) -> web.Response:
     """The answer for a change that was not made."""
-    if isinstance(answer, AlreadyTaken):
+    if isinstance(answer, AlreadyAccepted):
         return web.json_response({"ver": answer.version})
     if isinstance(answer, Conflict):
         return web.json_response({"err": "another version is current", "ver": answer.current}, status=412)
-    if isinstance(answer, Forgotten):
+    if isinstance(answer, BaseTooOld):
         return unavailable("the change builds on a version that is not remembered; it may have been taken")
     if isinstance(answer, InvalidChange):
         faults = [{"key": fault.key, "message": fault.message} for fault in answer.faults]
--- a/rookwood/controlplane/payload.py
+++ b/rookwood/controlplane/payload.py
@@ -22,6 +22,6 @@
         return EMPTY_DOCUMENT
     document = _documents.get(payload)
     if document is None:
-        document = ControlDocument.decode(payload, [kept.taken for kept in _documents.values()])
+        document = ControlDocument.decode(payload, [kept.accepted for kept in _documents.values()])
         _documents[payload] = document
     return document
--- a/rookwood/controlplane/peer_feed.py
+++ b/rookwood/controlplane/peer_feed.py
@@ -29,30 +29,30 @@
         self._take_notices = take_notices
         self._connections: dict[str, Connection] = {}
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """A subscription is open."""
         self._connections[peer] = connection
-        self._view.linked(peer)
-        self._tenure.linked(peer)
+        self._view.link_opened(peer)
+        self._tenure.link_opened(peer)
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """A subscription ended."""
         self._connections.pop(peer, None)
         now = asyncio.get_running_loop().time()
-        self._view.unlinked(peer, now)
-        self._tenure.unlinked(peer, now)
+        self._view.link_closed(peer, now)
+        self._tenure.link_closed(peer, now)
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """A message of another control machine."""
         if isinstance(message, WorkNotices):
             self._take_notices(message)
         if not isinstance(message, Status | WorkerUpdates | WorkerGone):
             return
         if isinstance(message, Status):
-            self._view.received(peer, message, asyncio.get_running_loop().time())
+            self._view.message_received(peer, message, asyncio.get_running_loop().time())
             return
         ended = self._new_ends(message)
-        self._view.received(peer, message, asyncio.get_running_loop().time())
+        self._view.message_received(peer, message, asyncio.get_running_loop().time())
         if isinstance(message, WorkerUpdates):
             self._publish(message, Audience.DISPATCHERS)
         for worker in ended:
--- a/rookwood/controlplane/program.py
+++ b/rookwood/controlplane/program.py
@@ -16,8 +16,8 @@
 from rookwood.cluster.connection import Connection
 from rookwood.cluster.feed import FeedServer, LinkSet
 from rookwood.cluster.messages import (
-    RELEASE,
-    RELEASE_WITH_ONE_FEED,
+    PROTOCOL_RELEASE,
+    RELEASE_WITH_RELAYED_FEED,
     ControlMachine,
     DemandReport,
     DemandSummary,
@@ -110,7 +110,7 @@
         self._progress = ConfigurationProgress()
         self._notices = NoticeRelay(self._send_notices, self._send_notices_to_core)
         self._worker_news = WorkerRelay(self._view.registry.get, self._send_to_dispatchers)
-        self._table = WorkerTable(self._view, settings.ip, settings.beat, self._publish)
+        self._table = WorkerTable(self._view, settings.ip, settings.heartbeat_interval, self._publish)
         self._tenure = Tenure(settings.ip, settings.bounds.lease, settings.bounds.fenced)
         self._scheduler = LoadScheduler(
             settings.hostname,
@@ -138,7 +138,7 @@
         await self.group.start()
         await self._feed.start(self._settings.ip, self._settings.feed_port)
         await self._serve_http()
-        hello = Hello(self._settings.ip, TIER_CORE, self._settings.zone, RELEASE)
+        hello = Hello(self._settings.ip, TIER_CORE, self._settings.zone, PROTOCOL_RELEASE)
         peers = PeerFeed(self._view, self._publish, self._tenure, self._notices.take)
         self._links = LinkSet(self._settings.feed_port, hello, peers, self._settings.ip)
         self._metrics = MetricsServer(
@@ -199,14 +199,14 @@
         self.dispatchers.check(self._settings.bounds.apply)
         if self._links is not None:
             seeds = {seed.ip for seed in self._file.settings.seeds}
-            self._links.want(seeds | set(self.group.members()) | self._view.members())
+            self._links.set_peers(seeds | set(self.group.members()) | self._view.members())
 
     def _known_primary(self) -> KnownPrimary:
         role = self.group.role()
         if isinstance(role, Primary):
             return KnownPrimary(self._settings.ip, role.epoch, in_touch=True, fresh=True)
         if isinstance(role, Following):
-            return KnownPrimary(role.primary, role.epoch, role.in_touch, role.fresh)
+            return KnownPrimary(role.primary, role.epoch, role.in_contact, role.is_fresh)
         return KnownPrimary("", 0, in_touch=False, fresh=False)
 
     def _status(self) -> Status:
@@ -214,18 +214,18 @@
         snapshot = self.group.snapshot()
         now = asyncio.get_running_loop().time()
         attached = self._attached()
-        everywhere = attached + self._view.attached()
+        everywhere = attached + self._view.attached_dispatchers()
         return Status(
             identity=self._settings.ip,
             epoch=known.epoch,
             primary=known.address,
             fresh=known.in_touch,
-            settled=now - self._started > SETTLED_BEATS * self._settings.beat,
+            settled=now - self._started > SETTLED_BEATS * self._settings.heartbeat_interval,
             config_epoch=snapshot.epoch,
             config_sequence=snapshot.sequence,
             dispatchers=self._dispatcher_count.update(everywhere, now),
             members=self.group.members(),
-            release=RELEASE,
+            release=PROTOCOL_RELEASE,
             attached=attached,
             roots=self._roots(),
         )
@@ -258,7 +258,7 @@
         """
         now = asyncio.get_running_loop().time()
         status = self._status()
-        self._view.received(self._settings.ip, replace(status, attached=0), now)
+        self._view.message_received(self._settings.ip, replace(status, attached=0), now)
         if status == self._told_status and now - self._told_at < STATUS_REPEAT:
             self._feed.send_to([c for c in self._feed.connections if is_core(c)], status)
             return
@@ -285,7 +285,7 @@
         The group resolves the call of the operator right after this. A timer, also one without delay,
         runs after all that is ready by then, the operator's answer among it.
         """
-        self.dispatchers.committed(ConfigurationPosition(snapshot.epoch, snapshot.sequence))
+        self.dispatchers.record_commit(ConfigurationPosition(snapshot.epoch, snapshot.sequence))
         if self._commit_timer is None:
             self._commit_timer = asyncio.get_running_loop().call_later(0, self._take_commit)
 
@@ -306,9 +306,9 @@
         logger.info("role changed", extra={"role": repr(role)})
         now = asyncio.get_running_loop().time()
         if isinstance(role, Primary):
-            self._tenure.primary_seen(self._settings.ip, role.epoch, now)
+            self._tenure.record_primary(self._settings.ip, role.epoch, now)
         elif isinstance(role, Following):
-            self._tenure.primary_seen(role.primary, role.epoch, now)
+            self._tenure.record_primary(role.primary, role.epoch, now)
         self._tell_demand()
         self._send_status()
 
@@ -327,20 +327,20 @@
     def _worker_gone(self, worker: str) -> None:
         logger.info("worker gone", extra={"worker": worker})
 
-    def greeting(self, connection: Connection) -> Iterable[Message]:
+    def initial_messages(self, connection: Connection) -> Iterable[Message]:
         """What whoever opens a link gets first."""
         if connection.hello is not None and not connection.hello.subscribes:
             return (self._status(),)
         return (self._status(), self._table.direct() if is_core(connection) else self._table.known())
 
-    def received(self, connection: Connection, message: Message) -> None:
+    def message_received(self, connection: Connection, message: Message) -> None:
         """A message of a subscriber."""
         if isinstance(message, FetchConfiguration):
             self._take_pending_commit()
             self._configuration.answer(connection, message)
         elif isinstance(message, Heartbeat):
             if connection.hello is not None and not is_core(connection):
-                self.dispatchers.reported(connection.hello.identity, message.position, message.stalled)
+                self.dispatchers.record_report(connection.hello.identity, message.position, message.stalled)
                 connection.send(self._heartbeat_answer(message))
         elif isinstance(message, DemandReport):
             self._scheduler.take_demand(message)
@@ -354,7 +354,7 @@
 
     def _send_notices(self, notices: WorkNotices) -> None:
         """Tell the dispatchers fed here; those of release 0 hear all machines, and the primary tells them."""
-        least = 0 if isinstance(self.group.role(), Primary) else RELEASE_WITH_ONE_FEED
+        least = 0 if isinstance(self.group.role(), Primary) else RELEASE_WITH_RELAYED_FEED
         dispatchers = [known for known in self._feed.subscribers if is_dispatcher(known)]
         told = [known for known in dispatchers if known.hello and known.hello.release >= least]
         self._feed.send_to(told, notices)
@@ -362,10 +362,10 @@
     def _send_notices_to_core(self, notices: WorkNotices) -> None:
         self._feed.send_to([known for known in self._feed.subscribers if is_core(known)], notices)
 
-    def lost(self, connection: Connection) -> None:
+    def subscriber_lost(self, connection: Connection) -> None:
         """A subscriber is gone."""
         if connection.hello is not None:
-            self.dispatchers.lost(connection.hello.identity)
+            self.dispatchers.remove_dispatcher(connection.hello.identity)
 
 
 def is_core(connection: Connection) -> bool:
@@ -385,7 +385,7 @@
         port=settings.replication_port,
         listen_ip=settings.ip,
         seeds=tuple(seed.ip for seed in settings.seeds),
-        tolerate=settings.tolerated_machines,
+        tolerate=settings.tolerated_machine_failures,
         bootstrap=settings.bootstrap,
         directory=settings.data_directory or "",
         disk_mb=settings.disk_megabytes,
--- a/rookwood/controlplane/tenure.py
+++ b/rookwood/controlplane/tenure.py
@@ -48,18 +48,18 @@
     _links: dict[str, PeerLink] = field(default_factory=dict)
     _holders: dict[int, Holder] = field(default_factory=dict)
 
-    def linked(self, peer: str) -> None:
+    def link_opened(self, peer: str) -> None:
         """A subscription to a control machine opened."""
         self._links.setdefault(peer, PeerLink()).open = True
 
-    def unlinked(self, peer: str, now: float) -> None:
+    def link_closed(self, peer: str, now: float) -> None:
         """A subscription to a control machine ended."""
         link = self._links.setdefault(peer, PeerLink())
         if link.open:
             link.open = False
             link.broke_at = now
 
-    def primary_seen(self, ip: str, epoch: int, now: float) -> None:
+    def record_primary(self, ip: str, epoch: int, now: float) -> None:
         """A machine is the primary of an epoch; this one included."""
         if not ip or epoch in self._holders:
             return
@@ -67,7 +67,7 @@
         for older in [known for known in self._holders if known < epoch - 1]:
             del self._holders[older]
 
-    def may_order(self, epoch: int, since: float, now: float) -> bool:
+    def may_issue_orders(self, epoch: int, since: float, now: float) -> bool:
         """Whether this machine, primary of `epoch` since `since`, may give orders."""
         if epoch <= FIRST_EPOCH or now - since > self._wait():
             return True
--- a/rookwood/controlplane/worker_api.py
+++ b/rookwood/controlplane/worker_api.py
@@ -75,5 +75,5 @@
         """
         role = self._group.role()
         if isinstance(role, Backup):
-            return not role.in_touch
+            return not role.in_contact
         return not isinstance(role, Primary)
--- a/rookwood/controlplane/worker_client.py
+++ b/rookwood/controlplane/worker_client.py
@@ -70,7 +70,7 @@
 class OrderCall:
     """The body of POST /order."""
 
-    place: bool
+    is_load: bool
     model: str
     adapter: str
     owner: str
@@ -79,7 +79,7 @@
 
     def body(self) -> bytes:
         """The JSON text."""
-        document: dict[str, str | int] = {"op": "place" if self.place else "evict", "model": self.model}
+        document: dict[str, str | int] = {"op": "place" if self.is_load else "evict", "model": self.model}
         if self.adapter:
             document["lora"] = self.adapter
         document["if-revision"] = self.if_sequence
--- a/rookwood/controlplane/worker_table.py
+++ b/rookwood/controlplane/worker_table.py
@@ -35,7 +35,7 @@
         self._silence = SILENT_BEATS * beat
         self._publish = publish
         self._heard: dict[str, float] = {}
-        view.linked(own_ip)
+        view.link_opened(own_ip)
 
     def was_deleted(self, worker: str) -> bool:
         """Whether the worker said that it ended."""
@@ -48,7 +48,7 @@
         news = record.id not in self._heard
         self._heard[record.id] = now
         before = self._view.registry.get(record.id)
-        self._view.received(self._own_ip, WorkerUpdates((record,), complete=False), now)
+        self._view.message_received(self._own_ip, WorkerUpdates((record,), complete=False), now)
         after = self._view.registry.get(record.id)
         if after is None:
             return False
@@ -63,7 +63,7 @@
         if self._view.registry.was_deleted(worker):
             return False
         gone = WorkerGone(worker, deleted=True)
-        self._view.received(self._own_ip, gone, now)
+        self._view.message_received(self._own_ip, gone, now)
         self._publish(gone, Audience.ALL)
         return True
 
@@ -94,9 +94,9 @@
         for worker in silent:
             del self._heard[worker]
             gone = WorkerGone(worker, deleted=False)
-            self._view.received(self._own_ip, gone, now)
+            self._view.message_received(self._own_ip, gone, now)
             self._publish(gone, Audience.CONTROL_MACHINES)
-        for worker in self._view.drop_silent(now):
+        for worker in self._view.remove_unreported_workers(now):
             self._publish(WorkerGone(worker, deleted=False), Audience.DISPATCHERS)
 
     def known(self) -> WorkerUpdates:
@@ -111,7 +111,7 @@
 
     def _ended(self) -> tuple[str, ...]:
         """Farewells that a new subscriber may have missed, beside a machine that missed them too."""
-        return self._view.registry.deleted_lately(TOLD_ENDS)
+        return self._view.registry.recently_deleted(TOLD_ENDS)
 
 
 Publish = Callable[[WorkerUpdates | WorkerGone, Audience], None]
--- a/rookwood/coordination/activity.py
+++ b/rookwood/coordination/activity.py
@@ -24,9 +24,9 @@
 
     writes: int = 0
     failures: int = 0
-    seconds: float = 0.0
-    last: float = 0.0
-    longest: float = 0.0
+    total_seconds: float = 0.0
+    last_seconds: float = 0.0
+    longest_seconds: float = 0.0
 
     @contextmanager
     def measure(self) -> Iterator[WriteAttempt]:
@@ -41,9 +41,9 @@
     def _count(self, seconds: float, succeeded: bool) -> None:
         self.writes += 1
         self.failures += not succeeded
-        self.seconds += seconds
-        self.last = seconds
-        self.longest = max(self.longest, seconds)
+        self.total_seconds += seconds
+        self.last_seconds = seconds
+        self.longest_seconds = max(self.longest_seconds, seconds)
 
 
 @dataclass(slots=True)
@@ -56,14 +56,14 @@
 
     elections: int = 0
     pre_votes: int = 0
-    older_epochs_refused: int = 0
-    pre_votes_refused: int = 0
+    old_epoch_refusals: int = 0
+    pre_vote_refusals: int = 0
     role_changes: int = 0
     writes: WriteTimes = field(default_factory=WriteTimes)
     _last_election: int = 0
     _last_ballot: int | None = None
 
-    def sending(self, message: Message) -> None:
+    def count_sent(self, message: Message) -> None:
         """Count a message that the replica sends; those to several members count once."""
         match message:
             case VoteRequest() if message.epoch > self._last_election:
@@ -73,6 +73,6 @@
                 self._last_ballot = message.ballot
                 self.pre_votes += 1
             case Refused():
-                self.older_epochs_refused += 1
+                self.old_epoch_refusals += 1
             case PreVoteReply() if not message.granted:
-                self.pre_votes_refused += 1
+                self.pre_vote_refusals += 1
--- a/rookwood/coordination/admission.py
+++ b/rookwood/coordination/admission.py
@@ -38,7 +38,7 @@
             self._context.note_configuration(document.position, document.configuration)
 
     def _known_machines(self) -> tuple[str, ...]:
-        everyone = (*self._context.seeds, *self._context.configuration().everyone())
+        everyone = (*self._context.seeds, *self._context.configuration().all_addresses())
         return tuple(ip for ip in dict.fromkeys(everyone) if ip != self._context.ip)
 
 
--- a/rookwood/coordination/context.py
+++ b/rookwood/coordination/context.py
@@ -90,7 +90,7 @@
     def is_member(self) -> bool:
         """Tell whether this replica takes part: admitted with the storage it has."""
         record = self.journal.latest
-        return record.initialised and self.configuration().admits(Member(self.ip, record.token))
+        return record.initialised and self.configuration().has_member(Member(self.ip, record.token))
 
     def is_recovering(self) -> bool:
         """Tell whether this replica is a member whose storage was lost."""
--- a/rookwood/coordination/document.py
+++ b/rookwood/coordination/document.py
@@ -43,15 +43,15 @@
         """Return the addresses of the members in force: the previous ones until a change is done."""
         return tuple(member.ip for member in self.outgoing or self.members)
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_addresses(self) -> tuple[str, ...]:
         """Return the addresses of new and outgoing members, each once."""
         return tuple(dict.fromkeys(member.ip for member in self.members + self.outgoing))
 
     def has_address(self, ip: str) -> bool:
         """Tell whether an address is that of a member, under whatever token."""
-        return ip in self.everyone()
+        return ip in self.all_addresses()
 
-    def admits(self, member: Member) -> bool:
+    def has_member(self, member: Member) -> bool:
         """Tell whether a storage was admitted: this address under this token."""
         return member in self.members + self.outgoing
 
--- a/rookwood/coordination/election.py
+++ b/rookwood/coordination/election.py
@@ -58,7 +58,7 @@
         ballot = self._context.random.getrandbits(62)
         self._ballots.add(ballot)
         request = PreVoteRequest(ballot, self._context.journal.latest.document.position)
-        for ip in self._context.configuration().everyone():
+        for ip in self._context.configuration().all_addresses():
             self._context.send(ip, request)
 
 
@@ -115,10 +115,13 @@
     def _ask(self) -> None:
         self._resend_at = self._context.now + self._context.timing.resend
         position = self._context.journal.latest.document.position
-        addresses = {*self._context.configuration().everyone(), *self.newest.configuration.everyone()}
+        addresses = {
+            *self._context.configuration().all_addresses(),
+            *self.newest.configuration.all_addresses(),
+        }
         for ip in sorted(addresses - set(self._promises)):
             self._context.send(ip, VoteRequest(self.epoch, position))
 
     def _is_eligible(self) -> bool:
         own = Member(self._context.ip, self._context.journal.latest.token)
-        return self.newest.configuration.admits(own)
+        return self.newest.configuration.has_member(own)
--- a/rookwood/coordination/exploration_ledger.py
+++ b/rookwood/coordination/exploration_ledger.py
@@ -9,12 +9,12 @@
 from rookwood.coordination.outcomes import Committed, Confirmed, NotPrimary, Overloaded, Snapshot
 
 
-class BrokenError(Exception):
+class InvariantError(Exception):
     """An invariant does not hold; `trace` is a shortest way there."""
 
     def __init__(self, why: str, trace: tuple[str, ...] = ()) -> None:
         super().__init__(why)
-        self.why = why
+        self.reason = why
         self.trace = trace
 
 
@@ -37,7 +37,7 @@
     for first, second in zip(committed, committed[1:], strict=False):
         in_order = first.sequence < second.sequence and first.epoch <= second.epoch
         if not in_order or not second.payload.startswith(first.payload):
-            raise BrokenError(f"history forked between {first} and {second}")
+            raise InvariantError(f"history forked between {first} and {second}")
     _check_refused(ledger.refused, committed[-1].payload)
     return replace(ledger, committed=committed)
 
@@ -45,7 +45,7 @@
 def with_primary(ledger: Ledger, holder: tuple[int, str, int]) -> Ledger:
     """Return the ledger with a process that wrote a document in an epoch: no epoch has two."""
     if any(epoch == holder[0] for epoch, *_ in ledger.primaries - {holder}):
-        raise BrokenError(f"epoch {holder[0]} has two primaries")
+        raise InvariantError(f"epoch {holder[0]} has two primaries")
     return replace(ledger, primaries=ledger.primaries | {holder})
 
 
@@ -67,13 +67,13 @@
 
 def _check_refused(refused: frozenset[bytes], payload: bytes) -> None:
     if any(label in payload for label in refused):
-        raise BrokenError("a refused change is in force")
+        raise InvariantError("a refused change is in force")
 
 
 def _check_confirmed(ledger: Ledger, ticket: int, snapshot: Snapshot) -> None:
     for started, acknowledged in ledger.confirming:
         if started == ticket and any(label not in snapshot.payload for label in acknowledged):
-            raise BrokenError("a confirmed document lacks an acknowledged change")
+            raise InvariantError("a confirmed document lacks an acknowledged change")
 
 
 def check_sync(before: Record | None, after: Record) -> None:
@@ -81,7 +81,7 @@
     if before is None or before.token != after.token:
         return
     if after.promised < before.promised or after.document.position < before.document.position:
-        raise BrokenError("a synced record goes back")
+        raise InvariantError("a synced record goes back")
 
 
 def check_durability(
@@ -105,4 +105,4 @@
     if not newest.configuration.has_votes({ip: record.token for ip, record in voters}):
         return
     if any(label not in newest.payload for label in acknowledged):
-        raise BrokenError("voters can elect a document that lacks an acknowledged change")
+        raise InvariantError("voters can elect a document that lacks an acknowledged change")
--- a/rookwood/coordination/explore.py
+++ b/rookwood/coordination/explore.py
@@ -16,7 +16,7 @@
 from rookwood.coordination.document import Configuration, Document, Member, Position, Record
 from rookwood.coordination.effects import CommitApplied, Effect, Persist, Resolve, Send
 from rookwood.coordination.exploration_ledger import (
-    BrokenError,
+    InvariantError,
     Ledger,
     check_durability,
     check_sync,
@@ -236,8 +236,8 @@
                     if successor_key not in parents:
                         parents[successor_key] = (key, action)
                         queue.append(successor_key)
-            except BrokenError as error:
-                raise BrokenError(error.why, (*_trace(parents, key), *error.trace)) from None
+            except InvariantError as error:
+                raise InvariantError(error.reason, (*_trace(parents, key), *error.trace)) from None
         return self._report(len(parents), transitions, whole=True)
 
     def _report(self, states: int, transitions: int, *, whole: bool) -> Report:
@@ -349,8 +349,8 @@
     ) -> Iterator[Step]:
         try:
             successor = action(world, *arguments, **named)
-        except BrokenError as error:
-            raise BrokenError(error.why, (name,)) from None
+        except InvariantError as error:
+            raise InvariantError(error.reason, (name,)) from None
         if successor is not world:
             yield name, successor
 
@@ -378,13 +378,13 @@
 
     def _leads(self, machine: Machine) -> bool:
         if machine.replica not in self._leading:
-            self._leading[machine.replica] = _replica(machine).leads()
+            self._leading[machine.replica] = _replica(machine).is_leading()
         return self._leading[machine.replica]
 
     def _epochs_to_know(self, world: World, index: int) -> range:
         """Return what a candidate may have heard to be the highest promise: any epoch ever stood for."""
         highest = FIRST_EPOCH + self._bounds.elections - world.left.elections
-        return range(_replica(world.machines[index]).promised(), highest + 1)
+        return range(_replica(world.machines[index]).promised_epoch(), highest + 1)
 
     def _stand(self, world: World, index: int, known: int) -> World:
         """Give an earlier candidacy up, and stand for the epoch after the one that is known."""
--- a/rookwood/coordination/group.py
+++ b/rookwood/coordination/group.py
@@ -190,17 +190,17 @@
         """Return the addresses of the members as known here."""
         return () if self._replica is None else self._replica.members()
 
-    def reachable(self) -> frozenset[str]:
+    def reachable_members(self) -> frozenset[str]:
         """Return the members heard within the lease time, this one included."""
-        return frozenset() if self._replica is None else self._replica.reachable(self._now())
+        return frozenset() if self._replica is None else self._replica.reachable_members(self._now())
 
-    def stored(self) -> Position:
+    def stored_position(self) -> Position:
         """Return the position of the document that is synced here."""
         return Position() if self._replica is None else self._replica.record().document.position
 
-    def promised(self) -> int:
+    def promised_epoch(self) -> int:
         """Return the highest epoch that is promised here."""
-        return 0 if self._replica is None else self._replica.promised()
+        return 0 if self._replica is None else self._replica.promised_epoch()
 
     @property
     def transport(self) -> Transport:
@@ -208,16 +208,16 @@
         return self._transport
 
     @property
-    def open_calls(self) -> int:
+    def pending_calls(self) -> int:
         """How many calls of this process await their outcome."""
         return len(self._calls)
 
     @property
-    def open_writes(self) -> int:
+    def pending_writes(self) -> int:
         """How many writes are under way on the storage's thread or wait for it."""
         return len(self._writes)
 
-    def holds_copy(self) -> bool:
+    def is_member(self) -> bool:
         """Tell whether this machine takes part with the storage it has, neither joining nor recovering."""
         return self._replica is not None and self._replica.is_member()
 
@@ -226,7 +226,7 @@
         role = self.role()
         if self._replica is None or not isinstance(role, Primary):
             return NotPrimary(role.primary if isinstance(role, Following) else None)
-        if self.reachable() <= {self._settings.ip}:
+        if self.reachable_members() <= {self._settings.ip}:
             return NoSuccessor()
         await self._transfer(self._replica)
         epoch = self.snapshot().epoch
@@ -357,7 +357,7 @@
     def _apply_one(self, effect: Effect) -> None:
         match effect:
             case Send():
-                self.activity.sending(effect.message)
+                self.activity.count_sent(effect.message)
                 self._transport.send(effect.to, effect.message)
             case Persist():
                 self._persist(effect)
--- a/rookwood/coordination/leadership.py
+++ b/rookwood/coordination/leadership.py
@@ -161,7 +161,7 @@
 
     def on_join_request(self, sender: str, incarnation: int, token: int) -> None:
         """Send the document to a machine that asks to be admitted with the storage of this token."""
-        if self._document.configuration.admits(Member(sender, token)):
+        if self._document.configuration.has_member(Member(sender, token)):
             return
         self._membership.ask(Member(sender, token))
         self._send_newest(sender, self._progress_of(sender, incarnation, token))
@@ -360,7 +360,7 @@
             self._write(configuration, self._document.payload)
 
     def _receivers(self) -> tuple[str, ...]:
-        everyone = (*self._document.configuration.everyone(), *self._membership.learners())
+        everyone = (*self._document.configuration.all_addresses(), *self._membership.learners())
         return tuple(ip for ip in dict.fromkeys(everyone) if ip != self._context.ip)
 
     def _progress_of(self, ip: str, incarnation: int, token: int | None) -> MemberProgress:
@@ -384,7 +384,7 @@
 
     def _is_member(self, ip: str, token: int | None) -> bool:
         configuration = self._document.configuration
-        return configuration.has_address(ip) if token is None else configuration.admits(Member(ip, token))
+        return configuration.has_address(ip) if token is None else configuration.has_member(Member(ip, token))
 
     def _note_stored(self, progress: MemberProgress, stored: Position) -> None:
         if stored.epoch == self.epoch and stored > progress.stored:
--- a/rookwood/coordination/membership.py
+++ b/rookwood/coordination/membership.py
@@ -43,7 +43,7 @@
         """Forget those that ask no more, and those that are members by now."""
         limit = self._context.now - self._context.timing.learner_silence
         for ip, learner in list(self._learners.items()):
-            if learner.asked_at < limit or configuration.admits(Member(ip, learner.token)):
+            if learner.asked_at < limit or configuration.has_member(Member(ip, learner.token)):
                 del self._learners[ip]
 
     def next_configuration(
@@ -114,7 +114,7 @@
             if progress[ip].token == learner.token
             and progress[ip].stored >= document.position
             and self._context.heard_within(ip, silence)
-            and not configuration.admits(Member(ip, learner.token))
+            and not configuration.has_member(Member(ip, learner.token))
         ]
         return sorted(ready, key=lambda member: not configuration.has_address(member.ip))
 
--- a/rookwood/coordination/monitoring.py
+++ b/rookwood/coordination/monitoring.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 from rookwood.coordination.pauses import PauseDetector
-from rookwood.coordination.rendezvous import top, weight
+from rookwood.coordination.rendezvous import rendezvous_weight, top
 
 DEFAULT_MONITORS = 3
 
@@ -98,7 +98,7 @@
 
     def _add(self, member: str) -> None:
         for peer, lowest in self._lowest_weights.items():
-            if weight(peer, member) >= lowest:
+            if rendezvous_weight(peer, member) >= lowest:
                 self._choose(peer, (*self._monitors[peer], member))
         self._monitors[member] = ()
         self._choose(member, self._monitors)
@@ -108,7 +108,7 @@
         monitors = tuple(top(peer, others, self._count))
         full = len(monitors) == self._count
         self._monitors[peer] = monitors
-        self._lowest_weights[peer] = weight(peer, monitors[-1]) if full else 0
+        self._lowest_weights[peer] = rendezvous_weight(peer, monitors[-1]) if full else 0
 
 
 class SuspicionLog:
@@ -242,7 +242,7 @@
 
     def tick(self, now: float) -> list[Report]:
         """Return the reports to send to the other members, those on a peer to that peer as well."""
-        if self._pauses.paused(now):
+        if self._pauses.detect_pause(now):
             self._restart_watches(now)
         for peer, watch in self._watches.items():
             if self._must_report(watch, now):
--- a/rookwood/coordination/outcomes.py
+++ b/rookwood/coordination/outcomes.py
@@ -31,13 +31,13 @@
 
     primary: str
     epoch: int
-    in_touch: bool
-    level: bool = field(default=True, compare=False)
+    in_contact: bool
+    is_up_to_date: bool = field(default=True, compare=False)
 
     @property
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Whether the newest committed document here was the newest of all a lease ago at most."""
-        return self.in_touch and self.level
+        return self.in_contact and self.is_up_to_date
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
 class Declined:
     """The change itself said no; leadership was confirmed after the call arrived."""
 
-    answer: object
+    result: object
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
 class Uncertain:
     """The change may or may not be in force, or leadership could not be confirmed."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True)
--- a/rookwood/coordination/parent_choice.py
+++ b/rookwood/coordination/parent_choice.py
@@ -58,12 +58,12 @@
         self._link(self._parents[0], now)
 
     @property
-    def current(self) -> str:
+    def current_parent(self) -> str:
         """The parent to be linked to."""
         return self._current
 
     @property
-    def trial(self) -> str | None:
+    def trial_parent(self) -> str | None:
         """A better parent to which a second link is to be opened, if there is one."""
         return self._trial
 
@@ -76,7 +76,7 @@
         self._exclusions = {parent: e for parent, e in self._exclusions.items() if parent in parents}
         self._return_at = max(self._return_at, now + self._timing.return_after)
 
-    def heard(self, parent: str, now: float) -> None:
+    def record_message(self, parent: str, now: float) -> None:
         """Anything arrived over the link to a parent."""
         if parent == self._trial:
             self._link(parent, now)
@@ -85,29 +85,29 @@
             self._opened = True
             self._heard_at = now
 
-    def received(self, position: Position) -> None:
+    def record_update(self, position: Position) -> None:
         """An update was taken in, over whichever link."""
         self._position = max(self._position, position)
         while self._awaited and self._awaited[0].position <= self._position:
             self._awaited.popleft()
 
-    def digest(self, position: Position, now: float) -> None:
+    def record_digest(self, position: Position, now: float) -> None:
         """A control machine tells the newest position."""
         newest = self._awaited[-1].position if self._awaited else self._position
         if position > newest:
             self._awaited.append(_Awaited(position, now))
 
-    def failed(self, parent: str, now: float) -> None:
+    def record_link_failure(self, parent: str, now: float) -> None:
         """A link could not be opened, was refused or ended."""
         self._leave(parent, now)
 
-    def suspected(self, parent: str, now: float) -> None:
+    def record_suspicion(self, parent: str, now: float) -> None:
         """The monitors of a parent suspect it or take it for dead."""
         self._leave(parent, now)
 
     def tick(self, now: float) -> str:
         """Return the parent to be linked to now."""
-        if self._pauses.paused(now):
+        if self._pauses.detect_pause(now):
             self._restart_limits(now)
         if self._silent(now) or self._lagging(now):
             self._leave(self._current, now)
--- a/rookwood/coordination/pauses.py
+++ b/rookwood/coordination/pauses.py
@@ -8,7 +8,7 @@
         self._limit = limit
         self._seen_at = now
 
-    def paused(self, now: float) -> bool:
+    def detect_pause(self, now: float) -> bool:
         """Tell whether the time since the last call exceeds the limit; called at every tick."""
         gap = now - self._seen_at
         self._seen_at = now
--- a/rookwood/coordination/relay_tree.py
+++ b/rookwood/coordination/relay_tree.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from rookwood.coordination.rendezvous import HASH_SPACE, ranked, weight
+from rookwood.coordination.rendezvous import HASH_SPACE, ranked, rendezvous_weight
 
 DEFAULT_FAN_OUT = 16
 MIN_FAN_OUT = 4
@@ -31,13 +31,13 @@
 class Rank:
     """The place of a dispatcher in the order of one epoch, the same in every view."""
 
-    weight: int
+    rendezvous_weight: int
     identity: str
 
 
 def rank_of(identity: str, epoch: int) -> Rank:
     """Return the rank of a dispatcher; it may have only parents of smaller rank."""
-    return Rank(weight(f"rank {epoch}", identity), identity)
+    return Rank(rendezvous_weight(f"rank {epoch}", identity), identity)
 
 
 class RelayTree:
@@ -113,7 +113,7 @@
         widening = max(MIN_WIDENING, round(self._fan_out * MEAN_LOAD))
         level = 0
         bound = HASH_SPACE // widening
-        while self._ranks[identity].weight < bound:
+        while self._ranks[identity].rendezvous_weight < bound:
             level += 1
             bound //= widening
         return level
--- a/rookwood/coordination/rendezvous.py
+++ b/rookwood/coordination/rendezvous.py
@@ -22,19 +22,19 @@
     return int.from_bytes(blake2b(text.encode(), digest_size=HASH_BITS // 8).digest(), "big")
 
 
-def weight(key: str, member: str) -> int:
+def rendezvous_weight(key: str, member: str) -> int:
     """Return the 64-bit weight of a member for a key."""
     return _mix(stable_hash(key) * _KEY_MULTIPLIER + stable_hash(member))
 
 
 def ranked(key: str, members: Iterable[str]) -> list[str]:
     """Return the members in descending order of their weights for the key."""
-    return sorted(members, key=lambda member: (-weight(key, member), member))
+    return sorted(members, key=lambda member: (-rendezvous_weight(key, member), member))
 
 
 def top(key: str, members: Iterable[str], count: int) -> list[str]:
     """Return the first `count` of `ranked`, without sorting all of them."""
-    return nsmallest(count, members, key=lambda member: (-weight(key, member), member))
+    return nsmallest(count, members, key=lambda member: (-rendezvous_weight(key, member), member))
 
 
 def _mix(value: int) -> int:
--- a/rookwood/coordination/replication.py
+++ b/rookwood/coordination/replication.py
@@ -93,7 +93,7 @@
         """Tell whether this replica takes part with the storage it has."""
         return self._context.is_member()
 
-    def reachable(self, now: float) -> frozenset[str]:
+    def reachable_members(self, now: float) -> frozenset[str]:
         """Return the members heard within the lease time, this one included."""
         self._enter(now)
         lease = self._context.timing.lease
@@ -105,11 +105,11 @@
         """Return the record that is known to be durable."""
         return self._context.journal.durable
 
-    def promised(self) -> int:
+    def promised_epoch(self) -> int:
         """Return the highest epoch promised, synced or not."""
         return self._context.journal.latest.promised
 
-    def leads(self) -> bool:
+    def is_leading(self) -> bool:
         """Tell whether this process leads an epoch, established or not."""
         return self._leadership is not None
 
--- a/rookwood/coordination/storage.py
+++ b/rookwood/coordination/storage.py
@@ -19,7 +19,7 @@
 from rookwood.coordination.lmdb_header import FileForm, inspect_file
 
 RECORD_KEY = b"record"
-SLOTS = ("control-a.mdb", "control-b.mdb")
+SLOT_FILES = ("control-a.mdb", "control-b.mdb")
 MARKER = "control-initialised"
 CHECKSUM_BYTES = 4
 SERIAL_BYTES = 8
@@ -101,17 +101,17 @@
 
     def __init__(self, directory: str, disk_mb: int) -> None:
         self._directory = Path(directory)
-        map_bytes = disk_mb * MEGABYTE // (2 * len(SLOTS))
+        map_bytes = disk_mb * MEGABYTE // (2 * len(SLOT_FILES))
         self._map_bytes = max(MIN_MAP_BYTES, min(MAX_MAP_BYTES, map_bytes))
         self._environments: dict[str, lmdb.Environment] = {}
         self._named: set[str] = set()
         self._broken: set[str] = set()
         self._found_slot: str | None = None
-        self._next_slot = SLOTS[0]
+        self._next_slot = SLOT_FILES[0]
         self._serial = 0
 
     @property
-    def slot_in_turn(self) -> str:
+    def next_slot(self) -> str:
         """The file that the next write goes to; it holds nothing that is needed."""
         return self._next_slot
 
@@ -123,7 +123,7 @@
         write that was cut short, as long as there is no marker: nothing had been acknowledged.
         """
         try:
-            existing = [slot for slot in SLOTS if self._path(slot).exists()]
+            existing = [slot for slot in SLOT_FILES if self._path(slot).exists()]
             marked = (self._directory / MARKER).exists()
         except OSError as error:
             return Inaccessible((SlotFault(MARKER, FaultKind.INACCESSIBLE, str(error)),))
@@ -139,7 +139,7 @@
             self._found_slot = newest
             return Found(record)
         first_write_cut_short = all(fault.kind is FaultKind.TORN for fault in faults)
-        if marked or len(existing) == len(SLOTS) or not first_write_cut_short:
+        if marked or len(existing) == len(SLOT_FILES) or not first_write_cut_short:
             return Lost(faults)
         return Empty()
 
@@ -243,7 +243,7 @@
 
 
 def _other(slot: str) -> str:
-    return SLOTS[1] if slot == SLOTS[0] else SLOTS[0]
+    return SLOT_FILES[1] if slot == SLOT_FILES[0] else SLOT_FILES[0]
 
 
 def _make_directory(directory: Path) -> None:
--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -21,7 +21,7 @@
 from rookwood.dataplane.clock import now
 from rookwood.dataplane.demand import DemandMeter
 from rookwood.dataplane.pool import WorkerPool, WorkerTraffic
-from rookwood.dataplane.repeats import RepeatRules
+from rookwood.dataplane.repeats import RetryRules
 from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
 from rookwood.dataplane.requests import RoutedRequest
 from rookwood.dataplane.router import Router, uncached_tokens
@@ -54,7 +54,7 @@
     _pool: WorkerPool
     _demand: DemandMeter
     _client: UpstreamClient
-    _repeats: RepeatRules
+    _repeats: RetryRules
     _limits: AttemptLimits
     _counts: RequestCounts
     _mechanisms: Mechanisms
--- a/rookwood/dataplane/control_links.py
+++ b/rookwood/dataplane/control_links.py
@@ -16,8 +16,8 @@
 from rookwood.cluster.connection import Connection
 from rookwood.cluster.feed import LinkHandler, LinkSet, PositionReader, StallReader
 from rookwood.cluster.messages import (
-    RELEASE,
-    RELEASE_WITH_ONE_FEED,
+    PROTOCOL_RELEASE,
+    RELEASE_WITH_RELAYED_FEED,
     ControlMachine,
     HeartbeatAnswer,
     Hello,
@@ -26,7 +26,7 @@
 )
 from rookwood.cluster.settings import NodeSettings
 from rookwood.coordination.parent_choice import ParentChoice, ParentTiming
-from rookwood.coordination.rendezvous import weight
+from rookwood.coordination.rendezvous import rendezvous_weight
 
 TICK_INTERVAL = 0.25  # seconds
 TIMING = ParentTiming(pause_limit=2 * TICK_INTERVAL)
@@ -49,7 +49,7 @@
         self._zone = settings.zone
         self._handler = handler
         self._seeds = seeds
-        hello = Hello(settings.ip, TIER_EDGE, settings.zone, RELEASE)
+        hello = Hello(settings.ip, TIER_EDGE, settings.zone, PROTOCOL_RELEASE)
         self.links = LinkSet(settings.feed_port, hello, self, settings.ip, position, stalled)
         self._choice: ParentChoice | None = None
         self._roots: tuple[ControlMachine, ...] = ()
@@ -58,15 +58,17 @@
         self._closed = False
 
     @property
-    def feeding(self) -> str | None:
+    def feeding_machine(self) -> str | None:
         """The machine that feeds this dispatcher."""
-        return self._choice.current if self._choice is not None else None
+        return self._choice.current_parent if self._choice is not None else None
 
     @property
     def hears_all(self) -> bool:
         """Whether the feeding machine is of a release that passes nothing on: then all are subscribed to."""
-        feeding = self.feeding
-        return feeding is not None and self._releases.get(feeding, RELEASE) < RELEASE_WITH_ONE_FEED
+        feeding = self.feeding_machine
+        return (
+            feeding is not None and self._releases.get(feeding, PROTOCOL_RELEASE) < RELEASE_WITH_RELAYED_FEED
+        )
 
     def tick(self, now: float, confirmed: bool, primary: str | None, members: Iterable[str]) -> None:
         """Do what is due; `primary` and `members` are the control machines that linked ones name."""
@@ -77,28 +79,28 @@
             self._choice = ParentChoice(candidates, now, TIMING)
         self._choice.set_parents(candidates, now)
         self._leave_if_out_of_touch(now)
-        before = self._choice.current
+        before = self._choice.current_parent
         self._choice.tick(now)
-        if self._choice.current != before:
+        if self._choice.current_parent != before:
             self._out_of_touch_since = None
         self._want(confirmed, primary, members)
 
-    def overdue(self, peer: str, now: float) -> None:
+    def record_overdue_answer(self, peer: str, now: float) -> None:
         """A machine did not answer a request for the configuration in time."""
         if self._choice is not None:
-            self._choice.suspected(peer, now)
+            self._choice.record_suspicion(peer, now)
 
-    def brings_notices(self, peer: str) -> bool:
+    def accepts_notices_from(self, peer: str) -> bool:
         """Whether the work notices of a machine count: each reaches a dispatcher once."""
-        return peer == self.feeding or self.hears_all
+        return peer == self.feeding_machine or self.hears_all
 
     def connection(self, peer: str | None) -> Connection | None:
         """The open link to a peer, if there is one."""
         return self.links.connection(peer) if peer is not None else None
 
-    def reporting(self, primary: str | None) -> Connection | None:
+    def report_connection(self, primary: str | None) -> Connection | None:
         """The link for reports: to the machine that passes them on, or to the primary itself."""
-        return self.connection(primary if self.hears_all else self.feeding)
+        return self.connection(primary if self.hears_all else self.feeding_machine)
 
     def close(self) -> None:
         """Close all links for good."""
@@ -107,38 +109,38 @@
 
     # Called by the links
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """A link is open."""
-        self._handler.linked(peer, connection)
+        self._handler.link_opened(peer, connection)
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """A message came."""
-        self._handler.received(peer, message)
+        self._handler.message_received(peer, message)
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """A link ended."""
-        self._handler.unlinked(peer)
+        self._handler.link_closed(peer)
 
     # Called by the handler, which knows the time
 
-    def heard(self, peer: str, message: Message, now: float) -> None:
+    def record_message(self, peer: str, message: Message, now: float) -> None:
         """Note that a machine is there, and what it tells of itself and of others."""
         if self._choice is None:
             return
-        if peer == self._choice.current or is_sound(message):
-            self._choice.heard(peer, now)
+        if peer == self._choice.current_parent or is_sound(message):
+            self._choice.record_message(peer, now)
         if isinstance(message, Status):
             self._releases[peer] = message.release
-            if peer == self._choice.current and message.roots:
+            if peer == self._choice.current_parent and message.roots:
                 self._roots = message.roots
-        elif isinstance(message, HeartbeatAnswer) and peer == self._choice.current:
+        elif isinstance(message, HeartbeatAnswer) and peer == self._choice.current_parent:
             self._note_touch(message.fresh, now)
 
-    def ended(self, peer: str, now: float) -> None:
+    def record_link_end(self, peer: str, now: float) -> None:
         """A link ended: if it was the feed, another machine is subscribed to at the next tick."""
         self._releases.pop(peer, None)
-        if self._choice is not None and peer in (self._choice.current, self._choice.trial):
-            self._choice.failed(peer, now)
+        if self._choice is not None and peer in (self._choice.current_parent, self._choice.trial_parent):
+            self._choice.record_link_failure(peer, now)
 
     def _note_touch(self, fresh: bool, now: float) -> None:
         if fresh:
@@ -149,25 +151,29 @@
     def _leave_if_out_of_touch(self, now: float) -> None:
         since = self._out_of_touch_since
         if since is not None and now - since > OUT_OF_TOUCH_LIMIT and self._choice is not None:
-            self._choice.suspected(self._choice.current, now)
+            self._choice.record_suspicion(self._choice.current_parent, now)
             self._out_of_touch_since = None
 
     def _ranked(self) -> list[str]:
         """The control machines in the order in which this dispatcher prefers them: its own zone's first."""
         zones = {machine.ip: machine.zone for machine in self._roots}
         key = f"feed {self._identity}"
-        told = sorted(zones, key=lambda ip: (zones[ip] != self._zone, -weight(key, ip)))
-        seeds = sorted((ip for ip in set(self._seeds()) if ip not in zones), key=lambda ip: -weight(key, ip))
+        told = sorted(zones, key=lambda ip: (zones[ip] != self._zone, -rendezvous_weight(key, ip)))
+        seeds = sorted(
+            (ip for ip in set(self._seeds()) if ip not in zones), key=lambda ip: -rendezvous_weight(key, ip)
+        )
         return [*told, *seeds]
 
     def _want(self, confirmed: bool, primary: str | None, members: Iterable[str]) -> None:
         assert self._choice is not None
-        subscribed = {self._choice.current} | ({self._choice.trial} if self._choice.trial else set())
+        subscribed = {self._choice.current_parent} | (
+            {self._choice.trial_parent} if self._choice.trial_parent else set()
+        )
         if self.hears_all:
-            self.links.want(subscribed | set(self._seeds()) | set(members))
+            self.links.set_peers(subscribed | set(self._seeds()) | set(members))
             return
         listened = {primary} if primary and not confirmed else set()
-        self.links.want(subscribed, listened)
+        self.links.set_peers(subscribed, listened)
 
 
 def is_sound(message: Message) -> bool:
--- a/rookwood/dataplane/program.py
+++ b/rookwood/dataplane/program.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from rookwood.cluster.configuration_follower import ANSWER_LIMIT, ConfigurationFollower
+from rookwood.cluster.configuration_follower import RESPONSE_TIMEOUT, ConfigurationFollower
 from rookwood.cluster.connection import Connection
 from rookwood.cluster.messages import DemandReport, Message, Status, WorkNotice, WorkNotices
 from rookwood.cluster.options import Options
@@ -192,9 +192,9 @@
         """Periodic work; also done at SIGHUP, which tells of a changed settings file."""
         self._file.refresh()
         now = asyncio.get_running_loop().time()
-        self._view.drop_silent(now)
+        self._view.remove_unreported_workers(now)
         self._follower.progress.check(self._settings.bounds.apply)
-        self._budget.dispatchers = self._view.dispatchers()
+        self._budget.dispatchers = self._view.dispatcher_count()
         self._router.step_tables(now)
         self._report_demand(now)
 
@@ -222,59 +222,59 @@
 
     def _report(self, message: DemandReport | WorkNotices) -> None:
         """Send a message to whoever passes it on to the primary, or to the primary."""
-        connection = self._links.reporting(self._view.primary()) if self._links is not None else None
+        connection = self._links.report_connection(self._view.primary()) if self._links is not None else None
         if connection is not None:
             connection.send(message)
 
     def _greet_listener(self, now: float) -> None:
         """Whoever takes the reports from now on knows of no demand: requests may be waiting already."""
-        connection = self._links.reporting(self._view.primary()) if self._links is not None else None
+        connection = self._links.report_connection(self._view.primary()) if self._links is not None else None
         if connection is not None and connection is not self._greeted:
             self._greeted = connection
             self._report_demand(now)
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """A feed is open."""
-        self._view.linked(peer)
+        self._view.link_opened(peer)
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """A feed ended."""
         now = asyncio.get_running_loop().time()
-        self._view.unlinked(peer, now)
-        self._follower.unlinked(peer)
+        self._view.link_closed(peer, now)
+        self._follower.link_closed(peer)
         if self._links is not None:
-            self._links.ended(peer, now)
+            self._links.record_link_end(peer, now)
             self._keep_links()
         self._ask_for_configuration()
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """A feed brought a message."""
         now = asyncio.get_running_loop().time()
         if self._links is not None:
-            self._links.heard(peer, message, now)
+            self._links.record_message(peer, message, now)
         if isinstance(message, WorkNotices):
             self._take_notices(peer, message, now)
             return
-        self._view.received(peer, message, now)
-        self._follower.received(peer, message, now)
+        self._view.message_received(peer, message, now)
+        self._follower.message_received(peer, message, now)
         if isinstance(message, Status):
             self._keep_links()
         self._greet_listener(now)
         self._ask_for_configuration()
 
     def _take_notices(self, peer: str, message: WorkNotices, now: float) -> None:
-        if self._links is not None and self._links.brings_notices(peer):
+        if self._links is not None and self._links.accepts_notices_from(peer):
             for notice in message.notices:
-                self._router.note_told(notice, now)
+                self._router.record_notice(notice, now)
 
     def _ask_for_configuration(self) -> None:
         """Send the request that is due, and come back when the next one may be."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         self._note_answer_under_way(now)
-        overdue = self._follower.overdue(now)
+        overdue = self._follower.overdue_peer(now)
         if overdue is not None and self._links is not None:
-            self._links.overdue(overdue, now)
+            self._links.record_overdue_answer(overdue, now)
         request = self._follower.next_request(now)
         if request is not None:
             self._send_to(request.peer, request.message)
@@ -285,13 +285,13 @@
 
     def _note_answer_under_way(self, now: float) -> None:
         """A large answer over a thin link is no reason to ask another machine for the same."""
-        peer = self._follower.asked
+        peer = self._follower.awaited_peer
         connection = self._links.connection(peer) if self._links and peer else None
-        if peer is not None and connection is not None and connection.is_receiving(now, ANSWER_LIMIT):
-            self._follower.answering(peer, now)
+        if peer is not None and connection is not None and connection.is_receiving(now, RESPONSE_TIMEOUT):
+            self._follower.restart_response_timeout(peer, now)
 
     def _is_level(self) -> bool:
-        return self._follower.is_level(asyncio.get_running_loop().time())
+        return self._follower.is_up_to_date(asyncio.get_running_loop().time())
 
     def _send_to(self, peer: str, message: Message) -> None:
         connection = self._links.connection(peer) if self._links else None
--- a/rookwood/dataplane/proxy.py
+++ b/rookwood/dataplane/proxy.py
@@ -28,7 +28,7 @@
 from rookwood.dataplane.demand import DemandMeter
 from rookwood.dataplane.loss_log import LossLog
 from rookwood.dataplane.pool import WorkerPool
-from rookwood.dataplane.repeats import RepeatRules
+from rookwood.dataplane.repeats import RetryRules
 from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
 from rookwood.dataplane.requests import RoutedRequest
 from rookwood.dataplane.route_matching import RouteMatcher
@@ -66,7 +66,7 @@
         self.in_flight = 0
         self.counts = RequestCounts()
         self._limits = limits or AttemptLimits()
-        self._repeats = RepeatRules(router, budget)
+        self._repeats = RetryRules(router, budget)
         self._matcher = RouteMatcher(router, is_level)
         self._search = WorkerSearch(router, self._matcher, demand, self._limits, mechanisms)
         self._sender = AttemptSender(
@@ -108,15 +108,15 @@
     def _count_answer(self, response: web.StreamResponse, progress: RequestProgress) -> None:
         refusal = response.get(REFUSAL_KEY)
         if refusal is not None:
-            self.counts.refuse(refusal.status, refusal.reason)
+            self.counts.count_rejection(refusal.status, refusal.reason)
             self._note_loss(RequestOutcome.REFUSED, progress, refusal.reason)
         else:
             outcome = response.get(OUTCOME_KEY, RequestOutcome.ANSWERED)
-            self.counts.end(outcome, response.status)
+            self.counts.count_end(outcome, response.status)
             self._note_loss(outcome, progress, progress.broken)
 
     def _count_end(self, outcome: RequestOutcome, progress: RequestProgress) -> None:
-        self.counts.end(outcome)
+        self.counts.count_end(outcome)
         self._note_loss(outcome, progress, progress.broken)
 
     def _note_loss(self, outcome: RequestOutcome, progress: RequestProgress, why: str) -> None:
@@ -188,7 +188,7 @@
             outcome = await self._sender.send(client, request, worker, progress)
             if isinstance(outcome, web.StreamResponse):
                 return outcome
-            if not self._repeats.may_repeat(request, progress, outcome, now()):
+            if not self._repeats.may_retry(request, progress, outcome, now()):
                 return self._give_up(client, request, progress, refusal_for(request, progress, outcome))
 
     def _give_up(
--- a/rookwood/dataplane/repeats.py
+++ b/rookwood/dataplane/repeats.py
@@ -13,7 +13,7 @@
 MAXIMUM_CONNECTION_FAILURES = 3
 
 
-class RepeatRules:
+class RetryRules:
     """Decides about repeats; each that reaches a worker again is taken from the retry budget."""
 
     def __init__(self, router: Router, budget: RetryBudget) -> None:
@@ -33,7 +33,7 @@
         progress.repeat_granted = self._budget.take(request.service, now)
         return progress.repeat_granted
 
-    def may_repeat(
+    def may_retry(
         self,
         request: RoutedRequest,
         progress: RequestProgress,
--- a/rookwood/dataplane/request_counts.py
+++ b/rookwood/dataplane/request_counts.py
@@ -49,14 +49,14 @@
         self.refusals: Counter[RefusalCause] = Counter()
         self.attempts = 0
 
-    def end(self, outcome: RequestOutcome, status: int = NO_ANSWER) -> None:
+    def count_end(self, outcome: RequestOutcome, status: int = NO_ANSWER) -> None:
         """A request ended, with this status if it was answered."""
         self._by_status[outcome.value][status] += 1
 
-    def refuse(self, status: int, reason: str) -> None:
+    def count_rejection(self, status: int, reason: str) -> None:
         """A request was given an answer of the dispatcher's own."""
         self.refusals[RefusalCause(status, reason)] += 1
-        self.end(RequestOutcome.REFUSED, status)
+        self.count_end(RequestOutcome.REFUSED, status)
 
     def ended(self) -> Iterator[EndedRequests]:
         """All requests that ended, by outcome and class of status."""
--- a/rookwood/dataplane/router.py
+++ b/rookwood/dataplane/router.py
@@ -82,7 +82,7 @@
 
     def match(self, host: str, path: str) -> Route | None:
         """The route of a request."""
-        return self._store.index.match(host, path)
+        return self._store.route_index.match(host, path)
 
     def step_tables(self, now: float) -> None:
         """Step the placement tables when it is time."""
@@ -200,7 +200,7 @@
             return None
         return WorkNotice(self._identity, record.id, seconds, parts)
 
-    def note_told(self, notice: WorkNotice, now: float) -> None:
+    def record_notice(self, notice: WorkNotice, now: float) -> None:
         """A dispatcher sent a prompt to a worker; its own notices come back to it and are left out."""
         if notice.origin == self._identity:
             return
--- a/rookwood/dataplane/upstream.py
+++ b/rookwood/dataplane/upstream.py
@@ -21,7 +21,7 @@
 IDLE_PARAMETER = re.compile(r"\btimeout=(\d{1,6})\b")
 OK_STATUSES = range(200, 300)
 MISDIRECTED = 421
-PROMISES = frozenset({408, 421, 429, 503})  # to a client these say that the request has not run
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})  # to a client these say that the request has not run
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
             self._http.limit_idle(self.idle_limit)
 
     async def _receive(self, answer: Response, request: UpstreamRequest) -> UpstreamOutcome:
-        flaw = find_flaw(answer, request)
+        flaw = find_response_defect(answer, request)
         if flaw is not None:
             answer.discard()
             return ResponseLost(flaw)
@@ -117,7 +117,7 @@
             return body
         if answer.status == MISDIRECTED or names.NOT_RUN in answer.headers:
             return Rejected(answer.status)
-        if answer.status in PROMISES:
+        if answer.status in NOT_RUN_STATUSES:
             return ResponseLost(f"status {answer.status} of a request that may have run")
         return Complete(answer.status, passed, body)
 
@@ -128,7 +128,7 @@
     return float(found.group(1)) if found else None
 
 
-def find_flaw(answer: Response, request: UpstreamRequest) -> str | None:
+def find_response_defect(answer: Response, request: UpstreamRequest) -> str | None:
     """Why an answer can't be the worker's true answer to this request, if so."""
     if answer.headers.getall(names.REQUEST_ID, []) != [request.request_id]:
         return "answer to another request"
--- a/rookwood/duties/explore.py
+++ b/rookwood/duties/explore.py
@@ -90,7 +90,7 @@
     drifts: int = 0
 
 
-class BrokenError(Exception):
+class InvariantError(Exception):
     def __init__(self, why: str, trace: list[str]) -> None:
         super().__init__(f"{why} after: {' > '.join(trace)}")
         self.why, self.trace = why, trace
@@ -260,7 +260,7 @@
                     gate = Gate(token)
                 if self._m.accepts(gate, token):
                     if grant < state.acted:
-                        raise BrokenError("an act of an earlier holder was accepted", [])
+                        raise InvariantError("an act of an earlier holder was accepted", [])
                     yield f"act {token.term} accepted", replace(state, gate=gate, acted=grant)
 
     def _counted(self, state: State, n: int, node: Node, claim: Claim) -> State:
@@ -342,11 +342,11 @@
                         before[after] = (state, what)
                         queue.append(after)
                         if why := self.fault(after):
-                            raise BrokenError(why, trace(after))
+                            raise InvariantError(why, trace(after))
                         if not self.recovers(after):
-                            raise BrokenError("a live majority gets no holder", trace(after))
-            except BrokenError as broken:
-                raise BrokenError(broken.why, broken.trace or trace(state)) from None
+                            raise InvariantError("a live majority gets no holder", trace(after))
+            except InvariantError as broken:
+                raise InvariantError(broken.why, broken.trace or trace(state)) from None
             if len(before) > most:
                 raise RuntimeError(f"more than {most} states")
             if len(before) % 10_000 < 8:
--- a/rookwood/gateway/explore.py
+++ b/rookwood/gateway/explore.py
@@ -92,7 +92,7 @@
     ways: tuple[Direction, Direction] = (Direction(), Direction())  # home is process 0, home is process 1
 
 
-class BrokenError(Exception):
+class InvariantError(Exception):
     """An invariant does not hold; `trace` leads there."""
 
     def __init__(self, why: str, trace: list[str]) -> None:
@@ -286,7 +286,7 @@
                     break
                 trace.append(step)
                 at = parent
-            raise BrokenError(why, trace[::-1])
+            raise InvariantError(why, trace[::-1])
         todo.append(node)
         if progress and len(found) % 20_000 == 0:
             progress(len(found))
@@ -336,7 +336,7 @@
                 continue
             for explorer, job in zip(explorers, state[1], strict=True):
                 if why := fault(job, explorer.safe):
-                    raise BrokenError(why, ["joint"])
+                    raise InvariantError(why, ["joint"])
             if len(seen) >= limit:
                 return len(seen), False
             seen.add(state)
--- a/rookwood/lab/controlsimulation/calls.py
+++ b/rookwood/lab/controlsimulation/calls.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from rookwood.clusterconfig.history import AlreadyTaken, Change, Conflict
+from rookwood.clusterconfig.history import AlreadyAccepted, Change, Conflict
 from rookwood.coordination.outcomes import (
     Committed,
     Confirmed,
@@ -149,11 +149,11 @@
         self._checks.acknowledge(change.digest())
 
     def _on_declined(self, call: Call, outcome: Declined) -> None:
-        refusal = outcome.answer
+        refusal = outcome.result
         change = call.operation.change
         assert isinstance(refusal, Refusal) and change is not None
         match refusal.decision:
-            case AlreadyTaken(version):
+            case AlreadyAccepted(version):
                 self.history.end(call.recorded, TakenBefore(version))
                 self._world.report.taken_before += 1
                 self._take_change(call, refusal.payload)
--- a/rookwood/lab/controlsimulation/changes.py
+++ b/rookwood/lab/controlsimulation/changes.py
@@ -50,7 +50,7 @@
 @lru_cache(REMEMBERED_PAYLOADS)
 def taken_digests(payload: bytes) -> tuple[bytes, ...]:
     """Return the digests of the changes taken, oldest first."""
-    return tuple(change.digest for change in read_payload(payload).taken)
+    return tuple(change.digest for change in read_payload(payload).accepted)
 
 
 def number_in_force(payload: bytes) -> int | None:
--- a/rookwood/lab/controlsimulation/disks.py
+++ b/rookwood/lab/controlsimulation/disks.py
@@ -55,4 +55,4 @@
 
 def _is_admitted(machine: Machine, record: Record) -> bool:
     configuration = record.document.configuration
-    return not configuration.outgoing and configuration.admits(Member(machine.ip, record.token))
+    return not configuration.outgoing and configuration.has_member(Member(machine.ip, record.token))
--- a/rookwood/lab/controlsimulation/faults.py
+++ b/rookwood/lab/controlsimulation/faults.py
@@ -187,7 +187,7 @@
         addresses = set(self._world.seeds) if not self._world.committed else set()
         for machine in self._world.present():
             if machine.disk.visible is not None:
-                addresses.update(machine.disk.visible.document.configuration.everyone())
+                addresses.update(machine.disk.visible.document.configuration.all_addresses())
         return addresses
 
     # Network
--- a/rookwood/lab/controlsimulation/freshness.py
+++ b/rookwood/lab/controlsimulation/freshness.py
@@ -38,4 +38,4 @@
         if machine.replica is None:
             return False
         role = machine.replica.role(self._world.clock(machine))
-        return isinstance(role, Primary) or (isinstance(role, Following) and role.fresh)
+        return isinstance(role, Primary) or (isinstance(role, Following) and role.is_fresh)
--- a/rookwood/lab/controlsimulation/operators.py
+++ b/rookwood/lab/controlsimulation/operators.py
@@ -130,7 +130,7 @@
             call = Call(attempt.operation, lambda is_clear: self._on_answered(attempt, is_clear))
             attempt.operation.open_requests -= 1
             self._calls.begin(machine, call)
-        elif isinstance(role, Following) and role.in_touch:
+        elif isinstance(role, Following) and role.in_contact:
             self._redirect(attempt, role.primary)
         elif self._world.now > attempt.began + ATTACH_PATIENCE:
             self._end_without_call(attempt)
--- a/rookwood/lab/faulty_disk.py
+++ b/rookwood/lab/faulty_disk.py
@@ -7,7 +7,7 @@
 import threading
 from pathlib import Path
 
-from rookwood.coordination.storage import SLOTS, Storage
+from rookwood.coordination.storage import SLOT_FILES, Storage
 
 
 class FaultyStorage(Storage):
@@ -50,7 +50,7 @@
 
     def _sync(self, slot: str) -> None:
         super()._sync(slot)
-        if self._tear_next and slot == self.slot_in_turn:
+        if self._tear_next and slot == self.next_slot:
             self._tear_next = False
             self.close()
             tear_file(self._path(slot))
@@ -68,7 +68,7 @@
     """Tear the file that the next write would go to, as when power is lost in the middle of a write."""
     storage = Storage(directory, disk_mb)
     storage.load()
-    slot = storage.slot_in_turn
+    slot = storage.next_slot
     storage.close()
     if (Path(directory) / slot).exists():
         tear_file(Path(directory) / slot)
@@ -76,5 +76,5 @@
 
 def disk_bytes(directory: str) -> int:
     """The size of a storage's files."""
-    paths = [Path(directory) / slot for slot in SLOTS]
+    paths = [Path(directory) / slot for slot in SLOT_FILES]
     return sum(path.stat().st_size for path in paths if path.exists())
--- a/rookwood/lab/many_changes.py
+++ b/rookwood/lab/many_changes.py
@@ -18,7 +18,7 @@
 
 from rookwood.clusterconfig.history import (
     Accepted,
-    AlreadyTaken,
+    AlreadyAccepted,
     Change,
     ChangeMethod,
     ControlDocument,
@@ -141,7 +141,7 @@
     async def take(self, change: Change) -> None:
         """Send a change until it is acknowledged."""
         outcome = await self.send(change)
-        assert isinstance(outcome, Committed | AlreadyTaken), outcome
+        assert isinstance(outcome, Committed | AlreadyAccepted), outcome
 
     async def send(self, change: Change) -> Committed | object:
         """Send a change until it gets a clear answer."""
@@ -158,7 +158,7 @@
                     if isinstance(outcome, Committed):
                         return outcome
                     if isinstance(outcome, Declined):
-                        return outcome.answer
+                        return outcome.result
                 await asyncio.sleep(RETRY_PAUSE)
 
     async def until_caught_up(self, ip: str) -> None:
@@ -282,7 +282,7 @@
         for number in range(0, len(self._sent), stride):
             answer = await self._members.send(self._sent[number])
             self.figures.resends += 1
-            self.figures.resends_not_acknowledged += answer != AlreadyTaken(number + 1)
+            self.figures.resends_not_acknowledged += answer != AlreadyAccepted(number + 1)
 
     def _compare(self) -> None:
         snapshots: list[Snapshot] = [group.snapshot() for group in self._members.groups.values()]
--- a/rookwood/lab/modelcheck.py
+++ b/rookwood/lab/modelcheck.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from rookwood.duties import explore as leases
-from rookwood.gateway.explore import MUTANTS, BrokenError, explore
+from rookwood.gateway.explore import MUTANTS, InvariantError, explore
 from rookwood.lab.results import keep
 from rookwood.ledger import explore as claims
 from rookwood.replicas import explore as registers
@@ -31,7 +31,7 @@
             play()
             caught[name] = None
             table.add_row(name, "[red]not caught[/]", "", "")
-        except (BrokenError, leases.BrokenError, registers.BrokenError) as broken:
+        except (InvariantError, leases.InvariantError, registers.InvariantError) as broken:
             caught[name] = {"why": broken.why, "trace": broken.trace}
             table.add_row(name, broken.why, str(len(broken.trace)), f"{time.perf_counter() - began:.2f}")
         except claims.SpentTwiceError as broken:
@@ -49,7 +49,7 @@
             status.update(f"exploring: {name}")
             try:
                 report = leases.Explorer(leases.Machine(), bounds).explore()
-            except leases.BrokenError as broken:
+            except leases.InvariantError as broken:
                 console.print(f"[red]broken:[/] {name}: {broken}")
                 return 3
             seconds = round(report.seconds, 1)
@@ -88,7 +88,7 @@
             status.update(f"exploring: {name}")
             try:
                 report = registers.Explorer(replace(bounds, most=most)).explore()
-            except registers.BrokenError as broken:
+            except registers.InvariantError as broken:
                 console.print(f"[red]broken:[/] {name}: {broken}")
                 return 3
             found[name] = {"states": report.states, "all": report.whole, "led": report.led}
@@ -106,7 +106,7 @@
     with console.status("exploring") as status:
         try:
             report = explore(progress=lambda n: status.update(f"exploring: {n} states"))
-        except BrokenError as broken:
+        except InvariantError as broken:
             console.print(f"[red]broken:[/] {broken}")
             return 3
         console.print(
--- a/rookwood/lab/replication_states.py
+++ b/rookwood/lab/replication_states.py
@@ -7,7 +7,7 @@
 
 from rich.console import Console
 
-from rookwood.coordination.exploration_ledger import BrokenError
+from rookwood.coordination.exploration_ledger import InvariantError
 from rookwood.coordination.explore import Bounds, Explorer
 from rookwood.lab.results import keep
 
@@ -40,8 +40,8 @@
         began = time.perf_counter()
         try:
             report = Explorer(replace(bounds, states=most)).explore()
-        except BrokenError as broken:
-            console.print(f"[red]broken:[/] {name}: {broken.why}")
+        except InvariantError as broken:
+            console.print(f"[red]broken:[/] {name}: {broken.reason}")
             console.print("\n".join(broken.trace), markup=False)
             return BROKEN
         seconds = round(time.perf_counter() - began, 1)
--- a/rookwood/lab/tenure_simulation.py
+++ b/rookwood/lab/tenure_simulation.py
@@ -72,7 +72,7 @@
         for number, machine in enumerate(self.machines):
             for peer in range(MACHINES):
                 if peer != number:
-                    machine.tenure.linked(str(peer))
+                    machine.tenure.link_opened(str(peer))
         self._lead(0, 1)
 
     def run(self) -> None:
@@ -146,8 +146,8 @@
         for number, machine in enumerate(self.machines):
             if number != victim:
                 for one, other in ((machine, victim), (self.machines[victim], number)):
-                    one.tenure.unlinked(str(other), self._now)
-                    one.tenure.linked(str(other))
+                    one.tenure.link_closed(str(other), self._now)
+                    one.tenure.link_opened(str(other))
 
     def _frozen(self, number: int) -> bool:
         machine = self.machines[number]
@@ -173,7 +173,9 @@
             machine.epoch = 0
             if self._now - machine.heard > machine.patience:
                 self._stand(number)
-        if machine.believes(self._now) and machine.tenure.may_order(machine.epoch, machine.since, self._now):
+        if machine.believes(self._now) and machine.tenure.may_issue_orders(
+            machine.epoch, machine.since, self._now
+        ):
             self._order(number)
 
     def _beat(self, number: int) -> None:
@@ -186,7 +188,7 @@
                 peer.heard = self._now
                 if peer.epoch < machine.epoch:
                     peer.epoch = 0
-                peer.tenure.primary_seen(str(number), machine.epoch, self._now)
+                peer.tenure.record_primary(str(number), machine.epoch, self._now)
                 if self._passes(other, number):
                     machine.confirmed_at = self._now
             elif self._passes(other, number):
@@ -213,7 +215,7 @@
         machine = self.machines[number]
         machine.promised = machine.epoch = epoch
         machine.since = machine.confirmed_at = self._now
-        machine.tenure.primary_seen(str(number), epoch, self._now)
+        machine.tenure.record_primary(str(number), epoch, self._now)
 
     def _order(self, number: int) -> None:
         if self._random.random() > ORDER_CHANCE:
@@ -231,9 +233,9 @@
                     continue
                 if self._passes(peer, number) and self._passes(number, peer):
                     if machine.silent_since.pop(peer, None) is not None:
-                        machine.tenure.linked(str(peer))
+                        machine.tenure.link_opened(str(peer))
                 elif self._now - machine.silent_since.setdefault(peer, self._now) > LINK_SILENCE:
-                    machine.tenure.unlinked(str(peer), self._now)
+                    machine.tenure.link_closed(str(peer), self._now)
 
     def _deliver(self) -> None:
         waiting = []
--- a/rookwood/modelplacement/loads.py
+++ b/rookwood/modelplacement/loads.py
@@ -119,11 +119,11 @@
         """Per worker the keys whose place was taken and is over by now, though no report shows it yet."""
         return self._book.expected(now)
 
-    def ordered(self, now: float, order: LoadOrder) -> None:
+    def record_sending(self, now: float, order: LoadOrder) -> None:
         """The order is being sent. `plan` has already counted it; this only restarts its time-out."""
         self._book.begin(now, order)
 
-    def outcome(self, now: float, order: LoadOrder, taken: bool | None) -> None:
+    def record_outcome(self, now: float, order: LoadOrder, taken: bool | None) -> None:
         """The worker's answer: taken, refused, or None when it is unknown.
 
         After None the worker gets no order until a report with a newer sequence, or one of an equal sequence
@@ -166,7 +166,7 @@
 
     def _settle(self, now: float, workers: Sequence[WorkerWeights]) -> None:
         for order in self._book.observe(now, workers):
-            if order.place:
+            if order.is_load:
                 self._fleet.note_placed(now, order.worker, order.key)
             if order.loads_model:
                 self._loading.pop((order.worker, order.key.model), None)
@@ -204,7 +204,7 @@
         """Count an order as given."""
         self._book.begin(now, order)
         self._fleet.apply(now, order)
-        if order.place:
+        if order.is_load:
             self._intents.pop(order.worker, None)
         if order.loads_model:
             self._loading[order.worker, order.key.model] = now
--- a/rookwood/modelplacement/orders.py
+++ b/rookwood/modelplacement/orders.py
@@ -27,14 +27,14 @@
     """An order to a worker to load (`place`) or to unload weights."""
 
     worker: str
-    place: bool
+    is_load: bool
     key: WeightsKey
     if_sequence: int
 
     @property
     def loads_model(self) -> bool:
         """Whether the order reads from the weight store."""
-        return self.place and not self.key.adapter
+        return self.is_load and not self.key.adapter
 
 
 class _Stage(Enum):
@@ -148,7 +148,7 @@
         return complete
 
     def _should_be_complete(self, now: float, pending: _PendingOrder) -> bool:
-        if pending.stage is not _Stage.TAKEN or not pending.order.place:
+        if pending.stage is not _Stage.TAKEN or not pending.order.is_load:
             return False
         if pending.order.key.adapter:
             return now >= pending.since + ADAPTER_ORDER_S
@@ -167,7 +167,7 @@
             return known
         models = {model: set(adapters) for model, adapters in weights.models.items()}
         leaving = set()
-        for key, place in ((each.order.key, each.order.place) for each in pending):
+        for key, place in ((each.order.key, each.order.is_load) for each in pending):
             if not place:
                 leaving.add(key)
             elif key.adapter:
@@ -193,7 +193,7 @@
         if not pending:
             return None if weights.busy else weights.sequence
         last = pending[-1]
-        quick = all(p.stage is _Stage.TAKEN and p.order.place and p.order.key.adapter for p in pending)
+        quick = all(p.stage is _Stage.TAKEN and p.order.is_load and p.order.key.adapter for p in pending)
         in_progress = weights.busy and weights.sequence > last.order.if_sequence
         if quick and not in_progress and now >= last.since + ADAPTER_ORDER_S:
             return max(weights.sequence, last.order.if_sequence + 1)
--- a/rookwood/modelplacement/sites.py
+++ b/rookwood/modelplacement/sites.py
@@ -88,7 +88,7 @@
         view = self.views[order.worker]
         view.next_sequence = None
         view.changed = True
-        if order.place:
+        if order.is_load:
             self.note_placed(now, order.worker, order.key)
             adapters = view.models.setdefault(order.key.model, set())
             if order.key.adapter:
--- a/rookwood/modelplacement/value.py
+++ b/rookwood/modelplacement/value.py
@@ -30,7 +30,7 @@
     rate: float  # requests a second, smoothed
     waiting: int  # requests that dispatchers hold now for lack of the weights
     oldest_wait_s: float
-    busy: float  # slot-seconds a second
+    busy_slots: float  # slot-seconds a second
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
         """Count the demand for one key of the model."""
         self.rate += demand.rate
         self.waiting += demand.waiting
-        self.busy += demand.busy
+        self.busy += demand.busy_slots
         self.oldest_wait_s = max(self.oldest_wait_s, demand.oldest_wait_s if demand.waiting else 0.0)
         if key.adapter:
             self.adapters[key.adapter] = demand
@@ -175,5 +175,5 @@
     amount = demand.adapter(key)
     if amount and amount.waiting:
         return math.inf
-    in_use = amount.rate + amount.busy if amount else 0.0
+    in_use = amount.rate + amount.busy_slots if amount else 0.0
     return in_use + LEAST_RECENT_LOSS / (1.0 + demand.adapter_age(now, key))
--- a/rookwood/replicas/explore.py
+++ b/rookwood/replicas/explore.py
@@ -30,7 +30,7 @@
     return {NEW: b"1"}
 
 
-class BrokenError(Exception):
+class InvariantError(Exception):
     def __init__(self, why: str, trace: list[str]) -> None:
         super().__init__(f"{why} after: {' > '.join(trace)}")
         self.why, self.trace = why, trace
@@ -132,14 +132,14 @@
 
     def _check(self, state: State, mark: Any) -> None:
         if state.runs > 1:
-            raise BrokenError("run twice", self._trace(mark))
+            raise InvariantError("run twice", self._trace(mark))
         latest = max(node.promised for node in state.nodes.values())
         for node in state.nodes.values():
             entry = node.entries.get(KEY)
             found = NEW in node.entries or (entry is not None and entry.value == SERVED)
             # One that leads by an older token has not heard yet that it does not; its owner asks its lease.
             if node.leads and node.promised == latest and state.served and not found:
-                raise BrokenError("an acknowledged outcome was lost", self._trace(mark))
+                raise InvariantError("an acknowledged outcome was lost", self._trace(mark))
 
     def _steps(self, state: State) -> Iterator[tuple[str, State]]:
         for token in self.bounds.tokens:
--- a/rookwood_controlplane.py
+++ b/rookwood_controlplane.py
@@ -2,12 +2,12 @@
 
 import sys
 
-from rookwood.cluster.startup import leave_out_tls
+from rookwood.cluster.startup import skip_tls_import
 
 
 def main() -> int:
     """Run until SIGTERM; 2 if the settings can't be used."""
-    leave_out_tls()
+    skip_tls_import()
     import asyncio
 
     from rookwood.cluster.logs import configure_logging
--- a/tests/fake_worker.py
+++ b/tests/fake_worker.py
@@ -169,7 +169,7 @@
     return f"seal-{worker}-{request.id}"
 
 
-def whole_answer(request: ReceivedRequest, body: bytes, status: int = 200, **changes: str | None) -> bytes:
+def response_bytes(request: ReceivedRequest, body: bytes, status: int = 200, **changes: str | None) -> bytes:
     """The bytes of an answer; `changes` set headers by name (with _ for -), or drop those that are None."""
     headers: dict[str, str | None] = {
         "X-Try-Id": request.id,
@@ -182,21 +182,21 @@
     return "\r\n".join([f"HTTP/1.1 {status} Status", *lines, "", ""]).encode() + body
 
 
-def answering(body: bytes = b"answer", status: int = 200, **changes: str | None) -> Behaviour:
+def responding(body: bytes = b"answer", status: int = 200, **changes: str | None) -> Behaviour:
     """Give a whole answer, with the headers of `whole_answer`."""
 
     async def answer(exchange: Exchange) -> None:
-        exchange.write(whole_answer(exchange.request, body, status, **changes))
+        exchange.write(response_bytes(exchange.request, body, status, **changes))
 
     return answer
 
 
-def refusing(status: int) -> Behaviour:
+def rejecting(status: int) -> Behaviour:
     """Reject the request without running it."""
-    return answering(b"", status, X_Not_Run="1", X_Seal=None)
+    return responding(b"", status, X_Not_Run="1", X_Seal=None)
 
 
-def held_back(behaviour: Behaviour, release: asyncio.Event) -> Behaviour:
+def delayed_until(behaviour: Behaviour, release: asyncio.Event) -> Behaviour:
     """Behave so once the test sets the event."""
 
     async def wait_and_behave(exchange: Exchange) -> None:
--- a/tests/test_cli_control.py
+++ b/tests/test_cli_control.py
@@ -38,13 +38,13 @@
 from rookwood.clusterconfig.control_document import ControlDocument
 from rookwood.controlplane.group_recovery import (
     EPOCH_MARGIN,
-    MajorityHolds,
-    NeverStored,
+    EmptyCopy,
+    MajorityAvailable,
     NewerCopy,
     NoCopy,
-    Observed,
-    Plan,
-    StillUnknown,
+    ObservedMembers,
+    RecoveryPlan,
+    UnaccountedMembers,
     load_copy,
     plan_recovery,
 )
@@ -165,13 +165,13 @@
         for link in self._links:
             link.close()
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """Nothing depends on it."""
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """No configuration is ever fetched."""
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """The link opens again by itself."""
 
 
@@ -332,8 +332,8 @@
         return Found(Record(0, 6, True, Document(Position(5, 2), configuration, b"")))
 
     def test_the_copy_becomes_a_group_of_one_above_all_epochs_promised(self) -> None:
-        plan = plan_recovery("a", self.copy(), Observed({}, {"b"}), {"c"})
-        assert isinstance(plan, Plan), plan
+        plan = plan_recovery("a", self.copy(), ObservedMembers({}, {"b"}), {"c"})
+        assert isinstance(plan, RecoveryPlan), plan
         self.assertEqual(("b", "c"), plan.left_out)
         self.assertEqual(Position(6 + EPOCH_MARGIN, 1), plan.record.document.position)
         self.assertEqual(6 + EPOCH_MARGIN, plan.record.promised)
@@ -344,27 +344,34 @@
     def test_refused_while_a_majority_holds_its_copies(self) -> None:
         same = Position(5, 2)
         self.assertEqual(
-            MajorityHolds(("b",)), plan_recovery("a", self.copy(), Observed({"b": same}, {}), {"b", "c"})
+            MajorityAvailable(("b",)),
+            plan_recovery("a", self.copy(), ObservedMembers({"b": same}, {}), {"b", "c"}),
         )
-        self.assertEqual(MajorityHolds(()), plan_recovery("a", self.copy("a"), Observed({}, {}), ()))
-        carried = plan_recovery("z", self.copy(), Observed({"b": same, "c": same}, {}), {"a"})
-        self.assertEqual(MajorityHolds(("b", "c")), carried)
+        self.assertEqual(
+            MajorityAvailable(()), plan_recovery("a", self.copy("a"), ObservedMembers({}, {}), ())
+        )
+        carried = plan_recovery("z", self.copy(), ObservedMembers({"b": same, "c": same}, {}), {"a"})
+        self.assertEqual(MajorityAvailable(("b", "c")), carried)
 
     def test_refused_where_another_copy_is_newer(self) -> None:
         five = self.copy("a", "b", "c", "d", "e")
-        observed = Observed({"b": Position(5, 3)}, {"c", "d", "e"})
+        observed = ObservedMembers({"b": Position(5, 3)}, {"c", "d", "e"})
         self.assertEqual(NewerCopy("b", Position(5, 3)), plan_recovery("a", five, observed, ()))
-        as_new = Observed({"b": Position(5, 2)}, {"c", "d", "e"})
-        self.assertIsInstance(plan_recovery("a", five, as_new, ()), Plan)
+        as_new = ObservedMembers({"b": Position(5, 2)}, {"c", "d", "e"})
+        self.assertIsInstance(plan_recovery("a", five, as_new, ()), RecoveryPlan)
 
     def test_refused_while_a_member_is_not_known_to_be_lost(self) -> None:
-        self.assertEqual(StillUnknown(("c",)), plan_recovery("a", self.copy(), Observed({}, {"b"}), ()))
-        self.assertEqual(StillUnknown(("a", "b")), plan_recovery("z", self.copy(), Observed({}, {"c"}), ()))
+        self.assertEqual(
+            UnaccountedMembers(("c",)), plan_recovery("a", self.copy(), ObservedMembers({}, {"b"}), ())
+        )
+        self.assertEqual(
+            UnaccountedMembers(("a", "b")), plan_recovery("z", self.copy(), ObservedMembers({}, {"c"}), ())
+        )
 
     def test_refused_without_a_copy(self) -> None:
-        self.assertEqual(NoCopy(()), plan_recovery("a", Empty(), Observed({}, {}), ()))
+        self.assertEqual(NoCopy(()), plan_recovery("a", Empty(), ObservedMembers({}, {}), ()))
         never = Found(Record(7, 3))
-        self.assertEqual(NeverStored(), plan_recovery("a", never, Observed({}, {}), ()))
+        self.assertEqual(EmptyCopy(), plan_recovery("a", never, ObservedMembers({}, {}), ()))
 
 
 class CarriedCopyTest(unittest.TestCase):
--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -26,7 +26,7 @@
 
     def receive(self, peer: str, message: Message, now: float = START) -> None:
         """A message of one source."""
-        self.view.received(peer, message, now)
+        self.view.message_received(peer, message, now)
 
     def tell(self, peer: str, *records: WorkerRecord, complete: bool = False) -> None:
         """Updates from one source."""
@@ -35,7 +35,7 @@
     def link_settled(self, *peers: str) -> None:
         """Sources that are linked and know all their workers."""
         for peer in peers:
-            self.view.linked(peer)
+            self.view.link_opened(peer)
             self.receive(peer, replace(STATUS, identity=peer))
 
 
@@ -52,9 +52,9 @@
         self.assertEqual(FIRST, self.view.primary())
 
     def test_a_lost_link_names_no_primary(self) -> None:
-        self.view.linked(FIRST)
+        self.view.link_opened(FIRST)
         self.receive(FIRST, STATUS)
-        self.view.unlinked(FIRST, START)
+        self.view.link_closed(FIRST, START)
         self.assertIsNone(self.view.primary())
 
     def test_members_of_all_linked_machines_are_known(self) -> None:
@@ -63,10 +63,10 @@
         self.assertEqual({FIRST, SECOND, "10.0.0.3"}, self.view.members())
 
     def test_the_largest_count_of_dispatchers_holds(self) -> None:
-        self.assertEqual(1, self.view.dispatchers())
+        self.assertEqual(1, self.view.dispatcher_count())
         self.receive(FIRST, STATUS)
         self.receive(SECOND, replace(STATUS, dispatchers=9))
-        self.assertEqual(9, self.view.dispatchers())
+        self.assertEqual(9, self.view.dispatcher_count())
 
 
 class WorkerTests(ViewCase):
@@ -80,7 +80,7 @@
         self.tell(FIRST, WORKER)
         self.tell(SECOND, WORKER)
         self.receive(FIRST, WorkerGone(WORKER.id, deleted=False))
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.assertEqual([], self.gone)
 
     def test_a_worker_goes_when_no_source_has_it(self) -> None:
@@ -89,7 +89,7 @@
         self.tell(SECOND, WORKER)
         for peer in (FIRST, SECOND):
             self.receive(peer, WorkerGone(WORKER.id, deleted=False))
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.assertEqual([WORKER.id], self.gone)
         self.assertEqual([OTHER_WORKER], list(self.view.registry))
 
@@ -98,16 +98,16 @@
         self.tell(FIRST, WORKER, OTHER_WORKER)
         self.tell(SECOND, OTHER_WORKER)
         self.tell(FIRST, complete=True)
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_a_source_that_just_restarted_may_hear_of_its_workers_yet(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.tell(FIRST, WORKER)
         self.restart_unsettled(FIRST)
-        self.view.drop_silent(START + LINGER - 0.01)
+        self.view.remove_unreported_workers(START + LINGER - 0.01)
         self.assertEqual([], self.gone)
-        self.view.drop_silent(START + LINGER + 0.01)
+        self.view.remove_unreported_workers(START + LINGER + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_a_source_that_heard_of_its_workers_again_keeps_them(self) -> None:
@@ -115,13 +115,13 @@
         self.tell(FIRST, WORKER)
         self.restart_unsettled(FIRST)
         self.tell(FIRST, replace(WORKER, sequence=6))
-        self.view.drop_silent(START + 2 * LINGER)
+        self.view.remove_unreported_workers(START + 2 * LINGER)
         self.assertEqual([], self.gone)
 
     def restart_unsettled(self, peer: str) -> None:
         """A source comes back, has heard of no worker and is not settled."""
-        self.view.unlinked(peer, START)
-        self.view.linked(peer)
+        self.view.link_closed(peer, START)
+        self.view.link_opened(peer)
         self.receive(peer, replace(STATUS, identity=peer, settled=False))
         self.tell(peer, complete=True)
 
@@ -129,42 +129,42 @@
         self.link_settled(FIRST)
         self.tell(FIRST, WORKER)
         self.tell(FIRST, OTHER_WORKER)
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.assertEqual([], self.gone)
 
     def test_the_workers_of_a_lost_source_linger(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.tell(FIRST, WORKER)
-        self.view.unlinked(FIRST, START)
-        self.view.drop_silent(START + LINGER - 0.01)
+        self.view.link_closed(FIRST, START)
+        self.view.remove_unreported_workers(START + LINGER - 0.01)
         self.assertEqual([], self.gone)
-        self.view.drop_silent(START + LINGER + 0.01)
+        self.view.remove_unreported_workers(START + LINGER + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_repeated_losses_of_one_link_do_not_prolong_the_time(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.tell(FIRST, WORKER)
-        self.view.unlinked(FIRST, START)
-        self.view.unlinked(FIRST, START + LINGER)
-        self.view.drop_silent(START + LINGER + 0.01)
+        self.view.link_closed(FIRST, START)
+        self.view.link_closed(FIRST, START + LINGER)
+        self.view.remove_unreported_workers(START + LINGER + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_a_source_that_comes_back_keeps_its_workers(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.tell(FIRST, WORKER)
-        self.view.unlinked(FIRST, START)
+        self.view.link_closed(FIRST, START)
         self.link_settled(FIRST)
         self.tell(FIRST, WORKER, complete=True)
-        self.view.drop_silent(START + 2 * LINGER)
+        self.view.remove_unreported_workers(START + 2 * LINGER)
         self.assertEqual([], self.gone)
 
     def test_workers_stay_while_no_settled_source_is_linked(self) -> None:
         self.link_settled(FIRST)
         self.tell(FIRST, WORKER)
-        self.view.unlinked(FIRST, START)
-        self.view.linked(SECOND)
+        self.view.link_closed(FIRST, START)
+        self.view.link_opened(SECOND)
         self.receive(SECOND, replace(STATUS, identity=SECOND, settled=False))
-        self.view.drop_silent(START + 2 * LINGER)
+        self.view.remove_unreported_workers(START + 2 * LINGER)
         self.assertEqual([], self.gone)
 
     def test_a_deleted_worker_goes_at_once_and_never_returns(self) -> None:
@@ -181,7 +181,7 @@
         self.link_settled(FIRST)
         self.tell(FIRST, WORKER)
         self.receive(FIRST, WorkerGone(WORKER.id, deleted=False))
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.tell(FIRST, replace(WORKER, sequence=9))
         self.assertEqual([replace(WORKER, sequence=9)], list(self.view.registry))
         self.assertEqual(2, len(self.changed))
--- a/tests/test_clusterconfig.py
+++ b/tests/test_clusterconfig.py
@@ -19,14 +19,14 @@
 from rookwood.clusterconfig.document import ClientLimits, Configuration, RouteKind, ServiceShare
 from rookwood.clusterconfig.history import (
     Accepted,
-    AlreadyTaken,
+    AcceptedChange,
+    AlreadyAccepted,
     Change,
     ChangeMethod,
     Conflict,
     ControlDocument,
     Decision,
     InvalidChange,
-    TakenChange,
     decide,
 )
 from rookwood.clusterconfig.loading import load_configuration
@@ -403,12 +403,12 @@
         for change in (first, second, third):
             document = self.accepted(decide(document, change))
         for change, number in ((first, 7), (second, 9), (third, 30)):
-            self.assertEqual(decide(document, change), AlreadyTaken(number))
+            self.assertEqual(decide(document, change), AlreadyAccepted(number))
 
     def test_resent_with_other_whitespace_and_key_order(self) -> None:
         body = json.dumps(example_document(), indent=2, sort_keys=True).encode()
         resent = Change(ChangeMethod.PUT, 0, body)
-        self.assertEqual(decide(self.started(), resent), AlreadyTaken(7))
+        self.assertEqual(decide(self.started(), resent), AlreadyAccepted(7))
 
     def test_same_body_on_another_base_or_by_another_method_is_another_change(self) -> None:
         self.assertEqual(self.fault_keys(decide(self.started(), put(7, version(7)))), ["ver"])
@@ -419,7 +419,7 @@
         theirs = put(7, example_with(lambda d: (d.update(ver=9), d["routes"].pop())))
         document = self.accepted(decide(self.started(), mine))
         self.assertEqual(decide(document, theirs), Conflict(9))
-        self.assertEqual(decide(document, mine), AlreadyTaken(9))
+        self.assertEqual(decide(document, mine), AlreadyAccepted(9))
         self.assertEqual(document.source, encode(version(9)))
 
     def test_refused_change_may_be_accepted_on_resend(self) -> None:
@@ -435,9 +435,9 @@
     def test_taken_changes_are_bounded_to_the_newest(self) -> None:
         document = ControlDocument()
         for number in range(1, MAX_TAKEN_CHANGES + 3):
-            document = document.with_change(TakenChange(number.to_bytes(16, "big"), number), b"{}")
-        self.assertEqual(len(document.taken), MAX_TAKEN_CHANGES)
-        self.assertEqual(document.taken[0].version, 3)
+            document = document.with_change(AcceptedChange(number.to_bytes(16, "big"), number), b"{}")
+        self.assertEqual(len(document.accepted), MAX_TAKEN_CHANGES)
+        self.assertEqual(document.accepted[0].version, 3)
         self.assertEqual(ControlDocument.decode(document.encode()), document)
 
 
--- a/tests/test_clusterconfig_operators.py
+++ b/tests/test_clusterconfig_operators.py
@@ -20,18 +20,18 @@
 from rookwood.clusterconfig.faults import Fault, Invalid
 from rookwood.clusterconfig.history import (
     Accepted,
-    AlreadyTaken,
+    AcceptedChange,
+    AlreadyAccepted,
+    BaseTooOld,
     Change,
     ChangeMethod,
     Conflict,
     ControlDocument,
     Decision,
-    Forgotten,
     InvalidChange,
-    TakenChange,
     decide,
 )
-from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, TakenChanges
+from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, AcceptedChanges
 
 REMEMBERED = 2
 OPERATORS = 3
@@ -155,14 +155,14 @@
         forgotten = max(0, len(self.accepted) - REMEMBERED)
         if taken_as is not None:
             remembered = any(taken == order for taken, _ in self.accepted[forgotten:])
-            assert decision == (AlreadyTaken(taken_as) if remembered else Forgotten()), decision
+            assert decision == (AlreadyAccepted(taken_as) if remembered else BaseTooOld()), decision
             return
-        assert not isinstance(decision, AlreadyTaken), decision
+        assert not isinstance(decision, AlreadyAccepted), decision
         if isinstance(decision, Accepted):
             assert order.base == self.document.version
             assert decision.version > self.document.version
             assert all(taken.base != order.base for taken, _ in self.accepted)
-        if isinstance(decision, Forgotten):
+        if isinstance(decision, BaseTooOld):
             assert len(self.accepted) >= REMEMBERED
             assert order.base < self.accepted[forgotten][1]
         if isinstance(decision, Conflict):
@@ -192,16 +192,16 @@
         assert isinstance(decision, Accepted)
         document = decision.document
         for version in range(2, control_document.MAX_TAKEN_CHANGES + 2):
-            self.assertEqual(AlreadyTaken(1), decide(document, first))
-            change = TakenChange(version.to_bytes(DIGEST_BYTES), version)
+            self.assertEqual(AlreadyAccepted(1), decide(document, first))
+            change = AcceptedChange(version.to_bytes(DIGEST_BYTES), version)
             document = document.with_change(change, document.source)
-        self.assertEqual(Forgotten(), decide(document, first))
+        self.assertEqual(BaseTooOld(), decide(document, first))
         later = Change(ChangeMethod.PUT, 2, first.body)
         self.assertEqual(Conflict(document.version), decide(document, later))
 
     def test_a_change_whose_base_is_remembered_is_refused(self) -> None:
         body = json.dumps({"ver": 9, "routes": [], "svcs": []}).encode()
-        taken = TakenChanges.of((TakenChange(bytes(16), 7), TakenChange(bytes(15) + b"1", 8)))
+        taken = AcceptedChanges.of((AcceptedChange(bytes(16), 7), AcceptedChange(bytes(15) + b"1", 8)))
         document = ControlDocument(8, body, taken)
         for base in (3, 7, 9):
             self.assertEqual(Conflict(8), decide(document, Change(ChangeMethod.PUT, base, body)))
--- a/tests/test_clusterconfig_properties.py
+++ b/tests/test_clusterconfig_properties.py
@@ -13,7 +13,7 @@
 from rookwood.clusterconfig.document import Configuration, Route
 from rookwood.clusterconfig.history import (
     Accepted,
-    AlreadyTaken,
+    AlreadyAccepted,
     Change,
     ChangeMethod,
     Conflict,
@@ -189,7 +189,7 @@
                 document = decision.document
                 accepted.append((change, decision.version))
             for earlier, number in accepted:
-                self.assertEqual(decide(document, earlier), AlreadyTaken(number))
+                self.assertEqual(decide(document, earlier), AlreadyAccepted(number))
         self.assertEqual(ControlDocument.decode(document.encode()), document)
 
 
--- a/tests/test_configuration_deltas.py
+++ b/tests/test_configuration_deltas.py
@@ -138,7 +138,7 @@
         for host in HOSTS:
             for number in range(12):
                 path = f"/p{number}/x"
-                self.assertEqual(index.match(host, path), store.index.match(host, path))
+                self.assertEqual(index.match(host, path), store.route_index.match(host, path))
 
     def test_a_base_that_was_never_known_gets_no_changes(self) -> None:
         history = ConfigurationHistory()
@@ -201,7 +201,7 @@
         store = ConfigurationStore()
         store.replace(encode(configuration(1, route(1))))
         self.assertEqual(Applied(), store.apply(delta.changes, delta.digest))
-        self.assertIsNotNone(store.index.match("a.example", "/p2/"))
+        self.assertIsNotNone(store.route_index.match("a.example", "/p2/"))
 
     def test_one_change_costs_one_item_and_the_version(self) -> None:
         history = ConfigurationHistory()
@@ -226,7 +226,7 @@
         key = ItemKey(Section.ROUTE, "r1")
         self.assertEqual(DigestMismatch(), self.store.apply(ItemChanges((), (key,)), self.store.digest))
         self.assertIs(before, self.store.configuration)
-        self.assertIsNotNone(self.store.index.match("b.example", "/p1/"))
+        self.assertIsNotNone(self.store.route_index.match("b.example", "/p1/"))
 
     def test_an_item_that_can_not_be_read_changes_nothing(self) -> None:
         for text in (b"{", b'{"name":"r3"}', b"[]", b'"r"', b"\xff"):
@@ -251,16 +251,16 @@
         self.assertNotEqual(digest_item(key, one), digest_item(key, also_one))
 
     def test_unchanged_routes_stay_the_same_objects(self) -> None:
-        before = self.store.index.match("a.example", "/p2/")
+        before = self.store.route_index.match("a.example", "/p2/")
         self.store.replace(encode(configuration(2, route(1, timeout_ms=5.0), route(2))))
-        self.assertIs(before, self.store.index.match("a.example", "/p2/"))
+        self.assertIs(before, self.store.route_index.match("a.example", "/p2/"))
 
     def test_two_routes_may_exchange_their_places(self) -> None:
         first, second = route(2, prefix="/x/"), route(4, prefix="/y/")
         self.store.replace(encode(configuration(2, first, second)))
         exchanged = (route(2, prefix="/y/"), route(4, prefix="/x/"))
         self.store.replace(encode(configuration(3, *exchanged)))
-        found = [self.store.index.match("a.example", path) for path in ("/x/1", "/y/1")]
+        found = [self.store.route_index.match("a.example", path) for path in ("/x/1", "/y/1")]
         self.assertEqual(["r4", "r2"], [match.name if match else None for match in found])
 
 
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -64,12 +64,12 @@
         """An announcement of a position."""
         return Status(self.ip, 1, self._primary, True, True, 1, sequence, 1, self._members)
 
-    def greeting(self, connection: Connection) -> Iterable[Message]:
+    def initial_messages(self, connection: Connection) -> Iterable[Message]:
         """The first position."""
         self.subscribed.set()
         return (self.status(1),)
 
-    def received(self, connection: Connection, message: Message) -> None:
+    def message_received(self, connection: Connection, message: Message) -> None:
         """Answer the first question, and keep the others."""
         if not isinstance(message, FetchConfiguration):
             self.heard.set()
@@ -81,7 +81,7 @@
             return
         self.questions.append(message)
 
-    def lost(self, connection: Connection) -> None:
+    def subscriber_lost(self, connection: Connection) -> None:
         """Nothing to do."""
 
     def announce_changes(self) -> None:
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -5,7 +5,7 @@
 import unittest
 from dataclasses import replace
 
-from rookwood.cluster.configuration_follower import ANSWER_LIMIT, LEVEL_AGE, ConfigurationFollower
+from rookwood.cluster.configuration_follower import LEVEL_AGE, RESPONSE_TIMEOUT, ConfigurationFollower
 from rookwood.cluster.invariants import Invariant, InvariantCounter
 from rookwood.cluster.messages import (
     ConfigurationBody,
@@ -58,7 +58,7 @@
 
     def receive(self, peer: str, message: Message, now: float = START) -> Message | None:
         """A message of one source; returns what that source is asked at once."""
-        self.follower.received(peer, message, now)
+        self.follower.message_received(peer, message, now)
         request = self.follower.next_request(now)
         if request is None:
             return None
@@ -108,7 +108,7 @@
 
     def test_a_lost_link_does_not_take_the_configuration_away(self) -> None:
         self.receive(FIRST, ConfigurationBody(3, 7, b"seven", confirmed=True))
-        self.follower.unlinked(FIRST)
+        self.follower.link_closed(FIRST)
         self.receive(SECOND, ConfigurationBody(3, 6, b"six", confirmed=True))
         self.assertEqual([b"seven"], self.configurations)
 
@@ -147,7 +147,7 @@
         self.assertIsNotNone(self.receive(FIRST, replace(STATUS, config_sequence=8)))
         self.assertIsNone(self.receive(FIRST, replace(STATUS, config_sequence=9)))
         self.assertIsNone(self.receive(SECOND, replace(STATUS, identity=SECOND, config_sequence=9)))
-        self.follower.received(FIRST, self.delta(7, 8), START)
+        self.follower.message_received(FIRST, self.delta(7, 8), START)
         request = self.follower.next_request(START + 0.1)
         assert request is not None
         self.assertEqual(FetchConfiguration(9, False, 3, 8), request.message)
@@ -156,7 +156,7 @@
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.receive(SECOND, replace(STATUS, identity=SECOND, config_sequence=8))
-        overdue = START + ANSWER_LIMIT + 0.01
+        overdue = START + RESPONSE_TIMEOUT + 0.01
         self.assertLessEqual(self.follower.next_wakeup(START) or 0.0, overdue)
         request = self.follower.next_request(overdue)
         assert request is not None
@@ -166,7 +166,7 @@
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.receive(SECOND, replace(STATUS, identity=SECOND, config_sequence=8))
-        self.follower.unlinked(FIRST)
+        self.follower.link_closed(FIRST)
         later = START + 0.1
         request = self.follower.next_request(later)
         assert request is not None
@@ -177,10 +177,12 @@
         for news in machines:
             with self.subTest(news=news):
                 follower = self.make_follower("10.0.0.7")
-                follower.received(news, ConfigurationBody(3, 7, b"start", confirmed=True), START)
+                follower.message_received(news, ConfigurationBody(3, 7, b"start", confirmed=True), START)
                 for peer in machines:
                     sequence = 8 if peer == news else 7
-                    follower.received(peer, replace(STATUS, identity=peer, config_sequence=sequence), START)
+                    follower.message_received(
+                        peer, replace(STATUS, identity=peer, config_sequence=sequence), START
+                    )
                 moments = [START]
                 while (request := follower.next_request(moments[-1])) is None:
                     wakeup = follower.next_wakeup(moments[-1])
@@ -195,9 +197,9 @@
         asked = []
         for number in range(100):
             follower = self.make_follower(f"10.0.1.{number}")
-            follower.received(FIRST, ConfigurationBody(3, 7, b"start", confirmed=True), START)
+            follower.message_received(FIRST, ConfigurationBody(3, 7, b"start", confirmed=True), START)
             for peer in machines:
-                follower.received(peer, replace(STATUS, identity=peer, config_sequence=8), START)
+                follower.message_received(peer, replace(STATUS, identity=peer, config_sequence=8), START)
             request = follower.next_request(START)
             assert request is not None
             asked.append(request.peer)
@@ -209,13 +211,13 @@
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
         self.assertIsNone(self.follower.next_wakeup(START))
-        self.assertTrue(self.follower.is_level(START))
+        self.assertTrue(self.follower.is_up_to_date(START))
 
     def test_a_status_that_may_be_old_makes_nobody_level(self) -> None:
         """It may have been sent before this process stood still."""
         self.start_at(7)
         self.receive(FIRST, STATUS)
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
     def test_an_answer_to_a_heartbeat_that_was_sent_a_while_ago_makes_nobody_level(self) -> None:
         self.start_at(7)
@@ -223,16 +225,16 @@
         thawed_at = HEARTBEAT_AT + LEVEL_AGE
         self.receive(FIRST, STATUS, thawed_at)
         self.receive(FIRST, ANSWER, thawed_at)
-        self.assertFalse(self.follower.is_level(thawed_at))
+        self.assertFalse(self.follower.is_up_to_date(thawed_at))
 
     def test_an_answer_with_a_newer_position_is_news(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         newer = replace(ANSWER, config_sequence=8)
         self.assertEqual(FetchConfiguration(8, False, 3, 7), self.receive(FIRST, newer))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
         self.receive(FIRST, self.delta(7, 8))
-        self.assertTrue(self.follower.is_level(START))
+        self.assertTrue(self.follower.is_up_to_date(START))
 
     def test_a_status_that_was_made_before_an_answer_takes_nothing_back(self) -> None:
         """It may come later than the answer; the position that was told stays the one to be fetched."""
@@ -242,31 +244,33 @@
         self.receive(FIRST, replace(STATUS, config_sequence=7))
         self.assertEqual(ConfigurationPosition(3, 8), self.follower.newest)
         self.receive(FIRST, self.delta(6, 7))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
     def test_a_status_after_the_answer_keeps_what_the_answer_confirmed(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
         self.receive(FIRST, STATUS)
-        self.assertTrue(self.follower.is_level(START))
+        self.assertTrue(self.follower.is_up_to_date(START))
         self.receive(FIRST, replace(STATUS, config_sequence=8))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
     def test_an_answer_that_is_coming_is_not_overdue(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
-        self.follower.received(SECOND, replace(STATUS, identity=SECOND, config_sequence=8), START)
-        self.assertEqual(FIRST, self.follower.asked)
-        coming = START + ANSWER_LIMIT - 0.01
-        self.follower.answering(FIRST, coming)
-        self.assertIsNone(self.follower.next_request(START + ANSWER_LIMIT + 0.01))
-        self.assertIsNotNone(self.follower.next_request(coming + ANSWER_LIMIT + 0.01))
+        self.follower.message_received(SECOND, replace(STATUS, identity=SECOND, config_sequence=8), START)
+        self.assertEqual(FIRST, self.follower.awaited_peer)
+        coming = START + RESPONSE_TIMEOUT - 0.01
+        self.follower.restart_response_timeout(FIRST, coming)
+        self.assertIsNone(self.follower.next_request(START + RESPONSE_TIMEOUT + 0.01))
+        self.assertIsNotNone(self.follower.next_request(coming + RESPONSE_TIMEOUT + 0.01))
 
     def test_before_the_first_configuration_a_machine_that_did_not_answer_comes_last(self) -> None:
         self.receive(FIRST, STATUS)
-        self.follower.received(SECOND, replace(STATUS, identity=SECOND, primary=SECOND, epoch=4), START)
-        request = self.follower.next_request(START + ANSWER_LIMIT + 0.01)
+        self.follower.message_received(
+            SECOND, replace(STATUS, identity=SECOND, primary=SECOND, epoch=4), START
+        )
+        request = self.follower.next_request(START + RESPONSE_TIMEOUT + 0.01)
         assert request is not None
         self.assertEqual(SECOND, request.peer)
 
@@ -274,20 +278,20 @@
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, fresh=False))
         self.receive(FIRST, replace(ANSWER, fresh=False))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
         self.receive(FIRST, ANSWER)
-        self.assertTrue(self.follower.is_level(START))
+        self.assertTrue(self.follower.is_up_to_date(START))
         self.receive(FIRST, replace(STATUS, fresh=False))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
     def test_without_a_link_nobody_is_level(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
-        self.follower.unlinked(FIRST)
-        self.assertFalse(self.follower.is_level(START))
+        self.follower.link_closed(FIRST)
+        self.assertFalse(self.follower.is_up_to_date(START))
         self.receive(FIRST, ANSWER)
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
 
 class DeltaTests(FollowerCase):
@@ -341,13 +345,13 @@
             with self.subTest(news=peer):
                 follower = self.make_follower("10.0.0.7")
                 self.outcome = Applied()
-                follower.received(FIRST, ConfigurationBody(3, 5, b"start", confirmed=True), START)
+                follower.message_received(FIRST, ConfigurationBody(3, 5, b"start", confirmed=True), START)
                 for other in (FIRST, SECOND):
                     sequence = 6 if other == peer else 5
                     status = replace(STATUS, identity=other, config_sequence=sequence)
-                    follower.received(other, status, START)
+                    follower.message_received(other, status, START)
                 self.outcome = DigestMismatch()
-                follower.received(peer, self.delta(5, 6), START)
+                follower.message_received(peer, self.delta(5, 6), START)
                 request = follower.next_request(START + 0.2)
                 assert request is not None
                 self.assertEqual((peer, FetchConfiguration(6, False)), (request.peer, request.message))
@@ -358,8 +362,8 @@
         self.outcome = DigestMismatch()
         self.receive(FIRST, self.delta(7, 8))
         self.outcome = Applied()
-        self.follower.received(SECOND, self.delta(7, 8), START)
-        self.follower.received(FIRST, ConfigurationBody(3, 8, b"whole", confirmed=False), START)
+        self.follower.message_received(SECOND, self.delta(7, 8), START)
+        self.follower.message_received(FIRST, ConfigurationBody(3, 8, b"whole", confirmed=False), START)
         for step in range(20):
             self.assertIsNone(self.follower.next_request(START + step * 0.5))
 
@@ -371,7 +375,7 @@
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.assertIsNone(self.receive(FIRST, ConfigurationBody(3, 8, b"unreadable", confirmed=False)))
         self.assertEqual(ConfigurationPosition(3, 7), self.follower.position)
-        self.assertIsNotNone(self.follower.next_request(START + ANSWER_LIMIT + 0.01))
+        self.assertIsNotNone(self.follower.next_request(START + RESPONSE_TIMEOUT + 0.01))
 
     def test_an_unreadable_first_configuration_leaves_the_process_unconfirmed(self) -> None:
         self.outcome = Malformed("KeyError('ver')")
@@ -417,7 +421,7 @@
     def test_without_a_link_nothing_is_awaited(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
-        self.follower.unlinked(FIRST)
+        self.follower.link_closed(FIRST)
         self.now = START + 60.0
         self.assertEqual(0.0, self.follower.progress.seconds_behind())
         self.receive(FIRST, replace(STATUS, config_sequence=8), self.now)
--- a/tests/test_control_links.py
+++ b/tests/test_control_links.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from unittest import mock
 
-from rookwood.cluster.messages import RELEASE, ControlMachine, HeartbeatAnswer, Status
+from rookwood.cluster.messages import PROTOCOL_RELEASE, ControlMachine, HeartbeatAnswer, Status
 from rookwood.cluster.settings import parse_settings
 from rookwood.dataplane import control_links
 from rookwood.dataplane.control_links import OUT_OF_TOUCH_LIMIT, TICK_INTERVAL, TIMING, ControlLinks
@@ -37,7 +37,7 @@
         self.listened: frozenset[str] = frozenset()
         self.closed = False
 
-    def want(self, peers: Iterable[str], listened: Iterable[str] = ()) -> None:
+    def set_peers(self, peers: Iterable[str], listened: Iterable[str] = ()) -> None:
         """Which links there are to be."""
         self.subscribed = frozenset(peers)
         self.listened = frozenset(listened) - self.subscribed
@@ -63,7 +63,7 @@
         self.silent: set[str] = set()
         self.fresh = True
         self.settled = True
-        self.release = RELEASE
+        self.release = PROTOCOL_RELEASE
         self.roots: tuple[ControlMachine, ...] = ()
         self.tick()
 
@@ -82,8 +82,8 @@
         status = Status(
             peer, 1, PRIMARY, self.fresh, self.settled, 1, 1, 9, SEEDS, self.release, 3, self.roots
         )
-        self.links.heard(peer, status, self.now)
-        self.links.heard(peer, HeartbeatAnswer(self.now, 1, 1, self.fresh), self.now)
+        self.links.record_message(peer, status, self.now)
+        self.links.record_message(peer, HeartbeatAnswer(self.now, 1, 1, self.fresh), self.now)
 
     def pass_time(self, seconds: float) -> None:
         """Time passes; linked machines that are not silent are heard."""
@@ -96,7 +96,7 @@
 
     def feeding(self) -> str:
         """Who feeds the dispatcher."""
-        feeding = self.links.feeding
+        feeding = self.links.feeding_machine
         assert feeding is not None
         return feeding
 
@@ -116,7 +116,7 @@
 
     def test_a_machine_whose_link_ends_is_left_at_once(self) -> None:
         first = self.feeding()
-        self.links.ended(first, self.now)
+        self.links.record_link_end(first, self.now)
         self.tick()
         self.assertNotEqual(first, self.feeding())
         self.assertEqual({self.feeding()}, self.link_set.subscribed)
@@ -145,7 +145,7 @@
 
     def test_a_machine_that_owes_an_answer_is_left(self) -> None:
         first = self.feeding()
-        self.links.overdue(first, self.now)
+        self.links.record_overdue_answer(first, self.now)
         self.tick()
         self.assertNotEqual(first, self.feeding())
 
@@ -180,7 +180,7 @@
             own = parse_settings({**DOCUMENT, "ip": f"10.0.1.{number}"})
             links = ControlLinks(own, mock.Mock(), lambda: SEEDS, mock.Mock(), mock.Mock())
             links.tick(START, True, None, ())
-            chosen.add(links.feeding)
+            chosen.add(links.feeding_machine)
         self.assertEqual(set(SEEDS), chosen)
 
     def test_beside_machines_of_release_0_all_are_subscribed_to_and_the_primary_takes_reports(self) -> None:
@@ -189,17 +189,17 @@
         self.hear(self.feeding())
         self.tick()
         self.assertEqual(set(SEEDS), self.link_set.subscribed)
-        self.assertEqual(PRIMARY, self.links.reporting(PRIMARY))
-        self.assertTrue(all(self.links.brings_notices(seed) for seed in SEEDS))
+        self.assertEqual(PRIMARY, self.links.report_connection(PRIMARY))
+        self.assertTrue(all(self.links.accepts_notices_from(seed) for seed in SEEDS))
 
     def test_reports_and_notices_go_over_the_feed(self) -> None:
         self.pass_time(1.0)
-        self.assertEqual(self.feeding(), self.links.reporting(PRIMARY))
-        self.assertEqual([self.feeding()], [seed for seed in SEEDS if self.links.brings_notices(seed)])
+        self.assertEqual(self.feeding(), self.links.report_connection(PRIMARY))
+        self.assertEqual([self.feeding()], [seed for seed in SEEDS if self.links.accepts_notices_from(seed)])
 
     def test_nothing_is_opened_once_all_was_closed(self) -> None:
         self.links.close()
-        self.link_set.want(())
+        self.link_set.set_peers(())
         self.tick()
         self.assertTrue(self.link_set.closed)
         self.assertEqual(set(), self.link_set.subscribed)
--- a/tests/test_controlplane_confirmation.py
+++ b/tests/test_controlplane_confirmation.py
@@ -60,7 +60,7 @@
         rounds = mock.AsyncMock(return_value=outcome)
         self.enterContext(mock.patch.object(self.control.group, "confirm", rounds))
         question = FetchConfiguration(5, confirm)
-        self.control.received(cast(Connection, self.connection), question)
+        self.control.message_received(cast(Connection, self.connection), question)
         return rounds
 
     async def answered(self) -> None:
--- a/tests/test_controlplane_notices.py
+++ b/tests/test_controlplane_notices.py
@@ -44,10 +44,10 @@
     async def test_a_dispatcher_counts_others_and_not_its_own_again(self) -> None:
         pool = WorkerPool()
         router = Router("e1", "z1", pool)
-        router.note_told(WorkNotice("e1", "w1", 0.5, ()), 10.0)
+        router.record_notice(WorkNotice("e1", "w1", 0.5, ()), 10.0)
         self.assertEqual(0.0, pool.get("w1").backlog.remaining(10.0))
-        router.note_told(WorkNotice("e2", "w1", 0.5, ()), 10.0)
-        router.note_told(WorkNotice("e3", "w1", 0.25, ()), 10.1)
+        router.record_notice(WorkNotice("e2", "w1", 0.5, ()), 10.0)
+        router.record_notice(WorkNotice("e3", "w1", 0.25, ()), 10.1)
         self.assertAlmostEqual(0.65, pool.get("w1").backlog.remaining(10.1))
 
 
--- a/tests/test_controlplane_orders.py
+++ b/tests/test_controlplane_orders.py
@@ -67,57 +67,57 @@
     def make_tenure(self, fenced: bool) -> Tenure:
         """A machine that follows a primary, over an open link, until it becomes primary itself."""
         tenure = Tenure(OWN_IP, LEASE, fenced)
-        tenure.linked(PEER)
-        tenure.primary_seen(PEER, 1, START - LEASE)
+        tenure.link_opened(PEER)
+        tenure.record_primary(PEER, 1, START - LEASE)
         return tenure
 
     def assert_waits(self, tenure: Tenure) -> None:
         """The first order comes after the lease time only; without fences also after the last of before."""
         margin = LEASE_MARGIN if tenure.fenced else LEASE_MARGIN + LAST_ORDER_LIMIT
-        self.assertFalse(tenure.may_order(2, START, START))
-        self.assertFalse(tenure.may_order(2, START, START + LEASE))
-        self.assertFalse(tenure.may_order(2, START, START + LEASE + margin / 2))
-        self.assertTrue(tenure.may_order(2, START, START + LEASE + margin + 0.01))
+        self.assertFalse(tenure.may_issue_orders(2, START, START))
+        self.assertFalse(tenure.may_issue_orders(2, START, START + LEASE))
+        self.assertFalse(tenure.may_issue_orders(2, START, START + LEASE + margin / 2))
+        self.assertTrue(tenure.may_issue_orders(2, START, START + LEASE + margin + 0.01))
 
     def test_the_first_primary_of_all_need_not_wait(self) -> None:
-        self.assertTrue(Tenure(OWN_IP, LEASE, fenced=False).may_order(1, START, START))
+        self.assertTrue(Tenure(OWN_IP, LEASE, fenced=False).may_issue_orders(1, START, START))
 
     def test_a_successor_waits_while_the_earlier_primary_is_linked(self) -> None:
         for fenced in (False, True):
             tenure = self.make_tenure(fenced)
-            tenure.primary_seen(OWN_IP, 2, START)
+            tenure.record_primary(OWN_IP, 2, START)
             self.assert_waits(tenure)
 
     def test_without_fences_a_successor_waits_also_for_a_lost_primary(self) -> None:
         tenure = self.make_tenure(fenced=False)
-        tenure.unlinked(PEER, START)
-        tenure.primary_seen(OWN_IP, 2, START)
+        tenure.link_closed(PEER, START)
+        tenure.record_primary(OWN_IP, 2, START)
         self.assert_waits(tenure)
 
     def test_with_fences_the_successor_of_a_lost_primary_need_not_wait(self) -> None:
         tenure = self.make_tenure(fenced=True)
-        tenure.unlinked(PEER, START)
-        tenure.primary_seen(OWN_IP, 2, START)
-        self.assertTrue(tenure.may_order(2, START, START))
+        tenure.link_closed(PEER, START)
+        tenure.record_primary(OWN_IP, 2, START)
+        self.assertTrue(tenure.may_issue_orders(2, START, START))
 
     def test_a_holder_may_have_been_unseen_between_two_epochs(self) -> None:
         tenure = self.make_tenure(fenced=True)
-        tenure.unlinked(PEER, START)
-        tenure.primary_seen(OWN_IP, 3, START)
-        self.assertFalse(tenure.may_order(3, START, START))
+        tenure.link_closed(PEER, START)
+        tenure.record_primary(OWN_IP, 3, START)
+        self.assertFalse(tenure.may_issue_orders(3, START, START))
 
     def test_a_link_that_broke_before_its_machine_led_excuses_nothing(self) -> None:
         tenure = Tenure(OWN_IP, LEASE, fenced=True)
-        tenure.linked(PEER)
-        tenure.unlinked(PEER, START - 1.0)
-        tenure.linked(PEER)
-        tenure.primary_seen(PEER, 1, START - 0.5)
-        tenure.primary_seen(OWN_IP, 2, START)
+        tenure.link_opened(PEER)
+        tenure.link_closed(PEER, START - 1.0)
+        tenure.link_opened(PEER)
+        tenure.record_primary(PEER, 1, START - 0.5)
+        tenure.record_primary(OWN_IP, 2, START)
         self.assert_waits(tenure)
 
     def test_a_machine_that_knows_no_earlier_primary_waits(self) -> None:
         tenure = Tenure(OWN_IP, LEASE, fenced=True)
-        tenure.primary_seen(OWN_IP, 2, START)
+        tenure.record_primary(OWN_IP, 2, START)
         self.assert_waits(tenure)
 
 
@@ -300,7 +300,7 @@
             self.enterContext(mock.patch.object(load_scheduler, pause, SHORT_INTERVAL))
         await self.start_scheduler(Primary(1, asyncio.get_running_loop().time()))
         await within(self.ordered(client))
-        self.assertEqual([(False, "old")], [(order.place, order.model) for order in client.orders])
+        self.assertEqual([(False, "old")], [(order.is_load, order.model) for order in client.orders])
         for _ in range(OFTEN):  # reports go on to tell of the weights
             client.last_often_read.clear()
             await within(client.last_often_read.wait())
--- a/tests/test_controlplane_workers.py
+++ b/tests/test_controlplane_workers.py
@@ -44,10 +44,10 @@
     Behaviour,
     Exchange,
     FakeWorker,
-    answering,
     break_off,
-    refusing,
-    whole_answer,
+    rejecting,
+    responding,
+    response_bytes,
     within,
 )
 
@@ -74,7 +74,7 @@
         self.published: list[tuple[Update, Audience]] = []
         self.view = ClusterView(lambda record: None, self.gone.append)
         self.table = WorkerTable(self.view, OWN_IP, BEAT, self.publish)
-        self.view.received(OWN_IP, SETTLED, 0.0)
+        self.view.message_received(OWN_IP, SETTLED, 0.0)
 
     def publish(self, update: Update, audience: Audience) -> None:
         """Collect an update."""
@@ -125,9 +125,9 @@
         self.assertEqual([], self.gone)
 
     def test_a_worker_that_another_machine_hears_stays(self) -> None:
-        self.view.linked(PEER)
+        self.view.link_opened(PEER)
         self.table.heartbeat(WORKER, 0.0)
-        self.view.received(PEER, WorkerUpdates((WORKER,), complete=True), 0.0)
+        self.view.message_received(PEER, WorkerUpdates((WORKER,), complete=True), 0.0)
         self.table.expire(LONG_SILENCE)
         self.assertEqual([], self.gone)
         told = (WorkerGone(WORKER.id, deleted=False), Audience.CONTROL_MACHINES)
@@ -146,7 +146,7 @@
     def test_other_control_machines_are_told_only_of_workers_heard_here(self) -> None:
         told = replace(WORKER, id="i-2")
         self.table.heartbeat(WORKER, 0.0)
-        self.view.received(PEER, WorkerUpdates((told,), complete=True), 0.0)
+        self.view.message_received(PEER, WorkerUpdates((told,), complete=True), 0.0)
         self.assertEqual(WorkerUpdates((WORKER,), complete=True), self.table.direct())
         self.assertEqual({WORKER, told}, set(self.table.known().records))
         self.assertTrue(self.table.known().complete)
@@ -298,7 +298,9 @@
         self.report(DISPATCHER, 0.0, KeyDemand("models", "small", "a1", 2.0, 1.0, 3, 0.5))
         self.report(PEER, 0.0, KeyDemand("models", "small", "a1", 1.0, 0.5, 1, 2.0))
         total = self.demand.total("models", 0.1)[KEY]
-        self.assertEqual((3.0, 1.5, 4, 2.0), (total.rate, total.busy, total.waiting, total.oldest_wait_s))
+        self.assertEqual(
+            (3.0, 1.5, 4, 2.0), (total.rate, total.busy_slots, total.waiting, total.oldest_wait_s)
+        )
 
     def test_a_new_report_replaces_the_one_before(self) -> None:
         self.report(DISPATCHER, 0.0, KeyDemand("models", "small", "a1", 2.0, 1.0, 3, 0.5))
@@ -367,24 +369,24 @@
 
     async def order_answered(self, status: int) -> OrderTaken | OrderRefused | OrderUnknown:
         """Give the order to a worker that answers with the status."""
-        worker = await self.start_worker(FakeWorker(answering(b"", status)))
+        worker = await self.start_worker(FakeWorker(responding(b"", status)))
         return await self.client.order(worker.address, worker.id, ORDER)
 
     async def test_a_report_is_read(self) -> None:
-        worker = await self.start_worker(FakeWorker(answering(json.dumps(REPORT).encode())))
+        worker = await self.start_worker(FakeWorker(responding(json.dumps(REPORT).encode())))
         report = await self.client.report(worker.address, worker.id)
         self.assertEqual(WorkerReport(HELD, True, 2, 1, 12), report)
         self.assertEqual(worker.id, worker.requests[0].headers["x-want-instance"])
         self.assertEqual(("GET", "/report"), (worker.requests[0].method, worker.requests[0].target))
 
     async def test_no_report_is_a_failure(self) -> None:
-        behaviours = (refusing(421), answering(b"{"), answering(b"[]"), answering(b"7"), break_off)
+        behaviours = (rejecting(421), responding(b"{"), responding(b"[]"), responding(b"7"), break_off)
         for behaviour in behaviours:
             worker = await self.start_worker(FakeWorker(behaviour))
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
 
     async def test_an_order_names_owner_fence_and_revision(self) -> None:
-        worker = await self.start_worker(FakeWorker(answering(b"", 202)))
+        worker = await self.start_worker(FakeWorker(responding(b"", 202)))
         self.assertEqual(OrderTaken(done=False), await self.client.order(worker.address, worker.id, ORDER))
         (request,) = worker.requests
         self.assertEqual(("POST", "/order"), (request.method, request.target))
@@ -401,7 +403,7 @@
         self.assertEqual(expected, json.loads(request.body))
 
     async def test_an_order_for_a_model_names_no_adapter(self) -> None:
-        document = json.loads(replace(ORDER, place=False, adapter="").body())
+        document = json.loads(replace(ORDER, is_load=False, adapter="").body())
         self.assertEqual("evict", document["op"])
         self.assertNotIn("lora", document)
 
@@ -413,14 +415,14 @@
             self.assertEqual(OrderRefused(status), await self.order_answered(status))
 
     async def test_an_order_without_an_answer_may_have_been_taken_and_is_sent_once(self) -> None:
-        worker = await self.start_worker(FakeWorker(answering(b"", 202), break_off))
+        worker = await self.start_worker(FakeWorker(responding(b"", 202), break_off))
         await self.client.order(worker.address, worker.id, ORDER)
         self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), OrderUnknown)
         self.assertEqual(2, len(worker.requests))
 
     async def test_an_unframed_answer_that_is_reset_tells_nothing(self) -> None:
         async def cut(exchange: Exchange) -> None:
-            exchange.write(whole_answer(exchange.request, json.dumps(REPORT).encode(), Content_Length=None))
+            exchange.write(response_bytes(exchange.request, json.dumps(REPORT).encode(), Content_Length=None))
             await exchange.reset()
 
         worker = await self.start_worker(FakeWorker(cut))
@@ -432,7 +434,7 @@
 
         def closing_after(size: int) -> Behaviour:
             async def cut(exchange: Exchange) -> None:
-                exchange.write(whole_answer(exchange.request, body[:size], Content_Length=None))
+                exchange.write(response_bytes(exchange.request, body[:size], Content_Length=None))
                 await exchange.break_off()
 
             return cut
@@ -444,11 +446,11 @@
     async def test_an_answer_without_the_parts_of_a_report_is_no_report(self) -> None:
         for part in ("models", "seq"):
             body = json.dumps({name: value for name, value in REPORT.items() if name != part}).encode()
-            worker = await self.start_worker(FakeWorker(answering(body)))
+            worker = await self.start_worker(FakeWorker(responding(body)))
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
 
     async def test_a_call_is_sent_once_though_a_kept_connection_breaks(self) -> None:
-        report = answering(json.dumps(REPORT).encode())
+        report = responding(json.dumps(REPORT).encode())
         for broken in (break_off, Exchange.reset):
             worker = await self.start_worker(FakeWorker(report, broken, report))
             await self.client.report(worker.address, worker.id)
@@ -457,10 +459,10 @@
 
     async def test_an_answer_to_a_request_counts_for_nothing_and_ends_its_connection(self) -> None:
         """The true answer is still to come there, and would be taken for that of the next call."""
-        report = answering(json.dumps(REPORT).encode())
+        report = responding(json.dumps(REPORT).encode())
 
         async def answer_a_request(exchange: Exchange) -> None:
-            exchange.write(whole_answer(exchange.request, json.dumps(REPORT).encode(), X_Try_Id="other"))
+            exchange.write(response_bytes(exchange.request, json.dumps(REPORT).encode(), X_Try_Id="other"))
             await exchange.caller_closed()
             raise ConnectionResetError
 
@@ -476,7 +478,7 @@
 
     async def test_a_report_is_no_answer_to_an_order(self) -> None:
         """Workers do not name the call that they answer, so that a late report is told by its content."""
-        worker = await self.start_worker(FakeWorker(answering(json.dumps(REPORT).encode(), X_Try_Id=None)))
+        worker = await self.start_worker(FakeWorker(responding(json.dumps(REPORT).encode(), X_Try_Id=None)))
         self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), OrderUnknown)
 
     async def test_an_answer_after_the_time_of_a_call_counts_for_nothing(self) -> None:
@@ -484,12 +486,12 @@
 
         async def answer_late(exchange: Exchange) -> None:
             await late.wait()
-            exchange.write(whole_answer(exchange.request, b"", 202, X_Try_Id=None))
+            exchange.write(response_bytes(exchange.request, b"", 202, X_Try_Id=None))
             await exchange.caller_closed()
             closed.set()
             raise ConnectionResetError
 
-        worker = await self.start_worker(FakeWorker(answer_late, answering(b"", 409)))
+        worker = await self.start_worker(FakeWorker(answer_late, responding(b"", 409)))
         with mock.patch.object(worker_client, "CALL_LIMIT", SHORT_CALL_LIMIT):
             self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), OrderUnknown)
         late.set()
@@ -498,25 +500,25 @@
         self.assertEqual(2, worker.connections)
 
     async def test_an_answer_of_another_life_of_the_worker_counts_for_nothing(self) -> None:
-        report = answering(json.dumps(REPORT).encode(), X_Instance="i-2")
+        report = responding(json.dumps(REPORT).encode(), X_Instance="i-2")
         worker = await self.start_worker(FakeWorker(report))
         self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
         for status, expected in ((202, OrderUnknown), (200, OrderUnknown), (421, OrderRefused)):
-            worker = await self.start_worker(FakeWorker(answering(b"", status, X_Instance="i-2")))
+            worker = await self.start_worker(FakeWorker(responding(b"", status, X_Instance="i-2")))
             self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), expected)
 
     async def test_no_call_follows_a_redirection(self) -> None:
         """Another place is another worker, which the call is not for."""
-        other = await self.start_worker(FakeWorker(answering(json.dumps(REPORT).encode())))
+        other = await self.start_worker(FakeWorker(responding(json.dumps(REPORT).encode())))
         for status in (301, 302, 303, 307, 308):
-            away = answering(b"", status, Location=f"http://{other.address}/order")
+            away = responding(b"", status, Location=f"http://{other.address}/order")
             worker = await self.start_worker(FakeWorker(away))
             self.assertEqual(OrderRefused(status), await self.client.order(worker.address, worker.id, ORDER))
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
         self.assertEqual([], other.requests)
 
     async def test_an_order_that_was_not_sent_was_not_taken(self) -> None:
-        worker = await self.start_worker(FakeWorker(answering()))
+        worker = await self.start_worker(FakeWorker(responding()))
         address = worker.address
         await worker.stop()
         self.assertEqual(OrderRefused(NOT_CONNECTED), await self.client.order(address, worker.id, ORDER))
