--- a/tests/test_coordination_group.py
+++ b/tests/test_coordination_group.py
@@ -129,7 +129,7 @@
         primary = self.primary_address()
         roles = [group.role() for ip, group in self.groups.items() if ip != primary]
         return primary is not None and all(
-            isinstance(role, Backup) and role.primary == primary and role.fresh for role in roles
+            isinstance(role, Backup) and role.primary == primary and role.is_fresh for role in roles
         )
 
     async def until_repaired(self, ip: str, before: int) -> None:
@@ -313,7 +313,7 @@
         await self.cluster.until(lambda: returned.snapshot().payload == b"a")
         self.assertNotIn(gone, returned.members())
         epoch = self.cluster.groups[primary].snapshot().epoch
-        await self.cluster.until(lambda: returned.role() == Learner(primary, epoch, in_touch=True))
+        await self.cluster.until(lambda: returned.role() == Learner(primary, epoch, in_contact=True))
 
     async def test_connections_that_are_reset_again_and_again_lose_nothing(self) -> None:
         """Resets strike control machines as well: a change that was taken stays, others are sent again."""
@@ -371,7 +371,7 @@
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
         group = self.cluster.groups[primary]
-        self.assertEqual(group.reachable(), frozenset(FIRST_MEMBERS))
+        self.assertEqual(group.reachable_members(), frozenset(FIRST_MEMBERS))
         self.assertEqual(group.members(), FIRST_MEMBERS)
 
     async def test_nothing_is_written_after_the_storage_was_closed(self) -> None:
--- a/tests/test_coordination_storage.py
+++ b/tests/test_coordination_storage.py
@@ -38,7 +38,7 @@
 )
 from rookwood.coordination.storage import (
     MARKER,
-    SLOTS,
+    SLOT_FILES,
     Empty,
     FaultKind,
     Found,
@@ -168,7 +168,7 @@
 
     def test_writes_alternate_so_that_a_torn_one_leaves_the_last(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
-        for torn in SLOTS:
+        for torn in SLOT_FILES:
             path = self.directory / torn
             whole = path.read_bytes()
             path.write_bytes(b"\xaa" * len(whole))
@@ -180,13 +180,13 @@
         self.save(Record(5, 1), Record(5, 2))
         for content in (b"\xaa" * 8192, b"", b"short"):
             with self.subTest(content=content[:8]):
-                (self.directory / SLOTS[1]).write_bytes(content)
+                (self.directory / SLOT_FILES[1]).write_bytes(content)
                 storage = self.open()
                 self.assertEqual(storage.load(), Found(Record(5, 1)))
                 self.assertTrue(storage.save(Record(5, 3)))
                 storage.close()
                 self.assertEqual(self.load(), Found(Record(5, 3)))
-                (self.directory / SLOTS[1]).unlink()
+                (self.directory / SLOT_FILES[1]).unlink()
 
     def lost_kinds(self) -> list[FaultKind]:
         """The faults of a storage that has to count as lost."""
@@ -198,7 +198,7 @@
         """lmdb opens many such files, and refuses to write to them."""
         large = Record(5, 2, True, Document(Position(1, 1), CONFIGURATION, bytes(9000)))
         self.save(Record(5, 1), large, Record(5, 3), large, Record(5, 4))
-        path = self.directory / SLOTS[1]
+        path = self.directory / SLOT_FILES[1]
         whole = path.read_bytes()
         for start in range(0, len(whole), 4096):
             cut = whole[start : start + 100] + bytes(3996)
@@ -217,7 +217,7 @@
 
     def test_found_record_is_synced_before_the_older_one_is_overwritten(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
-        older, newest = SLOTS
+        older, newest = SLOT_FILES
         storage = RecordingStorage(str(self.directory), 128)
         self.addCleanup(storage.close)
         self.assertEqual(storage.load(), Found(Record(5, 2)))
@@ -228,29 +228,29 @@
 
     def test_first_write_that_was_torn_counts_as_none(self) -> None:
         self.save(Record(5, 1))
-        whole = (self.directory / SLOTS[0]).read_bytes()
+        whole = (self.directory / SLOT_FILES[0]).read_bytes()
         (self.directory / MARKER).unlink()
         for size in (0, 1, 16, 18, 100, 4096, 5000, 8192, len(whole) - 4096):
             for tail in (b"", bytes(len(whole) - size)):
                 with self.subTest(size=size, tail=len(tail)):
-                    (self.directory / SLOTS[0]).write_bytes(whole[:size] + tail)
+                    (self.directory / SLOT_FILES[0]).write_bytes(whole[:size] + tail)
                     self.assertEqual(self.load(), Empty())
 
     def test_broken_file_after_a_finished_write_counts_as_lost(self) -> None:
         self.save(Record(5, 1))
-        whole = (self.directory / SLOTS[0]).read_bytes()
+        whole = (self.directory / SLOT_FILES[0]).read_bytes()
         for size in (0, 1, 16, 100, 4096, 8192, len(whole) - 4096):
             with self.subTest(size=size):
-                (self.directory / SLOTS[0]).write_bytes(whole[:size])
+                (self.directory / SLOT_FILES[0]).write_bytes(whole[:size])
                 self.assertEqual(self.lost_kinds(), [FaultKind.TORN])
-        (self.directory / SLOTS[0]).unlink()
+        (self.directory / SLOT_FILES[0]).unlink()
         self.assertEqual(self.lost_kinds(), [])
 
     def test_file_cut_short_beside_a_whole_one_leaves_the_last(self) -> None:
         """lmdb maps it all the same, and reading beyond its end ends the process with SIGBUS."""
         large = Record(5, 2, True, Document(Position(1, 1), CONFIGURATION, bytes(range(256)) * 800))
         self.save(Record(5, 1), large)
-        path = self.directory / SLOTS[1]
+        path = self.directory / SLOT_FILES[1]
         whole = path.read_bytes()
         for size in (*range(0, 8192, 1024), *range(8192, len(whole) - 4096, 4096)):
             path.write_bytes(whole[:size])
@@ -263,14 +263,14 @@
         script, database = b"#!/bin/sh\nexit 0\n" * 99, b"SQLite format 3\0" * 300
         for content in (b"\xaa" * 8192, script, b"{}" * 5000, database):
             with self.subTest(content=content[:8]):
-                (self.directory / SLOTS[0]).write_bytes(content)
+                (self.directory / SLOT_FILES[0]).write_bytes(content)
                 self.assertEqual(self.lost_kinds(), [FaultKind.FOREIGN])
                 storage = self.open()
                 storage.load()
                 self.assertTrue(storage.save(Record(9, 1)))
                 storage.close()
                 self.assertEqual(self.load(), Found(Record(9, 1)))
-                for name in (SLOTS[0], MARKER):
+                for name in (SLOT_FILES[0], MARKER):
                     (self.directory / name).unlink()
 
     def test_record_of_an_unknown_version_counts_as_lost(self) -> None:
@@ -281,9 +281,9 @@
 
     def test_older_file_in_place_of_the_other_one_leaves_the_newest(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
-        older = (self.directory / SLOTS[1]).read_bytes()
+        older = (self.directory / SLOT_FILES[1]).read_bytes()
         self.save(Record(5, 3), Record(5, 4), Record(5, 5))
-        (self.directory / SLOTS[1]).write_bytes(older)
+        (self.directory / SLOT_FILES[1]).write_bytes(older)
         self.assertEqual(self.load(), Found(Record(5, 5)))
 
     def test_disk_without_a_marker_as_the_version_before_left_it_is_read(self) -> None:
@@ -306,13 +306,13 @@
 
     def test_broken_storage_is_told_from_an_empty_one(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
-        for slot in SLOTS:
+        for slot in SLOT_FILES:
             (self.directory / slot).write_bytes(b"\xaa" * 8192)
         self.assertEqual(self.lost_kinds(), [FaultKind.FOREIGN, FaultKind.FOREIGN])
 
     def test_changed_payload_fails_the_checksum(self) -> None:
         self.save(RECORD)
-        path = self.directory / SLOTS[0]
+        path = self.directory / SLOT_FILES[0]
         content = path.read_bytes()
         self.assertIn(b"payload\0", content)
         path.write_bytes(content.replace(b"payload\0", b"pAyload\0"))
@@ -339,5 +339,5 @@
         ]
         self.save(*records)
         self.assertEqual(self.load(), Found(records[-1]))
-        sizes = [(self.directory / slot).stat().st_size for slot in SLOTS]
+        sizes = [(self.directory / slot).stat().st_size for slot in SLOT_FILES]
         self.assertLess(sum(sizes), 6 << 20)
--- a/tests/test_coordination_storage_histories.py
+++ b/tests/test_coordination_storage_histories.py
@@ -64,7 +64,7 @@
     @rule(data=st.data())
     def lose_power_in_the_middle_of_a_write(self, data: st.DataObject) -> None:
         """Any page of the file in turn, and its end, may come out torn."""
-        path = self.directory / self.storage.slot_in_turn
+        path = self.directory / self.storage.next_slot
         self.storage.close()
         if path.exists() and self.stored is not None:
             content = bytearray(path.read_bytes())
--- a/tests/test_dataplane_counts.py
+++ b/tests/test_dataplane_counts.py
@@ -13,7 +13,7 @@
 from rookwood.cluster.messages import FetchConfiguration, Status
 from rookwood.dataplane.request_counts import EndedRequests, RefusalCause, RequestOutcome
 from rookwood.metrics.traffic import PEER_CORE, PEER_EDGE, Direction, MessageTraffic, Volume
-from tests.fake_worker import answering, held_back, streaming, streaming_until_broken, within
+from tests.fake_worker import delayed_until, responding, streaming, streaming_until_broken, within
 from tests.test_cluster_feed import HELLO, STATUS, FeedCase, LinkRecorder
 from tests.test_dataplane_proxy import MUTATING, STREAM
 from tests.test_dataplane_streams import StreamCase
@@ -34,7 +34,7 @@
         return list(self.dispatcher.proxy.counts.ended())
 
     async def test_answers_count_by_status_whoever_they_are_from(self) -> None:
-        await self.start_worker(answering(), answering(b"failed", 500))
+        await self.start_worker(responding(), responding(b"failed", 500))
         await self.send(MUTATING, "try-1")
         await self.send(MUTATING, "try-2")
         await self.send("/nowhere/")
@@ -61,7 +61,7 @@
 
     async def test_a_client_that_leaves_abandons_its_request(self) -> None:
         release = asyncio.Event()
-        worker = await self.start_worker(held_back(answering(), release))
+        worker = await self.start_worker(delayed_until(responding(), release))
         async with ClientSession(timeout=ClientTimeout(total=None)) as leaving:
             request = leaving.post(self.url(MUTATING), headers=self.headers("try-1"))
             sending = asyncio.create_task(request.__aenter__())
--- a/tests/test_dataplane_end.py
+++ b/tests/test_dataplane_end.py
@@ -30,10 +30,10 @@
     Behaviour,
     Exchange,
     FakeWorker,
-    answering,
     begin_stream,
+    delayed_until,
     event,
-    held_back,
+    responding,
     within,
 )
 from tests.loop_lag import LoopLag
@@ -320,7 +320,7 @@
         self.assertIn(503, {one.status for one in new})
 
     async def test_short_requests_are_served_until_the_last_moments(self) -> None:
-        worker = await self.prepare(MUTATING, answering())
+        worker = await self.prepare(MUTATING, responding())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
         play = await self.play(MUTATING)
@@ -333,7 +333,7 @@
         self.assertEqual([], worker.requests_of("held"))
 
     async def test_a_short_request_just_before_the_end_is_refused_as_a_stall_would_cut_it(self) -> None:
-        worker = await self.prepare(MUTATING, answering())
+        worker = await self.prepare(MUTATING, responding())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
         self.addAsyncCleanup(holding.rest)
@@ -359,7 +359,7 @@
         return noticed
 
     async def test_a_process_that_was_held_up_lately_leaves_more_time_for_the_next_stall(self) -> None:
-        worker = await self.prepare(MUTATING, answering())
+        worker = await self.prepare(MUTATING, responding())
         noticed = self.noticing_lag(HELD_UP / 2)
         time.sleep(HELD_UP)  # the loop gets no processor
         await within(noticed.wait())
@@ -374,7 +374,7 @@
         await within(self.running)
 
     async def test_idle_connections_are_closed_once_the_platform_noticed(self) -> None:
-        await self.prepare(MUTATING, answering())
+        await self.prepare(MUTATING, responding())
         idle = [await self.connect() for _ in range(5)]
         began = self.stop()
         for client in idle:
@@ -384,7 +384,7 @@
         self.assertLess(asyncio.get_running_loop().time() - began, GRACE / 2)
 
     async def test_a_request_half_read_is_not_cut_when_idle_connections_are_closed(self) -> None:
-        await self.prepare(MUTATING, answering())
+        await self.prepare(MUTATING, responding())
         for cut_at in (10, -1):
             client = await self.connect()
             whole = request_bytes(MUTATING, f"half-{cut_at}")
@@ -406,7 +406,7 @@
 
     async def test_a_long_answer_is_flushed_to_a_slow_reader_before_the_process_ends(self) -> None:
         body = b"x" * 4_000_000
-        await self.prepare(MUTATING, answering(body))
+        await self.prepare(MUTATING, responding(body))
         client = await self.connect()
         client.write(request_bytes(MUTATING, "slow"))
         await within(client.reader.readexactly(1))
@@ -440,7 +440,7 @@
 
     async def prepare_held(self, release: asyncio.Event) -> FakeWorker:
         """A worker that answers once the test says so."""
-        worker = await self.start_worker(FakeWorker(held_back(answering(), release)))
+        worker = await self.start_worker(FakeWorker(delayed_until(responding(), release)))
         await self.feed()
         return worker
 
--- a/tests/test_dataplane_program.py
+++ b/tests/test_dataplane_program.py
@@ -29,7 +29,16 @@
 from rookwood.dataplane import program
 from rookwood.dataplane.program import DataPlane
 from rookwood.lab.free_ports import find_free_port
-from tests.fake_worker import HOST, WAIT_LIMIT, Exchange, FakeWorker, Silence, answering, held_back, within
+from tests.fake_worker import (
+    HOST,
+    WAIT_LIMIT,
+    Exchange,
+    FakeWorker,
+    Silence,
+    delayed_until,
+    responding,
+    within,
+)
 from tests.test_dataplane_proxy import CONFIGURATION, MODEL_SERVICE, MODELS, MUTATING, SAFE, SERVICE, SITE
 
 CONTROL_IP = "127.0.0.2"
@@ -60,11 +69,11 @@
         sequence = self.sequence if self.source else 0
         return Status(CONTROL_IP, 1, CONTROL_IP, self.fresh, True, 1, sequence, 1, (CONTROL_IP,))
 
-    def greeting(self, connection: Connection) -> Iterable[Message]:
+    def initial_messages(self, connection: Connection) -> Iterable[Message]:
         """Status and workers."""
         return self.status(), WorkerUpdates(tuple(self.records), complete=True)
 
-    def received(self, connection: Connection, message: Message) -> None:
+    def message_received(self, connection: Connection, message: Message) -> None:
         """Give out the configuration; keep reports of demand."""
         if isinstance(message, FetchConfiguration):
             self.asked.append(message)
@@ -77,7 +86,7 @@
         elif isinstance(message, DemandReport):
             self.messages.put_nowait(message)
 
-    def lost(self, connection: Connection) -> None:
+    def subscriber_lost(self, connection: Connection) -> None:
         """Nothing to do."""
 
     def send_next_configuration(self) -> None:
@@ -173,14 +182,14 @@
         self.assertEqual(503, await self.readiness())
         status, _ = await self.send(SAFE)
         self.assertEqual(503, status)
-        await self.start_worker(FakeWorker(answering()))
+        await self.start_worker(FakeWorker(responding()))
         await self.feed()
         self.assertEqual((200, b"answer"), await self.send(MUTATING))
 
     async def test_it_says_that_there_is_no_route_once_a_heartbeat_was_answered(self) -> None:
         """What a control machine tells unasked may have been on its way for any time."""
         self.control.answers_heartbeats = False
-        await self.start_worker(FakeWorker(answering()))
+        await self.start_worker(FakeWorker(responding()))
         await self.feed()
         status, _ = await self.send("/nowhere/")
         self.assertEqual(503, status)
@@ -210,7 +219,7 @@
 
     async def offer_unconfirmed(self) -> None:
         """Tell of a configuration that must not be served, and see that it is not."""
-        await self.start_worker(FakeWorker(answering()))
+        await self.start_worker(FakeWorker(responding()))
         self.control.source = json.dumps(CONFIGURATION).encode()
         self.control.server.broadcast(WorkerUpdates(tuple(self.control.records), complete=True))
         for _ in range(REFUSALS):
@@ -220,14 +229,14 @@
         self.assertEqual(503, await self.readiness())
 
     async def test_a_request_before_the_configuration_is_answered_when_it_is_there(self) -> None:
-        await self.start_worker(FakeWorker(answering()))
+        await self.start_worker(FakeWorker(responding()))
         sending = asyncio.create_task(self.send(MUTATING))
         await self.feed()
         self.assertEqual((200, b"answer"), await within(sending))
 
     async def test_headers_within_the_limit_are_served(self) -> None:
         """A long prompt is told in one header, which may take up most of `hdr-bytes`."""
-        worker = await self.start_worker(FakeWorker(answering()))
+        worker = await self.start_worker(FakeWorker(responding()))
         await self.feed()
         parts = ",".join(f"{number:08x}:16" for number in range(HEADER_LIMIT // 12))
         prefix = parts[: HEADER_LIMIT - HEADER_MARGIN].rpartition(",")[0]
@@ -235,7 +244,7 @@
         self.assertEqual(prefix, worker.requests[0].headers["x-prompt-prefix"])
 
     async def test_a_request_that_waits_for_weights_is_reported_at_once(self) -> None:
-        await self.start_worker(FakeWorker(answering()), MODEL_SERVICE)
+        await self.start_worker(FakeWorker(responding()), MODEL_SERVICE)
         await self.feed()
         sending = asyncio.create_task(self.send(MODELS, X_Model="small/a1", X_Time_Left="400"))
         report = await within(self.control.messages.get())
@@ -249,7 +258,7 @@
 
     async def test_what_is_under_way_at_sigterm_is_finished(self) -> None:
         release = asyncio.Event()
-        worker = await self.start_worker(FakeWorker(held_back(answering(), release)))
+        worker = await self.start_worker(FakeWorker(delayed_until(responding(), release)))
         await self.feed()
         sending = asyncio.create_task(self.send(MUTATING))
         await within(worker.request_came.wait())
@@ -268,7 +277,7 @@
         """Its wait could last beyond the time that the process has left after SIGTERM."""
         margin = self.settings.bounds.grace - SHORT_DRAIN
         self.enterContext(mock.patch.object(program, "CLOSING_MARGIN", margin))
-        await self.start_worker(FakeWorker(answering()), MODEL_SERVICE)
+        await self.start_worker(FakeWorker(responding()), MODEL_SERVICE)
         await self.feed()
         sending = asyncio.create_task(self.send(MODELS, X_Model="small/a1", X_Time_Left="60000"))
         await within(self.control.messages.get())
@@ -287,7 +296,7 @@
         await within(silence.abandoned.wait())
 
     async def test_the_configuration_stays_in_force_when_the_control_plane_is_lost(self) -> None:
-        await self.start_worker(FakeWorker(answering()))
+        await self.start_worker(FakeWorker(responding()))
         await self.feed()
         await self.control.server.stop()
         self.assertEqual((200, b"answer"), await self.send(SAFE))
@@ -321,9 +330,9 @@
         async def answer_late(exchange: Exchange) -> None:
             began.set()
             await release.wait()
-            await answering(b"late")(exchange)
+            await responding(b"late")(exchange)
 
-        worker = await self.start_worker(FakeWorker(answering(), answer_late, answering()))
+        worker = await self.start_worker(FakeWorker(responding(), answer_late, responding()))
         await self.feed()
         reader, writer = await self.open_connection()
         self.send_over(writer, "first")
--- a/tests/test_dataplane_proxy.py
+++ b/tests/test_dataplane_proxy.py
@@ -31,13 +31,13 @@
     Exchange,
     FakeWorker,
     Silence,
-    answering,
     break_off,
-    held_back,
-    refusing,
+    delayed_until,
+    rejecting,
+    responding,
+    response_bytes,
     seal_of,
     streaming,
-    whole_answer,
     within,
 )
 from tests.loop_lag import LoopLag
@@ -213,7 +213,7 @@
     async def send_past(self, behaviour: Behaviour, prefix: str, second: Behaviour) -> SecondChance:
         """Send a request that surely meets the first worker; the second one is known only after that."""
         release = asyncio.Event()
-        first_worker = await self.start_worker(held_back(behaviour, release))
+        first_worker = await self.start_worker(delayed_until(behaviour, release))
         sending = asyncio.create_task(self.send(prefix))
         await within(first_worker.request_came.wait())
         second_worker = await self.start_worker(second)
@@ -270,7 +270,7 @@
 
 class ForwardingTests(DispatcherCase):
     async def test_request_and_answer_pass_unchanged(self) -> None:
-        worker = await self.start_worker(answering(b"\x00\xffbytes", 201, X_Other="kept"))
+        worker = await self.start_worker(responding(b"\x00\xffbytes", 201, X_Other="kept"))
         target = f"{MUTATING}a%2Fb/../c?x=%20y&&z=1+2"
         answer = await self.send(target, method="PUT", body=b"\x00\xfe", X_Custom="passed")
         (request,) = worker.requests
@@ -286,7 +286,7 @@
     async def test_a_failure_of_the_worker_passes_unchanged(self) -> None:
         for status in (400, 404, 500, 504):
             with self.subTest(status=status):
-                worker = await self.start_worker(answering(b"failed", status))
+                worker = await self.start_worker(responding(b"failed", status))
                 answer = await self.send(MUTATING)
                 self.assertEqual((status, b"failed"), (answer.status, answer.body))
                 self.assertEqual(seal_of(worker.requests[0]), answer.headers["X-Seal"])
@@ -297,7 +297,7 @@
             for _ in range(3):
                 yield b"chunk"
 
-        worker = await self.start_worker(answering())
+        worker = await self.start_worker(responding())
         answer = await self.send(MUTATING, body=chunks())
         self.assertEqual(200, answer.status)
         self.assertEqual([b"chunk" * 3], [request.body for request in worker.requests])
@@ -315,7 +315,7 @@
     async def test_what_a_request_says_of_its_prompt_reaches_every_worker_unchanged(self) -> None:
         told = {"X-Model": "small/a1", "X-Tokens": "1460,80", "X-Prompt-Prefix": "5c1e07a2:800,91bd3f06:410"}
         for prefix in (SAFE, STREAM):
-            workers = await self.start_workers(TRIES, refusing(503))
+            workers = await self.start_workers(TRIES, rejecting(503))
             for worker in workers:
                 self.know(worker.record(SERVICE, models=(HeldModel("small", 1, frozenset({"a1"})),)))
             headers = {**self.headers(f"try-{prefix}"), **told}
@@ -330,14 +330,14 @@
                 self.dispatcher.router.worker_gone(worker.id)
 
     async def test_each_send_names_the_worker_it_is_for(self) -> None:
-        workers = await self.start_workers(2, refusing(503))
+        workers = await self.start_workers(2, rejecting(503))
         await self.send(MUTATING)
         for worker in workers:
             self.assertEqual([worker.id], [r.headers["x-want-instance"] for r in worker.requests])
 
     async def test_workers_are_told_the_rank_of_the_route(self) -> None:
         """The more urgent route comes first; on a worker with room a short prompt goes before all others."""
-        worker = await self.start_worker(answering())
+        worker = await self.start_worker(responding())
         self.configure({**CONFIGURATION, "routes": [route(f"/rank-{n}/", "safe", prio=n) for n in range(9)]})
         traffic = self.dispatcher.pool.get(worker.id)
         for busy in (False, True):  # what a worker told of its load counts for a while
@@ -355,7 +355,7 @@
                 self.assertEqual({1}, set(told))
 
     async def test_the_time_left_is_never_more_than_client_or_route_allow(self) -> None:
-        workers = await self.start_workers(TRIES, refusing(429))
+        workers = await self.start_workers(TRIES, rejecting(429))
         for told, most in (("800", 800), ("60000", TIMEOUT_MS)):
             request_id = f"try-{told}"
             await self.send(MUTATING, request_id, X_Time_Left=told)
@@ -372,7 +372,7 @@
             used = asyncio.Event()
             loop.call_later(USED_MS / 1000, used.set)
             await used.wait()
-            await refusing(503)(exchange)
+            await rejecting(503)(exchange)
 
         workers = await self.start_workers(2, use_time_and_refuse)
         began = loop.time()
@@ -408,27 +408,27 @@
 
 class RoutingTests(DispatcherCase):
     async def test_an_unknown_route_is_not_found(self) -> None:
-        worker = await self.start_worker(answering())
+        worker = await self.start_worker(responding())
         self.assertEqual(404, (await self.send("/nowhere/")).status)
         self.assertEqual(404, (await self.send(SAFE, Host="other.example")).status)
         self.assertEqual([], worker.requests)
 
     async def test_a_route_is_served_from_its_configuration_on(self) -> None:
-        await self.start_worker(answering())
+        await self.start_worker(responding())
         self.assertEqual(404, (await self.send("/later/")).status)
         routes = [*CONFIGURATION["routes"], route("/later/", "safe")]
         self.configure({**CONFIGURATION, "ver": 2, "routes": routes})
         self.assertEqual(200, (await self.send("/later/")).status)
 
     async def test_an_unknown_route_is_refused_by_a_dispatcher_that_is_behind(self) -> None:
-        worker = await self.start_worker(answering())
+        worker = await self.start_worker(responding())
         self.dispatcher.level = False
         with mock.patch.object(route_matching, "ROUTE_PATIENCE", SHORT_PATIENCE):
             self.assert_refused_early(await self.send("/nowhere/"))
         self.assertEqual([], worker.requests)
 
     async def test_a_request_waits_for_the_configuration_that_has_its_route(self) -> None:
-        await self.start_worker(answering())
+        await self.start_worker(responding())
         self.dispatcher.level = False
         sending = asyncio.create_task(self.send("/later/"))
         await within(self.dispatcher.asked_for_level.wait())
@@ -441,7 +441,7 @@
             for _ in range(BODY_LIMIT // 1024 + 1):
                 yield bytes(1024)
 
-        worker = await self.start_worker(answering())
+        worker = await self.start_worker(responding())
         self.assertEqual(413, (await self.send(MUTATING, body=bytes(BODY_LIMIT + 1))).status)
         self.assertEqual(413, (await self.send(MUTATING, body=chunks())).status)
         self.assertEqual([], worker.requests)
@@ -458,30 +458,30 @@
         self.assert_refused_early(await self.send(MUTATING))
 
     async def test_a_draining_worker_gets_nothing(self) -> None:
-        leaving = await self.start_worker(answering(), known=False)
+        leaving = await self.start_worker(responding(), known=False)
         self.know(leaving.record(SERVICE, draining=True))
         self.assert_refused_early(await self.send(SAFE))
-        staying = await self.start_worker(answering())
+        staying = await self.start_worker(responding())
         for number in range(20):
             self.assertEqual(200, (await self.send(SAFE, f"try-{number}")).status)
         self.assertEqual((0, 20), (len(leaving.requests), len(staying.requests)))
 
     async def test_a_worker_that_begins_to_drain_gets_nothing_more(self) -> None:
-        worker = await self.start_worker(answering())
+        worker = await self.start_worker(responding())
         self.assertEqual(200, (await self.send(SAFE, "before")).status)
         self.know(worker.record(SERVICE, draining=True))
         self.assert_refused_early(await self.send(SAFE, "after"))
         self.assertEqual([], worker.requests_of("after"))
 
     async def test_a_worker_that_is_gone_gets_nothing_more(self) -> None:
-        worker = await self.start_worker(answering())
+        worker = await self.start_worker(responding())
         self.dispatcher.router.worker_gone(worker.id)
         self.assert_refused_early(await self.send(SAFE))
         self.assertEqual([], worker.requests)
 
     async def test_a_split_route_sends_one_request_to_one_service_only(self) -> None:
-        first = await self.start_worker(refusing(503))
-        second = await self.start_worker(refusing(503), known=False)
+        first = await self.start_worker(rejecting(503))
+        second = await self.start_worker(rejecting(503), known=False)
         self.know(second.record(OTHER_SERVICE))
         for number in range(12):
             await self.send(SPLIT, f"try-{number}")
@@ -490,7 +490,7 @@
         self.assertEqual(set(), ids[0] & ids[1])
 
     async def test_a_request_without_an_id_runs_nowhere(self) -> None:
-        worker = await self.start_worker(answering())
+        worker = await self.start_worker(responding())
         answer = await self.send(SAFE, request_id="")
         self.assertGreaterEqual(answer.status, 400)
         self.assertEqual([], worker.requests)
@@ -499,7 +499,7 @@
 class WeightsTests(DispatcherCase):
     async def start_holder(self, *models: HeldModel) -> FakeWorker:
         """A worker of the service with models."""
-        worker = await self.start_worker(answering(), known=False)
+        worker = await self.start_worker(responding(), known=False)
         self.know(worker.record(MODEL_SERVICE, models=models))
         return worker
 
@@ -524,7 +524,7 @@
         self.assertEqual(200, (await sending).status)
 
     async def test_a_request_that_waits_for_weights_follows_a_change_of_its_route(self) -> None:
-        plain = await self.start_worker(answering(), known=False)
+        plain = await self.start_worker(responding(), known=False)
         self.know(plain.record(SERVICE, models=(HeldModel("small", 1, frozenset()),)))
         holder = await self.start_holder()
         sending = asyncio.create_task(self.send(MODELS, X_Model="small"))
@@ -577,7 +577,7 @@
         for status in (503, 429, 421):
             for prefix in (SAFE, MUTATING, STREAM):
                 with self.subTest(status=status, prefix=prefix):
-                    outcome = await self.send_past(refusing(status), prefix, answering())
+                    outcome = await self.send_past(rejecting(status), prefix, responding())
                     self.assertEqual((200, b"answer"), (outcome.answer.status, outcome.answer.body))
                     self.assertEqual((1, 1), (len(outcome.first.requests), len(outcome.second.requests)))
                     wanted = outcome.second.requests[0].headers["x-want-instance"]
@@ -585,22 +585,22 @@
 
     async def test_a_rejected_request_was_sent_all_the_same(self) -> None:
         """`tries` is the largest number of workers to which one try may be sent, whatever they say."""
-        workers = await self.start_workers(3, refusing(503))
+        workers = await self.start_workers(3, rejecting(503))
         self.assert_refused_early(await self.send(ONCE))
         self.assertEqual(1, count_requests(workers))
 
     async def test_no_more_workers_are_tried_than_the_route_allows(self) -> None:
-        workers = await self.start_workers(TRIES + 2, refusing(503))
+        workers = await self.start_workers(TRIES + 2, rejecting(503))
         self.assert_refused_early(await self.send(MUTATING))
         self.assertEqual(TRIES, count_requests(workers))
 
     async def test_one_worker_is_not_tried_twice(self) -> None:
-        worker = await self.start_worker(refusing(503))
+        worker = await self.start_worker(rejecting(503))
         self.assert_refused_early(await self.send(MUTATING))
         self.assertEqual(1, len(worker.requests))
 
     async def test_a_safe_request_is_repeated_after_a_break(self) -> None:
-        outcome = await self.send_past(break_off, SAFE, answering())
+        outcome = await self.send_past(break_off, SAFE, responding())
         self.assertEqual((200, b"answer"), (outcome.answer.status, outcome.answer.body))
         self.assertEqual((1, 1), (len(outcome.first.requests), len(outcome.second.requests)))
 
@@ -622,7 +622,7 @@
     async def test_an_unrepeatable_request_is_never_sent_again_on_a_kept_connection(self) -> None:
         for method in ("GET", "PUT", "DELETE", "POST"):
             with self.subTest(method=method):
-                worker = await self.start_worker(answering(), break_off)
+                worker = await self.start_worker(responding(), break_off)
                 self.assertEqual(200, (await self.send(MUTATING, "first", method=method)).status)
                 self.assert_no_promise(await self.send(MUTATING, "second", method=method))
                 self.assertEqual(1, len(worker.requests_of("second")))
@@ -634,7 +634,7 @@
                 continue
             for prefix in (MUTATING, STREAM):
                 with self.subTest(status=status, prefix=prefix):
-                    workers = await self.start_workers(2, answering(b"busy", status))
+                    workers = await self.start_workers(2, responding(b"busy", status))
                     answer = await self.send(prefix)
                     self.assert_no_promise(answer)
                     self.assertNotIn("X-Seal", answer.headers)
@@ -643,16 +643,16 @@
                         self.dispatcher.router.worker_gone(worker.id)
 
     async def test_a_worker_that_cannot_be_reached_costs_no_try(self) -> None:
-        ended = await self.start_worker(answering(), known=False)
+        ended = await self.start_worker(responding(), known=False)
         self.know(ended.record(SERVICE))
         await ended.stop()
-        serving = await self.start_worker(answering())
+        serving = await self.start_worker(responding())
         for number in range(8):
             self.assertEqual(200, (await self.send(MUTATING, f"try-{number}")).status)
         self.assertEqual(8, len(serving.requests))
 
     async def test_where_no_worker_can_be_reached_the_request_is_refused(self) -> None:
-        ended = await self.start_worker(answering())
+        ended = await self.start_worker(responding())
         await ended.stop()
         self.assert_refused_early(await self.send(MUTATING))
 
@@ -661,7 +661,7 @@
     budget = NO_BUDGET
 
     async def test_without_budget_no_second_worker_is_tried(self) -> None:
-        workers = await self.start_workers(3, refusing(503))
+        workers = await self.start_workers(3, rejecting(503))
         self.assert_refused_early(await self.send(MUTATING))
         self.assertEqual(1, count_requests(workers))
 
@@ -677,38 +677,40 @@
     async def assert_never_passed(self, behaviour: Behaviour) -> None:
         """An unrepeatable request fails without a promise, a safe one is answered by another worker."""
         for prefix in (MUTATING, STREAM):
-            outcome = await self.send_past(behaviour, prefix, answering(b"sound"))
+            outcome = await self.send_past(behaviour, prefix, responding(b"sound"))
             self.assert_no_promise(outcome.answer)
             self.assertNotIn("X-Seal", outcome.answer.headers)
             self.assertEqual((1, 0), (len(outcome.first.requests), len(outcome.second.requests)))
-        outcome = await self.send_past(behaviour, SAFE, answering(b"sound"))
+        outcome = await self.send_past(behaviour, SAFE, responding(b"sound"))
         self.assertEqual((200, b"sound"), (outcome.answer.status, outcome.answer.body))
         self.assertEqual((1, 1), (len(outcome.first.requests), len(outcome.second.requests)))
 
     async def test_an_answer_to_another_request(self) -> None:
-        await self.assert_never_passed(answering(b"other", X_Try_Id="another"))
+        await self.assert_never_passed(responding(b"other", X_Try_Id="another"))
 
     async def test_an_answer_without_an_id(self) -> None:
-        await self.assert_never_passed(answering(b"other", X_Try_Id=None))
+        await self.assert_never_passed(responding(b"other", X_Try_Id=None))
 
     async def test_a_failure_that_answers_another_request(self) -> None:
-        await self.assert_never_passed(answering(b"other", 500, X_Try_Id="another"))
+        await self.assert_never_passed(responding(b"other", 500, X_Try_Id="another"))
 
     async def test_a_rejection_of_another_request(self) -> None:
-        await self.assert_never_passed(answering(b"", 503, X_Try_Id="another", X_Not_Run="1", X_Seal=None))
+        await self.assert_never_passed(responding(b"", 503, X_Try_Id="another", X_Not_Run="1", X_Seal=None))
 
     async def test_a_success_without_a_seal(self) -> None:
-        await self.assert_never_passed(answering(X_Seal=None))
+        await self.assert_never_passed(responding(X_Seal=None))
 
     async def test_a_stream_without_a_seal(self) -> None:
-        await self.assert_never_passed(answering(b"id: 1\n\n", X_Seal=None, Content_Type="text/event-stream"))
+        await self.assert_never_passed(
+            responding(b"id: 1\n\n", X_Seal=None, Content_Type="text/event-stream")
+        )
 
     async def test_an_encoded_body(self) -> None:
-        await self.assert_never_passed(answering(b"\x1f\x8b", Content_Encoding="gzip"))
+        await self.assert_never_passed(responding(b"\x1f\x8b", Content_Encoding="gzip"))
 
     async def test_a_body_that_is_cut_short(self) -> None:
         async def cut(exchange: Exchange) -> None:
-            exchange.write(whole_answer(exchange.request, b"half", Content_Length="8"))
+            exchange.write(response_bytes(exchange.request, b"half", Content_Length="8"))
             await exchange.break_off()
 
         await self.assert_never_passed(cut)
@@ -724,20 +726,20 @@
 
     async def test_a_body_without_a_length_that_is_reset(self) -> None:
         async def cut(exchange: Exchange) -> None:
-            exchange.write(whole_answer(exchange.request, b"half", Content_Length=None))
+            exchange.write(response_bytes(exchange.request, b"half", Content_Length=None))
             await exchange.reset()
 
         await self.assert_never_passed(cut)
 
     async def test_an_answer_that_switches_protocols(self) -> None:
-        await self.assert_never_passed(answering(b"", 101, Connection="upgrade", Upgrade="other"))
+        await self.assert_never_passed(responding(b"", 101, Connection="upgrade", Upgrade="other"))
 
     async def test_a_surplus_head_that_the_true_answer_continues(self) -> None:
         async def join_heads(exchange: Exchange) -> None:
-            exchange.write(b"HTTP/1.1 200 O" + whole_answer(exchange.request, b"failed", 500))
+            exchange.write(b"HTTP/1.1 200 O" + response_bytes(exchange.request, b"failed", 500))
 
         async def join_at_a_value(exchange: Exchange) -> None:
-            exchange.write(b"HTTP/1.1 200 OK\r\nX-Other: " + whole_answer(exchange.request, b"failed", 500))
+            exchange.write(b"HTTP/1.1 200 OK\r\nX-Other: " + response_bytes(exchange.request, b"failed", 500))
 
         await self.assert_never_passed(join_heads)
         await self.assert_never_passed(join_at_a_value)
@@ -773,12 +775,12 @@
     @staticmethod
     async def answer_own(exchange: Exchange) -> None:
         """The right answer."""
-        exchange.write(whole_answer(exchange.request, f"for {exchange.request.id}".encode()))
+        exchange.write(response_bytes(exchange.request, f"for {exchange.request.id}".encode()))
 
     async def test_a_surplus_answer_at_once(self) -> None:
         async def answer_twice(exchange: Exchange) -> None:
             await self.answer_own(exchange)
-            exchange.write(whole_answer(exchange.request, b"surplus", X_Try_Id="surplus"))
+            exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="surplus"))
 
         worker = await self.start_worker(answer_twice, self.answer_own)
         answer = await self.send(MUTATING, "first")
@@ -788,7 +790,7 @@
 
     async def test_a_surplus_answer_in_the_place_of_the_next(self) -> None:
         async def answer_late_surplus_first(exchange: Exchange) -> None:
-            exchange.write(whole_answer(exchange.request, b"surplus", X_Try_Id="first"))
+            exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="first"))
             await self.answer_own(exchange)
 
         worker = await self.start_worker(self.answer_own, answer_late_surplus_first, self.answer_own)
@@ -801,7 +803,7 @@
         left = asyncio.Event()
 
         async def answer_another(exchange: Exchange) -> None:
-            exchange.write(whole_answer(exchange.request, b"surplus", X_Try_Id="another"))
+            exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="another"))
             await exchange.caller_closed()
             left.set()
             raise ConnectionResetError
@@ -844,7 +846,7 @@
     async def test_every_request_after_surplus_gets_its_own_answer_when_safe(self) -> None:
         async def answer_twice(exchange: Exchange) -> None:
             await self.answer_own(exchange)
-            exchange.write(whole_answer(exchange.request, b"surplus", X_Try_Id="surplus"))
+            exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="surplus"))
 
         await self.start_workers(TRIES, answer_twice)
         for number in range(10):
@@ -873,10 +875,10 @@
         """Send a request whose worker answers after many looks; nobody else gets it."""
         self.looks = 0
         self.looked_often.clear()
-        worker = await self.start_worker(held_back(answering(b"late"), self.looked_often))
+        worker = await self.start_worker(delayed_until(responding(b"late"), self.looked_often))
         sending = asyncio.create_task(self.send(prefix))
         await within(worker.request_came.wait())
-        others = await self.start_workers(spares, answering(b"other"))
+        others = await self.start_workers(spares, responding(b"other"))
         answer = await sending
         self.assertEqual((200, b"late"), (answer.status, answer.body))
         self.assertEqual(0, count_requests(others))
@@ -896,7 +898,7 @@
     async def test_what_may_be_repeated_goes_to_another_worker(self) -> None:
         for prefix in (SAFE, RESUMED):
             with self.subTest(prefix=prefix):
-                outcome = await self.send_past(Silence(), prefix, answering(b"other"))
+                outcome = await self.send_past(Silence(), prefix, responding(b"other"))
                 self.assertEqual((200, b"other"), (outcome.answer.status, outcome.answer.body))
                 self.assertEqual(1, len(outcome.second.requests))
 
@@ -949,9 +951,9 @@
             await exchange.break_off()
 
         behaviours = [
-            answering(),
-            answering(b"failed", 500),
-            refusing(503),
+            responding(),
+            responding(b"failed", 500),
+            rejecting(503),
             break_off,
             babble,
             Exchange.reset,
@@ -980,7 +982,7 @@
 
 class DrainingDispatcherTests(DispatcherCase):
     async def test_a_dispatcher_that_drains_still_answers_and_closes_the_connection(self) -> None:
-        await self.start_worker(answering())
+        await self.start_worker(responding())
         self.dispatcher.proxy.drain(asyncio.get_running_loop().time() + 2 * TIMEOUT_MS / 1000)
         answer = await self.send(MUTATING)
         self.assertEqual((200, "close"), (answer.status, answer.headers["Connection"].lower()))
--- a/tests/test_dataplane_streams.py
+++ b/tests/test_dataplane_streams.py
@@ -16,12 +16,12 @@
     Exchange,
     FakeWorker,
     Silence,
-    answering,
     begin_stream,
     break_off,
+    delayed_until,
     event,
-    held_back,
-    refusing,
+    rejecting,
+    responding,
     seal_of,
     streaming,
     streaming_unframed_until_reset,
@@ -69,7 +69,7 @@
     ) -> tuple[ReceivedStream, FakeWorker, list[FakeWorker]]:
         """A stream that surely begins at the first worker; the others are there when it breaks."""
         release = asyncio.Event()
-        first_worker = await self.start_worker(held_back(first, release))
+        first_worker = await self.start_worker(delayed_until(first, release))
         reading = asyncio.create_task(self.read_stream(prefix))
         await within(first_worker.request_came.wait())
         others = [await self.start_worker(behaviour) for behaviour in further]
@@ -195,9 +195,9 @@
     async def test_a_stream_may_break_twice(self) -> None:
         first = streaming_until_broken([1])
         release = asyncio.Event()
-        second = held_back(streaming_until_broken([2]), release)
+        second = delayed_until(streaming_until_broken([2]), release)
         first_release = asyncio.Event()
-        first_worker = await self.start_worker(held_back(first, first_release))
+        first_worker = await self.start_worker(delayed_until(first, first_release))
         reading = asyncio.create_task(self.read_stream(RESUMED))
         await within(first_worker.request_came.wait())
         second_worker = await self.start_worker(second)
@@ -211,7 +211,7 @@
 
     async def test_a_client_that_resumed_itself_is_taken_on_from_its_newest_event(self) -> None:
         release = asyncio.Event()
-        first = await self.start_worker(held_back(streaming_until_broken([13]), release))
+        first = await self.start_worker(delayed_until(streaming_until_broken([13]), release))
         reading = asyncio.create_task(self.read_stream(RESUMED, Last_Event_Id="12"))
         await within(first.request_came.wait())
         second = await self.start_worker(streaming([14]))
@@ -225,7 +225,7 @@
 
     async def test_a_rejection_while_resuming_is_not_the_end(self) -> None:
         stream, _, others = await self.read_past(
-            streaming_until_broken([1]), refusing(503), refusing(503), streaming([2])
+            streaming_until_broken([1]), rejecting(503), rejecting(503), streaming([2])
         )
         if others[2].requests:
             self.assertEqual((True, events(1, 2)), (stream.complete, stream.body))
@@ -240,7 +240,7 @@
         self.assertEqual(TRIES, 1 + sum(len(worker.requests) for worker in others))
 
     async def test_an_answer_that_is_no_stream_is_not_joined_to_a_stream(self) -> None:
-        answers = (answering(b"failed", 500), answering(b"whole"), answering(b"late", 504))
+        answers = (responding(b"failed", 500), responding(b"whole"), responding(b"late", 504))
         for number, answer in enumerate(answers):
             with self.subTest(answer=number):
                 stream, first, (second,) = await self.read_past(streaming_until_broken([1, 2]), answer)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,7 +9,7 @@
 import pytest
 
 from rookwood.duties import explore, lease
-from rookwood.duties.explore import MUTANTS, Bounds, BrokenError, Explorer, Machine
+from rookwood.duties.explore import MUTANTS, Bounds, Explorer, InvariantError, Machine
 from rookwood.duties.lease import Ask, Claim, Gate, Rule, Token, Vote, Voter
 
 ZERO = datetime(2026, 1, 1, tzinfo=UTC)
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("name", sorted(MUTANTS.keys() - SLOW))
 def test_broken_variant_is_caught(name: str) -> None:
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         Explorer(MUTANTS[name].machine, MUTANTS[name].bounds).explore()
 
 
--- a/tests/test_fresh_backup.py
+++ b/tests/test_fresh_backup.py
@@ -49,7 +49,7 @@
         told = harness.replicas[C].snapshot()
         self.assertEqual(before.sequence + 1, newest.sequence)
         self.assertFalse(
-            role.fresh and Position(told.epoch, told.sequence) < Position(newest.epoch, newest.sequence),
+            role.is_fresh and Position(told.epoch, told.sequence) < Position(newest.epoch, newest.sequence),
             f"fresh with {told.sequence}, {newest.sequence} is committed, and it was told so by heartbeats",
         )
 
--- a/tests/test_fresh_claims.py
+++ b/tests/test_fresh_claims.py
@@ -37,14 +37,14 @@
         self.harness.receive(ip, A, Heartbeat(epoch, 99, committed, committed))
 
     def test_a_backup_is_fresh_while_it_hears_an_established_primary(self) -> None:
-        self.assertTrue(self.role_of(C).fresh)
+        self.assertTrue(self.role_of(C).is_fresh)
 
     def test_nobody_is_fresh_by_a_primary_that_has_committed_nothing_yet(self) -> None:
         """What its predecessors committed may be missing here, and it cannot tell before its first commit."""
         self.hear(C, epoch=50, committed=Position())
         role = self.role_of(C)
-        self.assertTrue(role.in_touch)
-        self.assertFalse(role.fresh)
+        self.assertTrue(role.in_contact)
+        self.assertFalse(role.is_fresh)
 
     def test_what_waited_while_the_process_stood_still_makes_nobody_fresh(self) -> None:
         """Heartbeats wait in the kernel meanwhile; the first ones that are read may be seconds old."""
@@ -52,11 +52,11 @@
         committed = self.harness.replicas[C].record().document.position
         self.harness.now += 4.0
         self.hear(C, epoch, committed)
-        self.assertFalse(self.role_of(C).fresh)
+        self.assertFalse(self.role_of(C).is_fresh)
         for _ in range(6):
             self.harness.now += LEASE / 5
             self.hear(C, epoch, committed)
-        self.assertTrue(self.role_of(C).fresh, "heartbeats have gone on to come since it woke")
+        self.assertTrue(self.role_of(C).is_fresh, "heartbeats have gone on to come since it woke")
 
     def test_claims_of_simulated_machines_hold(self) -> None:
         for plan in (FREEZES, GROWING):
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -13,7 +13,7 @@
 
 from rookwood import interface as api
 from rookwood.gateway.advice import HELD_FOR, TOLD_FOR, Far, Near
-from rookwood.gateway.explore import MUTANTS, BrokenError, explore, joint
+from rookwood.gateway.explore import MUTANTS, InvariantError, explore, joint
 from rookwood.gateway.frames import (
     Ack,
     Frame,
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_broken_variant_is_caught(name: str) -> None:
-    with pytest.raises(BrokenError) as caught:
+    with pytest.raises(InvariantError) as caught:
         explore(MUTANTS[name])
     assert len(caught.value.trace) >= 4  # by a story of several steps, not by a slip of the model
 
--- a/tests/test_httpclient_answers.py
+++ b/tests/test_httpclient_answers.py
@@ -25,8 +25,8 @@
     Behaviour,
     Exchange,
     FakeWorker,
+    delayed_until,
     event,
-    held_back,
     within,
 )
 
@@ -189,7 +189,7 @@
 
         async def send_and_stay(exchange: Exchange) -> None:
             exchange.write(answer.whole)
-            await held_back(ending_after(b"", Ending.CLOSE), ended)(exchange)
+            await delayed_until(ending_after(b"", Ending.CLOSE), ended)(exchange)
 
         stream = await self.open_stream(send_and_stay)
         self.assertEqual(STREAM_BODY, await within(stream.answer.read_some()))
--- a/tests/test_httpclient_library.py
+++ b/tests/test_httpclient_library.py
@@ -12,7 +12,7 @@
 from rookwood.httpclient.client import HttpClient, Response
 from rookwood.httpclient.connections import AnswerConnector, ResponseProtocol
 from rookwood.httpclient.outcomes import ResponseLost
-from tests.fake_worker import Exchange, FakeWorker, answering, break_off, whole_answer, within
+from tests.fake_worker import Exchange, FakeWorker, break_off, responding, response_bytes, within
 
 PARAMETERS = {
     "feed_data": ["self", "data", "size"],
@@ -27,7 +27,7 @@
 
 async def reset_in_body(exchange: Exchange) -> None:
     """Send half of a body without a length, then reset the connection."""
-    exchange.write(whole_answer(exchange.request, b"half", Content_Length=None))
+    exchange.write(response_bytes(exchange.request, b"half", Content_Length=None))
     await exchange.reset()
 
 
@@ -72,7 +72,7 @@
         self.assertIsInstance(inspect.getattr_static(ResponseHandler, "writing_paused"), property)
 
     async def test_connections_use_the_protocol_of_our_own(self) -> None:
-        worker = await self.start_worker(FakeWorker(answering()))
+        worker = await self.start_worker(FakeWorker(responding()))
         connector = AnswerConnector(limit=1, keepalive_timeout=1.0)
         async with (
             aiohttp.ClientSession(connector=connector) as session,
@@ -93,10 +93,10 @@
         self.assertIsInstance(await self.read(worker), ResponseLost)
 
     async def test_the_library_repeats_a_request_whose_kept_connection_breaks(self) -> None:
-        worker = await self.start_worker(FakeWorker(answering(b"1"), break_off, answering(b"2")))
+        worker = await self.start_worker(FakeWorker(responding(b"1"), break_off, responding(b"2")))
         self.assertEqual([b"1", b"2"], [await self.read_plain(worker) for _ in range(2)])
         self.assertEqual(3, len(worker.requests))
-        worker = await self.start_worker(FakeWorker(answering(b"1"), break_off, answering(b"2")))
+        worker = await self.start_worker(FakeWorker(responding(b"1"), break_off, responding(b"2")))
         self.assertEqual(b"1", await self.read(worker))
         self.assertIsInstance(await self.read(worker), ResponseLost)
         self.assertEqual(2, len(worker.requests))
--- a/tests/test_linearizability_mutants.py
+++ b/tests/test_linearizability_mutants.py
@@ -7,7 +7,7 @@
 
 from rookwood.clusterconfig import history
 from rookwood.clusterconfig.control_document import ControlDocument
-from rookwood.clusterconfig.history import Accepted, Change, Decision, TakenChange
+from rookwood.clusterconfig.history import Accepted, AcceptedChange, Change, Decision
 from rookwood.lab.controlsimulation import LinearizabilityError, Plan, Simulation
 from rookwood.lab.controlsimulation.checks import Checks
 from tests.test_replication_mutants import (
@@ -28,17 +28,17 @@
     original = history.decide
 
     def decide(document: ControlDocument, change: Change) -> Decision:
-        taken = document.find_taken(change.digest())
+        taken = document.find_accepted(change.digest())
         if taken is None:
             return original(document, change)
         version = document.version + 1
-        return Accepted(document.with_change(TakenChange(taken.digest, version), change.body), version)
+        return Accepted(document.with_change(AcceptedChange(taken.digest, version), change.body), version)
 
     return patch.object(history, "decide", decide)
 
 
 def change_sent_again_refused_though_taken() -> Patch:
-    return patch.object(ControlDocument, "find_taken", lambda self, digest: None)
+    return patch.object(ControlDocument, "find_accepted", lambda self, digest: None)
 
 
 @contextmanager
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -83,7 +83,7 @@
         demand = {WeightsKey("m"): Demand(9.0, 0, 0.0, 9.0), self.KEY: Demand(3.0, 0, 0.0, 1.0)}
         planner.plan(0.0, [], {}, {})
         planned = planner.plan(2.0, self.workers(), demand, {})
-        return [order.key for order in planned if order.place]
+        return [order.key for order in planned if order.is_load]
 
     @staticmethod
     def workers() -> list[WorkerWeights]:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -19,7 +19,7 @@
 from rookwood.cluster.messages import Heartbeat
 from rookwood.cluster.metrics import configuration_families, invariant_families, traffic_families
 from rookwood.cluster.position import NO_CONFIGURATION, ConfigurationPosition
-from rookwood.cluster.primary_witness import PrimaryWitness
+from rookwood.cluster.primary_witness import SinglePrimaryCheck
 from rookwood.cluster.progress import (
     REMEMBERED_COMMITS,
     ConfigurationProgress,
@@ -176,11 +176,11 @@
         return lag
 
     def test_a_dispatcher_is_late_only_once_it_has_been_linked_for_the_limit(self) -> None:
-        self.progress.committed(FIRST)
+        self.progress.record_commit(FIRST)
         for _ in range(5):
             self.clock.now += 1.0
             self.progress.check(LIMIT)
-        self.progress.reported("e-1", NO_CONFIGURATION)
+        self.progress.record_report("e-1", NO_CONFIGURATION)
         for _ in range(2):
             self.pass_time(1.0)
         self.assertEqual(self.invariants.total, 0)
@@ -190,14 +190,14 @@
     def pass_time(self, seconds: float, stalled: float = 0.0) -> None:
         """Let time pass; the dispatcher sends a heartbeat from the position that it always had."""
         self.clock.now += seconds
-        self.progress.reported("e-1", NO_CONFIGURATION, stalled)
+        self.progress.record_report("e-1", NO_CONFIGURATION, stalled)
         self.progress.check(LIMIT)
 
     def link_and_commit(self) -> None:
         """A dispatcher that has been linked for long lacks a commit from now on."""
         for _ in range(5):
             self.pass_time(1.0)
-        self.progress.committed(FIRST)
+        self.progress.record_commit(FIRST)
 
     def test_time_in_which_a_dispatcher_stood_still_is_not_its_own(self) -> None:
         """The soak saw 2.1 s beside load: the process had got no processor for parts of them."""
@@ -218,7 +218,7 @@
     def test_a_stall_before_the_commit_excuses_nothing(self) -> None:
         for _ in range(5):
             self.pass_time(1.0, stalled=9.0)
-        self.progress.committed(FIRST)
+        self.progress.record_commit(FIRST)
         self.pass_time(1.0, stalled=9.0)
         self.pass_time(1.1, stalled=9.0)
         self.assertEqual(self.invariants.counts[Invariant.DISPATCHERS_IN_TIME], 1)
@@ -243,65 +243,65 @@
         self.assertEqual(self.invariants.total, 0)
 
     def test_behind_is_the_age_of_the_oldest_commit_not_reported(self) -> None:
-        self.progress.committed(FIRST)
-        self.progress.reported("e-1", FIRST)
-        self.progress.committed(SECOND)
+        self.progress.record_commit(FIRST)
+        self.progress.record_report("e-1", FIRST)
+        self.progress.record_commit(SECOND)
         self.clock.now += 1.0
-        self.progress.committed(THIRD)
+        self.progress.record_commit(THIRD)
         self.clock.now += 1.0
-        self.assertEqual(self.lag().behind, 2.0)
-        self.progress.reported("e-1", SECOND)
-        self.assertEqual(self.lag(), DispatcherLag("e-1", SECOND, behind=1.0, take_up=2.0))
-        self.progress.reported("e-1", THIRD)
-        self.assertEqual(self.lag(), DispatcherLag("e-1", THIRD, behind=0.0, take_up=1.0))
+        self.assertEqual(self.lag().behind_seconds, 2.0)
+        self.progress.record_report("e-1", SECOND)
+        self.assertEqual(self.lag(), DispatcherLag("e-1", SECOND, behind_seconds=1.0, take_up_seconds=2.0))
+        self.progress.record_report("e-1", THIRD)
+        self.assertEqual(self.lag(), DispatcherLag("e-1", THIRD, behind_seconds=0.0, take_up_seconds=1.0))
 
     def test_repeated_reports_keep_the_first_take_up(self) -> None:
-        self.progress.committed(FIRST)
-        self.progress.reported("e-1", FIRST)
-        self.progress.committed(SECOND)
+        self.progress.record_commit(FIRST)
+        self.progress.record_report("e-1", FIRST)
+        self.progress.record_commit(SECOND)
         self.clock.now += 1.0
-        self.progress.reported("e-1", SECOND)
+        self.progress.record_report("e-1", SECOND)
         self.clock.now += 9.0
-        self.progress.reported("e-1", SECOND)
-        self.assertEqual(self.lag().take_up, 1.0)
+        self.progress.record_report("e-1", SECOND)
+        self.assertEqual(self.lag().take_up_seconds, 1.0)
 
     def test_first_report_over_a_link_tells_no_take_up(self) -> None:
-        self.progress.committed(FIRST)
+        self.progress.record_commit(FIRST)
         self.clock.now += 60.0
-        self.progress.reported("e-1", FIRST)
-        self.assertIsNone(self.lag().take_up)
+        self.progress.record_report("e-1", FIRST)
+        self.assertIsNone(self.lag().take_up_seconds)
 
     def test_lost_dispatcher_is_not_told(self) -> None:
-        self.progress.reported("e-1", FIRST)
-        self.progress.lost("e-1")
-        self.progress.lost("e-1")
+        self.progress.record_report("e-1", FIRST)
+        self.progress.remove_dispatcher("e-1")
+        self.progress.remove_dispatcher("e-1")
         self.assertEqual(list(self.progress.lags()), [])
 
     def test_a_dispatcher_ahead_of_this_machine_is_level(self) -> None:
-        self.progress.committed(FIRST)
-        self.progress.reported("e-1", THIRD)
-        self.assertEqual(self.lag().behind, 0.0)
+        self.progress.record_commit(FIRST)
+        self.progress.record_report("e-1", THIRD)
+        self.assertEqual(self.lag().behind_seconds, 0.0)
 
     def test_the_farthest_behind_lacks_the_oldest_commit(self) -> None:
         self.assertIsNone(self.progress.farthest_behind())
         for position in (FIRST, SECOND, THIRD):
-            self.progress.committed(position)
+            self.progress.record_commit(position)
             self.clock.now += 1.0
-        self.progress.reported("e-1", THIRD)
+        self.progress.record_report("e-1", THIRD)
         self.assertIsNone(self.progress.farthest_behind(), "level")
-        self.progress.reported("e-2", SECOND)
-        self.progress.reported("e-4", FIRST)
-        self.progress.reported("e-3", FIRST)
+        self.progress.record_report("e-2", SECOND)
+        self.progress.record_report("e-4", FIRST)
+        self.progress.record_report("e-3", FIRST)
         self.assertEqual(self.progress.farthest_behind(), DispatcherLag("e-3", FIRST, 2.0, None))
-        self.progress.reported("e-5", NO_CONFIGURATION)
+        self.progress.record_report("e-5", NO_CONFIGURATION)
         self.assertEqual(self.progress.farthest_behind(), DispatcherLag("e-5", NO_CONFIGURATION, 3.0, None))
 
     def test_commits_are_bounded(self) -> None:
         for sequence in range(REMEMBERED_COMMITS + 10):
-            self.progress.committed(ConfigurationPosition(1, sequence))
+            self.progress.record_commit(ConfigurationPosition(1, sequence))
             self.clock.now += 1.0
-        self.progress.reported("e-1", ConfigurationPosition(1, 0))
-        self.assertEqual(self.lag().behind, REMEMBERED_COMMITS)
+        self.progress.record_report("e-1", ConfigurationPosition(1, 0))
+        self.assertEqual(self.lag().behind_seconds, REMEMBERED_COMMITS)
 
     def test_families_name_the_dispatcher(self) -> None:
         lags = [DispatcherLag("e-1", SECOND, 1.5, None), DispatcherLag("e-2", THIRD, 0.0, 0.25)]
@@ -353,14 +353,14 @@
         self.assertEqual(self.invariants.counts[Invariant.POSITION_MONOTONIC], 1)
 
     def test_two_primaries_of_one_epoch(self) -> None:
-        witness = PrimaryWitness(self.invariants)
-        witness.claimed(3, "10.0.0.1")
-        witness.claimed(3, "10.0.0.1")
-        witness.claimed(4, "10.0.0.2")
-        witness.claimed(3, "10.0.0.1")
+        witness = SinglePrimaryCheck(self.invariants)
+        witness.record_claim(3, "10.0.0.1")
+        witness.record_claim(3, "10.0.0.1")
+        witness.record_claim(4, "10.0.0.2")
+        witness.record_claim(3, "10.0.0.1")
         self.assertEqual(self.invariants.total, 0, "the old primary has not heard of the new one yet")
         with self.assertLogs("rookwood", logging.ERROR):
-            witness.claimed(4, "10.0.0.3")
+            witness.record_claim(4, "10.0.0.3")
         self.assertEqual(self.invariants.counts[Invariant.ONE_PRIMARY_PER_EPOCH], 1)
 
 
@@ -368,12 +368,12 @@
     def test_a_question_to_several_members_counts_once(self) -> None:
         activity = GroupActivity()
         for _ in range(2):
-            activity.sending(PreVoteRequest(5, Position(1, 1)))
-            activity.sending(VoteRequest(4, Position(1, 1)))
-        activity.sending(VoteRequest(5, Position(1, 1)))
-        activity.sending(Refused(4, 5))
-        activity.sending(PreVoteReply(5, False, 4))
-        activity.sending(PreVoteReply(5, True, 4))
+            activity.count_sent(PreVoteRequest(5, Position(1, 1)))
+            activity.count_sent(VoteRequest(4, Position(1, 1)))
+        activity.count_sent(VoteRequest(5, Position(1, 1)))
+        activity.count_sent(Refused(4, 5))
+        activity.count_sent(PreVoteReply(5, False, 4))
+        activity.count_sent(PreVoteReply(5, True, 4))
         text = scrape(lambda: activity_families(activity))
         self.assertEqual(text.sum("rookwood_pre_votes_begun_total"), 1)
         self.assertEqual(text.sum("rookwood_elections_begun_total"), 2)
@@ -398,9 +398,9 @@
 class RequestCountsTest(unittest.TestCase):
     def test_outcomes_and_causes_are_told(self) -> None:
         counts = RequestCounts()
-        counts.end(RequestOutcome.ANSWERED, 204)
-        counts.end(RequestOutcome.ABANDONED)
-        counts.refuse(503, 'no "worker"')
+        counts.count_end(RequestOutcome.ANSWERED, 204)
+        counts.count_end(RequestOutcome.ABANDONED)
+        counts.count_rejection(503, 'no "worker"')
         text = scrape(lambda: request_families(counts))
         self.assertEqual(text.sum("rookwood_requests_total", outcome="answered", status="2xx"), 1)
         self.assertEqual(text.sum("rookwood_requests_total", outcome="abandoned", status=""), 1)
--- a/tests/test_modelplacement_loads.py
+++ b/tests/test_modelplacement_loads.py
@@ -79,7 +79,7 @@
     def receive(self, order: LoadOrder) -> bool:
         if self.order is not None or order.if_sequence != self.sequence:
             return False
-        if order.place:
+        if order.is_load:
             self.check(order.key)
         self.sequence += 1
         self.order = order
@@ -98,7 +98,7 @@
         if self.order is None:
             return
         key = self.order.key
-        if not self.order.place:
+        if not self.order.is_load:
             if key.adapter:
                 self.models[key.model].discard(key.adapter)
             else:
@@ -160,22 +160,22 @@
         loads: list[float],
         now: float,
     ) -> None:
-        planner.ordered(now, order)
+        planner.record_sending(now, order)
         if fate == 0:  # lost on its way
-            planner.outcome(now, order, None)
+            planner.record_outcome(now, order, None)
         elif fate == 1:  # arrives after its sender gave up
             worker.late = order
-            planner.outcome(now, order, None)
+            planner.record_outcome(now, order, None)
         elif fate == 2:  # refused at the door
-            planner.outcome(now, order, False)
+            planner.record_outcome(now, order, False)
         else:
             taken = worker.receive(order)
             if taken and order.loads_model:
                 loads.append(now)
             if fate != 3:
-                planner.outcome(now, order, taken)
+                planner.record_outcome(now, order, taken)
             elif taken:  # the answer is lost
-                planner.outcome(now, order, None)
+                planner.record_outcome(now, order, None)
 
     def deliver_late(self, worker: UnreliableWorker, loads: list[float], now: float) -> None:
         if worker.late is not None and worker.receive(worker.late) and worker.late.loads_model:
@@ -220,22 +220,22 @@
         return self.planner.plan(now, workers or [weights("w0", {}, reported=now)], demand, {})
 
     def test_no_other_order_before_a_report_tells(self) -> None:
-        self.planner.outcome(2.1, self.order, None)
+        self.planner.record_outcome(2.1, self.order, None)
         self.assertEqual(self.plan(2.9), [])
         self.assertEqual(self.plan(3.5, weights("w0", {}, reported=2.9)), [])
 
     def test_an_equal_sequence_a_second_later_means_that_it_was_not_taken(self) -> None:
-        self.planner.outcome(2.1, self.order, None)
+        self.planner.record_outcome(2.1, self.order, None)
         self.assertEqual([order.if_sequence for order in self.plan(3.2)], [0])
 
     def test_a_newer_sequence_frees_the_worker_once_the_order_is_over(self) -> None:
-        self.planner.outcome(2.1, self.order, None)
+        self.planner.record_outcome(2.1, self.order, None)
         self.assertEqual(self.plan(2.3, weights("w0", {}, busy=True, sequence=1)), [])
         done = weights("w0", holding(self.order.key.model), sequence=1)
-        self.assertEqual([(o.place, o.if_sequence) for o in self.plan(2.8, done)], [(True, 1)])
+        self.assertEqual([(o.is_load, o.if_sequence) for o in self.plan(2.8, done)], [(True, 1)])
 
     def test_a_report_older_than_a_known_one_gives_no_order(self) -> None:
-        self.planner.outcome(2.1, self.order, True)
+        self.planner.record_outcome(2.1, self.order, True)
         self.plan(2.8, weights("w0", {}, busy=True, sequence=1))
         self.assertEqual(self.plan(5.0, weights("w0", {}, sequence=0)), [])
 
@@ -253,7 +253,7 @@
         self.assertIsNone(book.holdings(10.5, older).next_sequence)
 
     def test_an_order_to_a_worker_that_is_missing_for_a_while_stays_known(self) -> None:
-        self.planner.outcome(2.1, self.order, None)
+        self.planner.record_outcome(2.1, self.order, None)
         self.planner.plan(2.3, [], {}, {})
         self.assertEqual(self.plan(2.5), [])
         self.assertEqual(self.planner.pending(), [self.order])
@@ -261,12 +261,12 @@
         self.assertEqual(self.planner.pending(), [])
 
     def test_a_refused_order_is_given_again_on_a_newer_report(self) -> None:
-        self.planner.outcome(2.1, self.order, False)
+        self.planner.record_outcome(2.1, self.order, False)
         self.assertEqual(self.plan(2.2), [])
         self.assertEqual(len(self.plan(2.5, weights("w0", {}, sequence=4))), 1)
 
     def test_what_was_taken_is_expected_before_a_report_shows_it(self) -> None:
-        self.planner.outcome(2.1, self.order, True)
+        self.planner.record_outcome(2.1, self.order, True)
         self.assertEqual(self.planner.expected(2.2), {})
         self.assertEqual(self.planner.expected(3.0), {"w0": frozenset({self.order.key})})
 
@@ -281,8 +281,8 @@
     ) -> list[LoadOrder]:
         orders = self.planner.plan(now, workers, demand, {})
         for order in orders:
-            self.planner.ordered(now, order)
-            self.planner.outcome(now, order, True)
+            self.planner.record_sending(now, order)
+            self.planner.record_outcome(now, order, True)
         return orders
 
     def test_a_waiting_model_takes_free_room_at_once(self) -> None:
@@ -300,7 +300,7 @@
     def test_the_place_follows_its_eviction_and_nobody_else_takes_the_room(self) -> None:
         full = weights("w0", holding("m0", "m1", "m4"))
         (evict,) = self.plan(0.0, [full], {WeightsKey("m2"): waiting(), WeightsKey("m0"): asked(5.0)})
-        self.assertFalse(evict.place)
+        self.assertFalse(evict.is_load)
         self.assertNotEqual(evict.key, WeightsKey("m0"))
         left = {model: held for model, held in full.models.items() if model != evict.key.model}
         demand = {WeightsKey("m2"): waiting(), WeightsKey("m3"): waiting(oldest_wait_s=9.0)}
@@ -312,7 +312,7 @@
         workers = [replace(worker, size_mb=200.0) for worker in workers]
         demand = {WeightsKey("m1"): asked(2.0), WeightsKey("m4"): asked(2.0), WeightsKey("m3"): waiting()}
         (order,) = self.plan(0.0, workers, demand)
-        self.assertEqual((order.place, order.key), (False, WeightsKey("m0")))
+        self.assertEqual((order.is_load, order.key), (False, WeightsKey("m0")))
 
     def test_a_model_that_is_waited_for_is_never_evicted(self) -> None:
         worker = weights("w0", holding("m0"), size_mb=130.0)
@@ -325,14 +325,14 @@
         orders = []
         for step, model in enumerate(("m2", "m3", "m5")):
             orders += self.plan(1.0 + step, workers, {WeightsKey(model): waiting()})
-        evictions = [order for order in orders if not order.place]
+        evictions = [order for order in orders if not order.is_load]
         self.assertGreater(len(evictions), 3)  # one for each of those that waited, and more
 
     def test_one_eviction_is_better_than_two(self) -> None:
         """m5 goes first by its name, but m2 needs the room of a larger model anyway."""
         worker = weights("w0", holding("m0", "m4", "m5"), size_mb=250.0)
         (order,) = self.plan(0.0, [worker], {WeightsKey("m2"): waiting(), WeightsKey("m0"): asked(5.0)})
-        self.assertEqual((order.place, order.key), (False, WeightsKey("m4")))
+        self.assertEqual((order.is_load, order.key), (False, WeightsKey("m4")))
 
     def test_a_model_just_loaded_stays_for_a_while(self) -> None:
         (order,) = self.plan(0.0, [weights("w0", {}, size_mb=130.0)], {WeightsKey("m0"): waiting()})
@@ -345,7 +345,7 @@
         for now, model in ((0.0, "m1"), (10.0, "m0"), (20.0, "m4")):
             self.plan(now, [worker], {WeightsKey(model): asked(0.1)})
         (order,) = self.plan(100.0, [worker], {WeightsKey("m3"): waiting()})
-        self.assertEqual((order.place, order.key), (False, WeightsKey("m1")))
+        self.assertEqual((order.is_load, order.key), (False, WeightsKey("m1")))
 
     def test_a_worker_that_held_the_model_before_is_preferred(self) -> None:
         self.plan(0.0, [weights("w0", {}), weights("w1", holding("m3"))], {})
@@ -403,7 +403,7 @@
     def test_a_model_that_the_configuration_dropped_gives_way(self) -> None:
         worker = weights("w0", holding("m0", "unknown"))
         (order,) = self.plan(0.0, [worker], {WeightsKey("m3"): waiting(), WeightsKey("m0"): asked(1.0)})
-        self.assertEqual((order.place, order.key), (False, WeightsKey("unknown")))
+        self.assertEqual((order.is_load, order.key), (False, WeightsKey("unknown")))
 
     def test_a_new_configuration_keeps_pending_orders(self) -> None:
         (order,) = self.plan(0.0, [weights("w0", {})], {WeightsKey("m3"): waiting()})
@@ -431,7 +431,7 @@
         key = WeightsKey("m0", "a2")
         (order,) = self.plan(0.0, [weights("w0", {})], {key: waiting()})
         self.assertEqual(order.key, WeightsKey("m0"))
-        self.planner.outcome(0.0, order, True)
+        self.planner.record_outcome(0.0, order, True)
         (order,) = self.plan(0.7, [weights("w0", holding("m0"), sequence=1)], {key: waiting()})
         self.assertEqual(order.key, key)
 
@@ -441,7 +441,7 @@
         orders: list[LoadOrder] = []
         for step in range(10):
             for order in self.plan(step * 0.15, [worker], demand):
-                self.planner.outcome(step * 0.15, order, True)
+                self.planner.record_outcome(step * 0.15, order, True)
                 orders.append(order)
         self.assertEqual([order.if_sequence for order in orders], [0, 1, 2])
         self.assertEqual(len({order.key for order in orders}), ADAPTER_SLOTS)
@@ -451,11 +451,11 @@
         for now, name in ((0.0, "a2"), (5.0, "a1"), (9.0, "a3")):
             self.plan(now, [worker], {WeightsKey("m1", name): asked(0.1)})
         (order,) = self.plan(30.0, [worker], {WeightsKey("m1", "a4"): waiting()})
-        self.assertEqual((order.place, order.key), (False, WeightsKey("m1", "a2")))
-        self.planner.outcome(30.0, order, True)
+        self.assertEqual((order.is_load, order.key), (False, WeightsKey("m1", "a2")))
+        self.planner.record_outcome(30.0, order, True)
         left = weights("w0", {"m1": frozenset({"a1", "a3"})}, sequence=1)
         (order,) = self.plan(30.4, [left], {WeightsKey("m1", "a4"): waiting()})
-        self.assertEqual((order.place, order.key), (True, WeightsKey("m1", "a4")))
+        self.assertEqual((order.is_load, order.key), (True, WeightsKey("m1", "a4")))
 
     def test_an_adapter_gets_no_second_place(self) -> None:
         workers = [weights("w0", {"m0": frozenset({"a1"})}), weights("w1", holding("m0"))]
--- a/tests/test_modelplacement_simulation.py
+++ b/tests/test_modelplacement_simulation.py
@@ -178,7 +178,7 @@
     def _advance(self, worker: SimulatedWorker, slowdown: float) -> None:
         order = worker.order
         assert order is not None
-        if not order.place:
+        if not order.is_load:
             concerned = [k for _, k in worker.runs if order.key in (k, k.base)]
             if concerned:
                 return
@@ -268,8 +268,8 @@
             wait = self.now - oldest.get(key, self.now)
             demand[key] = Demand(self.rates.get(key, 0.0), waiting[key], wait, self.busy.get(key, 0.0))
         for order in self.planner.plan(self.now, list(self.known.values()), demand, {}):
-            self.planner.ordered(self.now, order)
-            self.planner.outcome(self.now, order, self._take(order))
+            self.planner.record_sending(self.now, order)
+            self.planner.record_outcome(self.now, order, self._take(order))
 
     def _take(self, order: LoadOrder) -> bool:
         worker = self.workers[order.worker]
@@ -279,8 +279,8 @@
         worker.sequence += 1
         worker.order = order
         worker.from_store = order.loads_model and order.key.model not in worker.held_before
-        self.orders["place" if order.place else "evict", bool(order.key.adapter)] += 1  # type: ignore[index]
-        if order.place:
+        self.orders["place" if order.is_load else "evict", bool(order.key.adapter)] += 1  # type: ignore[index]
+        if order.is_load:
             self._check_room(worker, order)
         spec = self.specs[order.key.model]
         worker.work_left = (
--- a/tests/test_relay_tree.py
+++ b/tests/test_relay_tree.py
@@ -136,105 +136,105 @@
     def setUp(self) -> None:
         self.now = 0.0
         self.choice = ParentChoice(("parent", "fallback", "root"), self.now)
-        self.choice.heard("parent", self.now)
+        self.choice.record_message("parent", self.now)
 
     def run_until(self, end: float, *heard: str) -> None:
         while self.now < end:
             self.now += TICK
             for parent in heard:
-                self.choice.heard(parent, self.now)
+                self.choice.record_message(parent, self.now)
             self.choice.tick(self.now)
 
     def test_parent_that_is_heard_is_kept(self) -> None:
         self.run_until(60.0, "parent")
-        self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", None))
 
     def test_silent_parent_is_left_within_the_limit(self) -> None:
         self.run_until(TIMING.silence_limit - TICK)
-        self.assertEqual(self.choice.current, "parent")
+        self.assertEqual(self.choice.current_parent, "parent")
         self.run_until(TIMING.silence_limit + 2 * TICK)
-        self.assertEqual(self.choice.current, "fallback")
+        self.assertEqual(self.choice.current_parent, "fallback")
 
     def test_fallback_that_never_answers_is_left_sooner(self) -> None:
-        self.choice.failed("parent", self.now)
+        self.choice.record_link_failure("parent", self.now)
         self.run_until(TIMING.open_limit + 2 * TICK)
-        self.assertEqual(self.choice.current, "root")
+        self.assertEqual(self.choice.current_parent, "root")
 
     def test_parent_that_lags_behind_the_digest_is_left(self) -> None:
-        self.choice.digest(Position(1, 5), self.now)
+        self.choice.record_digest(Position(1, 5), self.now)
         self.run_until(TIMING.lag_limit - TICK, "parent")
-        self.assertEqual(self.choice.current, "parent")
+        self.assertEqual(self.choice.current_parent, "parent")
         self.run_until(TIMING.lag_limit + 2 * TICK, "parent")
-        self.assertEqual(self.choice.current, "fallback")
+        self.assertEqual(self.choice.current_parent, "fallback")
 
     def test_parent_that_delivers_within_the_limit_is_kept_under_steady_updates(self) -> None:
         for sequence in range(1, 200):
-            self.choice.digest(Position(1, sequence), self.now)
+            self.choice.record_digest(Position(1, sequence), self.now)
             self.run_until(self.now + TICK, "parent")
-            self.choice.received(Position(1, sequence - 1))
-        self.assertEqual(self.choice.current, "parent")
+            self.choice.record_update(Position(1, sequence - 1))
+        self.assertEqual(self.choice.current_parent, "parent")
 
     def test_suspected_parent_is_left_at_once(self) -> None:
-        self.choice.suspected("parent", self.now)
-        self.assertEqual(self.choice.current, "fallback")
+        self.choice.record_suspicion("parent", self.now)
+        self.assertEqual(self.choice.current_parent, "fallback")
 
     def test_failure_of_another_parent_changes_nothing_now(self) -> None:
-        self.choice.suspected("fallback", self.now)
-        self.assertEqual(self.choice.current, "parent")
-        self.choice.failed("parent", self.now)
-        self.assertEqual(self.choice.current, "root")
+        self.choice.record_suspicion("fallback", self.now)
+        self.assertEqual(self.choice.current_parent, "parent")
+        self.choice.record_link_failure("parent", self.now)
+        self.assertEqual(self.choice.current_parent, "root")
 
     def test_return_waits_until_the_better_parent_was_heard(self) -> None:
-        self.choice.failed("parent", self.now)
+        self.choice.record_link_failure("parent", self.now)
         self.run_until(TIMING.return_after + 2 * TICK, "fallback")
-        self.assertEqual((self.choice.current, self.choice.trial), ("fallback", "parent"))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("fallback", "parent"))
         self.run_until(self.now + TICK, "fallback", "parent")
-        self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", None))
 
     def test_dead_parent_is_tried_ever_more_rarely_and_the_link_is_kept(self) -> None:
-        self.choice.failed("parent", self.now)
+        self.choice.record_link_failure("parent", self.now)
         trials = 0
         trying = False
         while self.now < 120.0:
             self.run_until(self.now + TICK, "fallback")
-            self.assertEqual(self.choice.current, "fallback")
-            trials += self.choice.trial is not None and not trying
-            trying = self.choice.trial is not None
+            self.assertEqual(self.choice.current_parent, "fallback")
+            trials += self.choice.trial_parent is not None and not trying
+            trying = self.choice.trial_parent is not None
         self.assertLessEqual(trials, 8)
         self.assertGreaterEqual(trials, 3)
 
     def test_flapping_parent_is_damped(self) -> None:
         switches = 0
         for _ in range(1200):
-            before = self.choice.current
+            before = self.choice.current_parent
             if before == "parent":
-                self.choice.failed("parent", self.now)
+                self.choice.record_link_failure("parent", self.now)
             self.run_until(self.now + TICK, "fallback", "parent")
-            switches += self.choice.current != before
+            switches += self.choice.current_parent != before
         self.assertLessEqual(switches, 16)
 
     def test_own_pause_is_not_taken_for_silence_or_lag(self) -> None:
-        self.choice.digest(Position(1, 5), self.now)
+        self.choice.record_digest(Position(1, 5), self.now)
         self.choice.tick(30.0)
         self.now = 30.0
-        self.choice.received(Position(1, 5))
+        self.choice.record_update(Position(1, 5))
         self.run_until(31.0 - 2 * TICK)
-        self.assertEqual(self.choice.current, "parent")
+        self.assertEqual(self.choice.current_parent, "parent")
 
     def test_new_parents_are_taken_after_a_while_without_a_gap(self) -> None:
         self.choice.set_parents(("better", "root"), self.now)
         self.run_until(TIMING.return_after - TICK, "parent")
-        self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", None))
         self.run_until(TIMING.return_after + 2 * TICK, "parent")
-        self.assertEqual((self.choice.current, self.choice.trial), ("parent", "better"))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", "better"))
         self.run_until(self.now + TICK, "parent", "better")
-        self.assertEqual(self.choice.current, "better")
+        self.assertEqual(self.choice.current_parent, "better")
 
     def test_all_excluded_takes_the_one_that_is_free_first(self) -> None:
         for parent in ("parent", "fallback", "root"):
             self.now += TICK
-            self.choice.failed(parent, self.now)
-        self.assertEqual(self.choice.current, "parent")
+            self.choice.record_link_failure(parent, self.now)
+        self.assertEqual(self.choice.current_parent, "parent")
 
 
 class Relay:
@@ -254,20 +254,20 @@
         for name, choice in self.choices.items():
             if name in self.dead:
                 continue
-            before = choice.current
-            for parent in (choice.current, choice.trial):
+            before = choice.current_parent
+            for parent in (choice.current_parent, choice.trial_parent):
                 self._exchange(name, choice, parent)
             choice.tick(self.now)
-            self.switches += choice.current != before
+            self.switches += choice.current_parent != before
 
     def _exchange(self, name: str, choice: ParentChoice, parent: str | None) -> None:
         if parent is None or parent in self.dead:
             return
         if self.linked.get(name) != parent and self._refuses(parent, name):
-            choice.failed(parent, self.now)
+            choice.record_link_failure(parent, self.now)
             return
         self.linked[name] = parent
-        choice.heard(parent, self.now)
+        choice.record_message(parent, self.now)
 
     def _refuses(self, parent: str, child: str) -> bool:
         if parent in ROOTS:
@@ -280,7 +280,7 @@
 
     def attached(self, name: str) -> bool:
         while name not in ROOTS:
-            if name in self.dead or self.linked.get(name) != self.choices[name].current:
+            if name in self.dead or self.linked.get(name) != self.choices[name].current_parent:
                 return False
             name = self.linked[name]
         return True
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -10,7 +10,7 @@
 
 from rookwood.cluster.frames import HEADER, decode_message, encode_frame
 from rookwood.cluster.messages import (
-    RELEASE,
+    PROTOCOL_RELEASE,
     ControlMachine,
     DemandReport,
     FetchConfiguration,
@@ -90,10 +90,10 @@
                 self.assertEqual(message, decode_message(number, data[HEADER.size :]))
 
     def test_release_0_reads_what_is_sent_now(self) -> None:
-        status = Status("10.0.0.1", 3, "10.0.0.2", True, False, 3, 9, 7, MEMBERS, RELEASE, 4)
+        status = Status("10.0.0.1", 3, "10.0.0.2", True, False, 3, 9, 7, MEMBERS, PROTOCOL_RELEASE, 4)
         machines = (ControlMachine("10.0.0.1", "z1"), ControlMachine("10.0.0.2", "z2"))
         for message, schema in (
-            (Hello("10.0.0.9", "edge", "z1", RELEASE, False), HELLO),
+            (Hello("10.0.0.9", "edge", "z1", PROTOCOL_RELEASE, False), HELLO),
             (Heartbeat("10.0.0.9", 3, 9, 12.5, 0.75), HEARTBEAT),
             (status, STATUS),
             (Status(**{**fields_of(status), "roots": machines}), STATUS),
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -9,7 +9,7 @@
 import pytest
 
 from rookwood.duties.lease import Token
-from rookwood.replicas.explore import MUTANTS, Bounds, BrokenError, Explorer
+from rookwood.replicas.explore import MUTANTS, Bounds, Explorer, InvariantError
 from rookwood.replicas.group import (
     PART,
     WINDOW,
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("name", sorted(MUTANTS.keys() - SLOW))
 def test_broken_variant_is_caught(name: str) -> None:
     mutant = MUTANTS[name]
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         Explorer(replace(mutant.bounds, most=60_000), mutant.make).explore()
 
 
--- a/tests/test_replication_explore.py
+++ b/tests/test_replication_explore.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rookwood.coordination.exploration_ledger import BrokenError
+from rookwood.coordination.exploration_ledger import InvariantError
 from rookwood.coordination.explore import Bounds, Explorer, Report
 from tests.test_replication_mutants import (
     Patch,
@@ -52,9 +52,9 @@
     """Variants that are broken on purpose break an invariant within the bounds."""
 
     def assert_found(self, mutant: Patch, bounds: Bounds, why: str) -> None:
-        with mutant, self.assertRaises(BrokenError) as caught:
+        with mutant, self.assertRaises(InvariantError) as caught:
             Explorer(bounds).explore()
-        self.assertIn(why, caught.exception.why)
+        self.assertIn(why, caught.exception.reason)
         self.assertTrue(caught.exception.trace)
 
     def test_acknowledge_before_sync(self) -> None:
--- a/tests/test_stored_form.py
+++ b/tests/test_stored_form.py
@@ -6,7 +6,7 @@
 import unittest
 
 from rookwood.clusterconfig.control_document import ControlDocument
-from rookwood.clusterconfig.taken_changes import TakenChange, TakenChanges
+from rookwood.clusterconfig.taken_changes import AcceptedChange, AcceptedChanges
 from rookwood.coordination.codec import decode_record, encode_record
 from rookwood.coordination.document import Configuration, Document, Member, Position, Record
 
@@ -16,7 +16,7 @@
     "00010a0801061c041031302e302e302e31001031302e302e302e320e0002"
     "1031302e302e302e338080808080808080800100127061796c6f616400ff"
 )
-TAKEN = TakenChanges.of((TakenChange(bytes(range(16)), 3), TakenChange(bytes(16), 9)))
+TAKEN = AcceptedChanges.of((AcceptedChange(bytes(range(16)), 3), AcceptedChange(bytes(16), 9)))
 DOCUMENT = ControlDocument(9, b'{"ver":9}', TAKEN)
 DOCUMENT_V1 = bytes.fromhex(
     "0112127b22766572223a397d04000102030405060708090a0b0c0d0e0f06000000000000000000000000000000001200"
--- a/tests/test_taken_changes.py
+++ b/tests/test_taken_changes.py
@@ -16,7 +16,7 @@
     ControlDocument,
     ControlDocumentError,
 )
-from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, TakenChange, TakenChanges
+from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, AcceptedChange, AcceptedChanges
 from rookwood.controlplane.payload import read_payload
 
 MOST_CALLS = 100
@@ -41,7 +41,7 @@
 
 def encode_by_codec(document: ControlDocument) -> bytes:
     """The form that the version before wrote, by a general codec."""
-    taken = [{"digest": change.digest, "version": change.version} for change in document.taken]
+    taken = [{"digest": change.digest, "version": change.version} for change in document.accepted]
     record = {"version": document.version, "source": document.source, "taken": taken}
     buffer = io.BytesIO()
     buffer.write(bytes([ENCODING_VERSION]))
@@ -49,10 +49,10 @@
     return buffer.getvalue()
 
 
-def changes(random: Random, count: int, highest: int = 2**63 - 1) -> list[TakenChange]:
+def changes(random: Random, count: int, highest: int = 2**63 - 1) -> list[AcceptedChange]:
     """Changes with rising versions."""
     versions = sorted(random.randrange(highest) >> random.randrange(63) for _ in range(count))
-    return [TakenChange(random.randbytes(DIGEST_BYTES), version) for version in versions]
+    return [AcceptedChange(random.randbytes(DIGEST_BYTES), version) for version in versions]
 
 
 def count_calls(payload: bytes) -> int:
@@ -78,20 +78,22 @@
             for size in (0, 1, 63, 64, 9000):
                 taken = changes(random, count)
                 version = taken[-1].version if taken else random.randrange(3)
-                document = ControlDocument(version, random.randbytes(size), TakenChanges.of(taken))
+                document = ControlDocument(version, random.randbytes(size), AcceptedChanges.of(taken))
                 with self.subTest(count=count, size=size):
                     self.assertEqual(document.encode(), encode_by_codec(document))
                     self.assertEqual(ControlDocument.decode(encode_by_codec(document)), document)
-                    self.assertEqual(taken, list(ControlDocument.decode(document.encode()).taken))
+                    self.assertEqual(taken, list(ControlDocument.decode(document.encode()).accepted))
 
     def test_largest_and_smallest_numbers(self) -> None:
         for version in (0, -1, 2**63 - 1, -(2**63)):
-            document = ControlDocument(version, b"x", TakenChanges.of([TakenChange(bytes(16), version)]))
+            document = ControlDocument(
+                version, b"x", AcceptedChanges.of([AcceptedChange(bytes(16), version)])
+            )
             self.assertEqual(document.encode(), encode_by_codec(document))
             self.assertEqual(ControlDocument.decode(document.encode()), document)
 
     def test_every_cut_is_damage_also_beside_a_known_list(self) -> None:
-        taken = TakenChanges.of(changes(Random(2), 5))
+        taken = AcceptedChanges.of(changes(Random(2), 5))
         encoded = ControlDocument(9, b"{}", taken).encode()
         for known in ((), (taken,)):
             for length in range(len(encoded)):
@@ -99,15 +101,15 @@
                     ControlDocument.decode(encoded[:length], known)
 
     def test_another_count_is_damage_also_beside_a_known_list(self) -> None:
-        taken = TakenChanges.of(changes(Random(3), 5))
+        taken = AcceptedChanges.of(changes(Random(3), 5))
         for known in ((), (taken,)):
             for count in (0, 1, 4, 6, 4096):
                 with self.assertRaises(ValueError):
-                    TakenChanges.read(taken.encoded, count, known)
+                    AcceptedChanges.read(taken.encoded, count, known)
 
     def test_a_digest_is_found_only_where_one_begins(self) -> None:
-        first, second = TakenChange(bytes(range(16)), 300), TakenChange(bytes(range(16, 32)), 400)
-        taken = TakenChanges.of([first, second])
+        first, second = AcceptedChange(bytes(range(16)), 300), AcceptedChange(bytes(range(16, 32)), 400)
+        taken = AcceptedChanges.of([first, second])
         self.assertEqual(second, taken.find(second.digest))
         across = taken.encoded[8 : 8 + DIGEST_BYTES]
         self.assertIsNone(taken.find(across))
@@ -120,20 +122,20 @@
         listed = changes(Random(4), 30)
         for begin in range(0, 30, 3):
             for end in range(begin, 31, 3):
-                read = TakenChanges.of(listed[begin:end])
+                read = AcceptedChanges.of(listed[begin:end])
                 for known in (listed[:10], listed[10:20], listed, [], listed[5:25], listed[::2], listed[:1]):
-                    result = TakenChanges.read(read.encoded, end - begin, [TakenChanges.of(known)])
+                    result = AcceptedChanges.read(read.encoded, end - begin, [AcceptedChanges.of(known)])
                     self.assertEqual(listed[begin:end], list(result))
 
     def test_a_known_list_in_which_the_first_digest_is_found_out_of_place(self) -> None:
-        change = TakenChange(bytes(16), 0)  # its bytes are found at every place of a list of zeros
-        known = TakenChanges.of([TakenChange(bytes(16), 5), TakenChange(bytes(16), 0)])
-        read = TakenChanges.of([change, change, TakenChange(bytes(16), 9)])
-        self.assertEqual(list(read), list(TakenChanges.read(read.encoded, 3, [known])))
+        change = AcceptedChange(bytes(16), 0)  # its bytes are found at every place of a list of zeros
+        known = AcceptedChanges.of([AcceptedChange(bytes(16), 5), AcceptedChange(bytes(16), 0)])
+        read = AcceptedChanges.of([change, change, AcceptedChange(bytes(16), 9)])
+        self.assertEqual(list(read), list(AcceptedChanges.read(read.encoded, 3, [known])))
 
     def test_oldest_is_dropped_beyond_the_bound(self) -> None:
         listed = changes(Random(5), 9)
-        taken = TakenChanges()
+        taken = AcceptedChanges()
         for number, change in enumerate(listed, 1):
             taken = taken.with_change(change, 4)
             self.assertEqual(listed[max(0, number - 4) : number], list(taken))
@@ -144,10 +146,10 @@
     def test_a_change_to_a_full_list_is_read_by_what_is_new(self) -> None:
         document = ControlDocument()
         for version in range(1, MAX_TAKEN_CHANGES + 1):
-            document = document.with_change(TakenChange(version.to_bytes(DIGEST_BYTES), version), b"{}")
+            document = document.with_change(AcceptedChange(version.to_bytes(DIGEST_BYTES), version), b"{}")
         read_payload(document.encode())
         last = MAX_TAKEN_CHANGES + 1
-        changed = document.with_change(TakenChange(last.to_bytes(DIGEST_BYTES), last), b"{}").encode()
+        changed = document.with_change(AcceptedChange(last.to_bytes(DIGEST_BYTES), last), b"{}").encode()
         self.assertLess(count_calls(changed), MOST_CALLS)
         self.assertEqual(read_payload(changed).version, last)
 
--- a/tests/test_tenure_simulation.py
+++ b/tests/test_tenure_simulation.py
@@ -13,7 +13,7 @@
 class NoWait(Tenure):
     """Orders at once."""
 
-    def may_order(self, epoch: int, since: float, now: float) -> bool:
+    def may_issue_orders(self, epoch: int, since: float, now: float) -> bool:
         """Always."""
         return True
 
@@ -35,9 +35,9 @@
 class ShortcutWithoutFences(Tenure):
     """Does not wait for a holder that failed, though workers refuse nothing."""
 
-    def may_order(self, epoch: int, since: float, now: float) -> bool:
+    def may_issue_orders(self, epoch: int, since: float, now: float) -> bool:
         """Without a look at `fenced`."""
-        return super().may_order(epoch, since, now) or self._holder_before_failed(epoch, now)
+        return super().may_issue_orders(epoch, since, now) or self._holder_before_failed(epoch, now)
 
 
 class ShortcutOnAnyLink(Tenure):
--- a/tests/test_worker_answers.py
+++ b/tests/test_worker_answers.py
@@ -192,7 +192,7 @@
         await self.assert_found(fault, Rule.ORDER, *plans, kind=RequestKind.STREAM)
 
     async def test_an_answer_to_another_request_passed_on(self) -> None:
-        fault = mock.patch.object(upstream, "find_flaw", lambda answer, request: None)
+        fault = mock.patch.object(upstream, "find_response_defect", lambda answer, request: None)
         await self.assert_found(fault, Rule.MIXED, Misbehaviour(identity=Identity.OTHER))
 
     async def test_the_head_of_one_answer_with_the_rest_of_another(self) -> None:
@@ -213,11 +213,11 @@
         await self.assert_found(fault, Rule.TWICE, *[Misbehaviour()] * 3, Misbehaviour(cut=0.0))
 
     async def test_a_request_sent_again_after_a_break(self) -> None:
-        fault = mock.patch.object(repeats.RepeatRules, "may_repeat", lambda *arguments: True)
+        fault = mock.patch.object(repeats.RetryRules, "may_retry", lambda *arguments: True)
         await self.assert_found(fault, Rule.TWICE, Misbehaviour(cut=0.0), Misbehaviour(), Misbehaviour())
 
     async def test_a_promise_that_the_worker_did_not_give(self) -> None:
-        fault: Any = mock.patch.object(upstream, "PROMISES", frozenset())
+        fault: Any = mock.patch.object(upstream, "NOT_RUN_STATUSES", frozenset())
         await self.assert_found(fault, Rule.REFUSED, Misbehaviour(reaction=Reaction.FALSE_PROMISE))
 
 
--- a/tests/test_worker_presence.py
+++ b/tests/test_worker_presence.py
@@ -29,9 +29,9 @@
 
     def link(self, machine: ControlMachine, now: float) -> None:
         """Subscribe: the greeting comes."""
-        self.view.linked(machine.ip)
-        self.view.received(machine.ip, machine.status(), now)
-        self.view.received(machine.ip, machine.table.known(), now)
+        self.view.link_opened(machine.ip)
+        self.view.message_received(machine.ip, machine.status(), now)
+        self.view.message_received(machine.ip, machine.table.known(), now)
         machine.dispatchers.append(self)
 
     def state(self) -> WorkerState | None:
@@ -51,7 +51,7 @@
         self.peer_feed = PeerFeed(self.view, self.publish, Tenure(ip, 3.0, True))
         self.dispatchers: list[Dispatcher] = []
         self.peers: list[ControlMachine] = []
-        self.view.received(ip, self.status(), 0.0)
+        self.view.message_received(ip, self.status(), 0.0)
 
     def status(self) -> Status:
         """Settled."""
@@ -62,17 +62,17 @@
         now = asyncio.get_running_loop().time()
         if audience is not Audience.CONTROL_MACHINES:
             for dispatcher in self.dispatchers:
-                dispatcher.view.received(self.ip, message, now)
+                dispatcher.view.message_received(self.ip, message, now)
         if audience is not Audience.DISPATCHERS:
             for peer in self.peers:
-                peer.peer_feed.received(self.ip, message)
+                peer.peer_feed.message_received(self.ip, message)
 
     def subscribe(self, peer: ControlMachine) -> None:
         """This machine hears the other one."""
         peer.peers.append(self)
-        self.view.linked(peer.ip)
-        self.peer_feed.received(peer.ip, peer.status())
-        self.peer_feed.received(peer.ip, peer.table.direct())
+        self.view.link_opened(peer.ip)
+        self.peer_feed.message_received(peer.ip, peer.status())
+        self.peer_feed.message_received(peer.ip, peer.table.direct())
 
     def cut_off(self, others: list[ControlMachine], now: float) -> None:
         """No link to the others any more, dispatchers reach it as before."""
@@ -80,8 +80,8 @@
         for other in others:
             self.peers.remove(other)
             other.peers.remove(self)
-            self.view.unlinked(other.ip, now)
-            other.view.unlinked(self.ip, now)
+            self.view.link_closed(other.ip, now)
+            other.view.link_closed(self.ip, now)
 
 
 class PresenceTest(unittest.IsolatedAsyncioTestCase):
@@ -99,7 +99,7 @@
         for machine in self.machines:
             machine.table.expire(now)
         for dispatcher in dispatchers:
-            dispatcher.view.drop_silent(now)
+            dispatcher.view.remove_unreported_workers(now)
 
     async def test_a_worker_that_falls_silent_goes_at_dispatchers_too(self) -> None:
         """A crash says nothing: the worker was heard at one machine, which tells that it fell silent."""
