--- a/rookwood/cluster/view.py
+++ b/rookwood/cluster/view.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from rookwood.cluster.messages import Message, Status, WorkerGone, WorkerUpdates
-from rookwood.cluster.primary_witness import SinglePrimaryCheck
+from rookwood.cluster.single_primary_check import SinglePrimaryCheck
 from rookwood.cluster.workers import WorkerRecord, WorkerRegistry
 
 LINGER = 6.0  # seconds for which a lost source's workers are still believed in
--- a/rookwood/clusterconfig/control_document.py
+++ b/rookwood/clusterconfig/control_document.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rookwood.clusterconfig.taken_changes import (
+from rookwood.clusterconfig.accepted_changes import (
     AcceptedChange,
     AcceptedChanges,
     DamagedError,
--- a/rookwood/clusterconfig/history.py
+++ b/rookwood/clusterconfig/history.py
@@ -9,9 +9,9 @@
 import hashlib
 from dataclasses import dataclass
 
+from rookwood.clusterconfig.accepted_changes import DIGEST_BYTES, AcceptedChange
 from rookwood.clusterconfig.control_document import ControlDocument
 from rookwood.clusterconfig.json_text import JsonObject, JsonTextError, read_object, write_canonical
-from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, AcceptedChange
 from rookwood.clusterconfig.validation import (
     CheckedDocument,
     Fault,
--- a/rookwood/coordination/explore.py
+++ b/rookwood/coordination/explore.py
@@ -15,7 +15,7 @@
 
 from rookwood.coordination.document import Configuration, Document, Member, Position, Record
 from rookwood.coordination.effects import CommitApplied, Effect, Persist, Resolve, Send
-from rookwood.coordination.exploration_ledger import (
+from rookwood.coordination.exploration_invariants import (
     InvariantError,
     Ledger,
     check_durability,
--- a/rookwood/coordination/transport.py
+++ b/rookwood/coordination/transport.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from rookwood.coordination.codec import DecodeError, decode_message
-from rookwood.coordination.lanes import (
+from rookwood.coordination.framing import (
     LENGTH_BYTES,
     MAX_FRAME_BYTES,
     Lane,
--- a/rookwood/dataplane/attempt_limits.py
+++ b/rookwood/dataplane/attempt_limits.py
@@ -4,8 +4,8 @@
 
 from rookwood.dataplane.closing import ClosingTime
 from rookwood.dataplane.durations import DurationMeter
-from rookwood.dataplane.repeats import MINIMUM_ATTEMPT
 from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.retry_rules import MINIMUM_ATTEMPT
 from rookwood.metrics.loop_lag import LoopLag
 
 WAIT_SHARE = 0.45  # of the time that a request has; who is held longer and refused then loses more
--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -10,20 +10,20 @@
 
 from rookwood.cluster.messages import WorkNotice
 from rookwood.cluster.workers import WorkerRecord
-from rookwood.dataplane.answers import (
-    OUTCOME_KEY,
-    RequestProgress,
-    StreamEnded,
-    complete_response,
-    end_incomplete,
-)
 from rookwood.dataplane.attempt_limits import AttemptLimits
 from rookwood.dataplane.clock import now
 from rookwood.dataplane.demand import DemandMeter
 from rookwood.dataplane.pool import WorkerPool, WorkerTraffic
-from rookwood.dataplane.repeats import RetryRules
 from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
 from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.responses import (
+    OUTCOME_KEY,
+    RequestProgress,
+    StreamEnded,
+    complete_response,
+    end_incomplete,
+)
+from rookwood.dataplane.retry_rules import RetryRules
 from rookwood.dataplane.router import Router, uncached_tokens
 from rookwood.dataplane.silence import SilenceWatch
 from rookwood.dataplane.stream_relay import SILENT, copy_events
--- a/rookwood/dataplane/program.py
+++ b/rookwood/dataplane/program.py
@@ -18,7 +18,6 @@
 from rookwood.cluster.tasks import cancel_tasks, repeat, run_until
 from rookwood.cluster.view import ClusterView
 from rookwood.dataplane.attempt_limits import WAIT_SHARE, AttemptLimits
-from rookwood.dataplane.budget import RetryBudget
 from rookwood.dataplane.client_listener import ClientListener, turn_loop
 from rookwood.dataplane.client_server import ClientServer
 from rookwood.dataplane.closing import INGRESS_NOTICE
@@ -27,6 +26,7 @@
 from rookwood.dataplane.loss_log import LossLog
 from rookwood.dataplane.pool import WorkerPool
 from rookwood.dataplane.proxy import Proxy
+from rookwood.dataplane.retry_budget import RetryBudget
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import UpstreamClient
 from rookwood.mechanisms import Mechanism
--- a/rookwood/dataplane/proxy.py
+++ b/rookwood/dataplane/proxy.py
@@ -9,7 +9,15 @@
 from aiohttp import web
 
 from rookwood.cluster.messages import WorkNotice
-from rookwood.dataplane.answers import (
+from rookwood.dataplane.attempt_limits import AttemptLimits
+from rookwood.dataplane.attempts import AttemptSender
+from rookwood.dataplane.clock import now
+from rookwood.dataplane.demand import DemandMeter
+from rookwood.dataplane.loss_log import LossLog
+from rookwood.dataplane.pool import WorkerPool
+from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
+from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.responses import (
     OUTCOME_KEY,
     REFUSAL_KEY,
     RETRY_SOON,
@@ -21,16 +29,8 @@
     read_body,
     refusal_for,
 )
-from rookwood.dataplane.attempt_limits import AttemptLimits
-from rookwood.dataplane.attempts import AttemptSender
-from rookwood.dataplane.budget import RetryBudget
-from rookwood.dataplane.clock import now
-from rookwood.dataplane.demand import DemandMeter
-from rookwood.dataplane.loss_log import LossLog
-from rookwood.dataplane.pool import WorkerPool
-from rookwood.dataplane.repeats import RetryRules
-from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
-from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.retry_budget import RetryBudget
+from rookwood.dataplane.retry_rules import RetryRules
 from rookwood.dataplane.route_matching import RouteMatcher
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import UpstreamClient
--- a/rookwood/dataplane/repeats.py
+++ b/rookwood/dataplane/retry_rules.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from rookwood.dataplane.answers import RequestProgress
-from rookwood.dataplane.budget import RetryBudget
 from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.responses import RequestProgress
+from rookwood.dataplane.retry_budget import RetryBudget
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import Rejected
 from rookwood.httpclient.outcomes import NotSent, ResponseLost
--- a/rookwood/dataplane/route_matching.py
+++ b/rookwood/dataplane/route_matching.py
@@ -9,10 +9,10 @@
 
 from rookwood.clusterconfig.document import Configuration
 from rookwood.dataplane import headers as names
-from rookwood.dataplane.answers import RETRY_SOON, Refusal, RequestProgress
 from rookwood.dataplane.attempt_limits import WAIT_SHARE
 from rookwood.dataplane.clock import now
 from rookwood.dataplane.requests import RoutedRequest, build_request, read_time_left
+from rookwood.dataplane.responses import RETRY_SOON, Refusal, RequestProgress
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.splitting import RouteSplitter
 
--- a/rookwood/dataplane/stream_relay.py
+++ b/rookwood/dataplane/stream_relay.py
@@ -6,9 +6,9 @@
 
 from aiohttp import web
 
-from rookwood.dataplane.answers import RequestProgress, StreamBroke, StreamEnded
 from rookwood.dataplane.events import Event, EventSplitter, OversizedEventError, is_repeated
 from rookwood.dataplane.pool import WorkerTraffic
+from rookwood.dataplane.responses import RequestProgress, StreamBroke, StreamEnded
 from rookwood.dataplane.silence import SilenceWatch
 from rookwood.dataplane.upstream import Streaming
 from rookwood.httpclient.outcomes import ResponseLost
--- a/rookwood/dataplane/worker_search.py
+++ b/rookwood/dataplane/worker_search.py
@@ -8,12 +8,12 @@
 from aiohttp import web
 
 from rookwood.cluster.workers import WorkerRecord
-from rookwood.dataplane.answers import RETRY_SOON, Refusal, RequestProgress
 from rookwood.dataplane.attempt_limits import AttemptLimits
 from rookwood.dataplane.clock import now
 from rookwood.dataplane.demand import DemandMeter
-from rookwood.dataplane.repeats import MINIMUM_ATTEMPT
 from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.responses import RETRY_SOON, Refusal, RequestProgress
+from rookwood.dataplane.retry_rules import MINIMUM_ATTEMPT
 from rookwood.dataplane.return_times import ReturnTimes
 from rookwood.dataplane.route_matching import RouteMatcher
 from rookwood.dataplane.router import Router
--- a/rookwood/duties/front.py
+++ b/rookwood/duties/front.py
@@ -31,10 +31,10 @@
 from rookwood.members.swim import Change as Told
 from rookwood.members.swim import Letter as Probing
 from rookwood.members.swim import Members, News, Pace, Standing
-from rookwood.net.decisions import AttemptOutcome
 from rookwood.net.destinations import Address, DestinationUpdate
 from rookwood.net.dispatcher import DispatcherContext
 from rookwood.net.phase import Phase
+from rookwood.net.policy_driver import AttemptOutcome
 from rookwood.net.request import Response
 from rookwood.settings import InvalidSettingError
 
--- a/rookwood/duties/links.py
+++ b/rookwood/duties/links.py
@@ -19,9 +19,9 @@
 from rookwood.gateway.link import Channel, GoneError, LinkError, connected
 from rookwood.gateway.secure import Secured
 from rookwood.net.clock import EPOCH, Clock
-from rookwood.net.decisions import micros
 from rookwood.net.destinations import Address
 from rookwood.net.listener import bind_listener
+from rookwood.net.policy_driver import micros
 
 log = structlog.stdlib.get_logger(__name__)
 
--- a/rookwood/gateway/gate.py
+++ b/rookwood/gateway/gate.py
@@ -22,11 +22,11 @@
 from rookwood.gateway.lending import LENDING, Lender
 from rookwood.gateway.routing import Prices, Router, Waiting
 from rookwood.gateway.secure import SOON, CertificateError, Secured, secured, utc_now
-from rookwood.net.decisions import Ticket
 from rookwood.net.destinations import Address, DestinationUpdate, State
 from rookwood.net.dispatcher import DispatcherContext
 from rookwood.net.listener import bind_listener
 from rookwood.net.phase import Phase
+from rookwood.net.policy_driver import Ticket
 from rookwood.net.request import ForwardOutcome, ForwardResult, InboundRequest
 from rookwood.settings import InvalidSettingError
 
--- a/rookwood/gateway/guests.py
+++ b/rookwood/gateway/guests.py
@@ -35,8 +35,8 @@
 from rookwood.gateway.lending import Home, Turns
 from rookwood.gateway.link import CHUNK, Channel, LinkError
 from rookwood.net.clock import EPOCH, Clock
-from rookwood.net.decisions import NEVER_RAN, AttemptOutcome, Ticket, micros
 from rookwood.net.endpoints import WorkerRequest
+from rookwood.net.policy_driver import NEVER_RAN, AttemptOutcome, Ticket, micros
 from rookwood.net.request import InboundRequest, RequestHandler, RequestProgress
 
 log = structlog.stdlib.get_logger(__name__)
--- a/rookwood/gateway/home.py
+++ b/rookwood/gateway/home.py
@@ -35,7 +35,7 @@
 from rookwood.gateway.routing import Peer
 from rookwood.gateway.secure import Secured
 from rookwood.net.clock import EPOCH, Clock
-from rookwood.net.decisions import micros
+from rookwood.net.policy_driver import micros
 from rookwood.net.request import ForwardOutcome, ForwardResult, InboundRequest
 
 log = structlog.stdlib.get_logger(__name__)
--- a/rookwood/gateway/lending.py
+++ b/rookwood/gateway/lending.py
@@ -14,7 +14,7 @@
 from typing import TypeVar
 
 from rookwood import interface as api
-from rookwood.net.tier import DispatcherGroup
+from rookwood.net.dispatcher_group import DispatcherGroup
 
 H = TypeVar("H", bound=Hashable)
 LENDING = "lending"  # the duty of the one dispatcher that lends what is spare at a site, where duties are on
--- a/rookwood/lab/replication_states.py
+++ b/rookwood/lab/replication_states.py
@@ -7,7 +7,7 @@
 
 from rich.console import Console
 
-from rookwood.coordination.exploration_ledger import InvariantError
+from rookwood.coordination.exploration_invariants import InvariantError
 from rookwood.coordination.explore import Bounds, Explorer
 from rookwood.lab.results import keep
 
--- a/rookwood/lab/worker_answers.py
+++ b/rookwood/lab/worker_answers.py
@@ -18,10 +18,10 @@
 from rich.console import Console
 
 from rookwood.cluster.workers import WorkerRecord, WorkerState
-from rookwood.dataplane.budget import RetryBudget
 from rookwood.dataplane.demand import DemandMeter
 from rookwood.dataplane.pool import WorkerPool
 from rookwood.dataplane.proxy import Proxy
+from rookwood.dataplane.retry_budget import RetryBudget
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import UpstreamClient
 from rookwood.lab.exchange_clients import SITE, ClientHabits, ExchangeClient, draw_habits
--- a/rookwood/modelplacement/sites.py
+++ b/rookwood/modelplacement/fleet.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
+from rookwood.modelplacement.demand import DemandBook, adapter_loss, copy_loss
 from rookwood.modelplacement.orders import MISSING_S, Holdings, LoadOrder, OrderBook
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
-from rookwood.modelplacement.value import DemandBook, adapter_loss, copy_loss
 
 HOLD_S = 1.5  # a model stays for at least so long after it was placed
 ADAPTER_HOLD_S = 0.5
--- a/rookwood/modelplacement/loads.py
+++ b/rookwood/modelplacement/loads.py
@@ -25,10 +25,10 @@
 
 from rookwood.mechanisms import ALL_MECHANISMS, Mechanism, Mechanisms
 from rookwood.modelplacement.bucket import TokenBucket
+from rookwood.modelplacement.demand import Demand, DemandBook, ModelDemand, MovingRate
+from rookwood.modelplacement.fleet import BLOCKED_COST_PER_S, Fleet, Site, Wanted
 from rookwood.modelplacement.orders import Holdings, LoadOrder, OrderBook
-from rookwood.modelplacement.sites import BLOCKED_COST_PER_S, Fleet, Site, Wanted
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
-from rookwood.modelplacement.value import Demand, DemandBook, ModelDemand, MovingRate
 
 __all__ = ["Demand", "LoadOrder", "LoadPlanner"]
 
--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -14,20 +14,20 @@
 from rookwood import interface as api
 from rookwood.net.clock import Clock
 from rookwood.net.config import Bounds, Config
-from rookwood.net.decisions import PolicyDriver
+from rookwood.net.connection_limits import room_of
 from rookwood.net.destinations import Destinations, DestinationUpdate
+from rookwood.net.dispatcher_group import DispatcherGroup
 from rookwood.net.endpoints import Endpoints
-from rookwood.net.figures import RequestStats
 from rookwood.net.handover import Handover
 from rookwood.net.inbound import Inbound, readiness
 from rookwood.net.listener import bind_listener
 from rookwood.net.management import Management
 from rookwood.net.peers import Peers
 from rookwood.net.phase import Phase, ServiceState
+from rookwood.net.policy_driver import PolicyDriver
 from rookwood.net.probes import Probes
 from rookwood.net.request import RequestHandler, Response
-from rookwood.net.room import room_of
-from rookwood.net.tier import DispatcherGroup
+from rookwood.net.stats import RequestStats
 
 log = logging.getLogger(__name__)
 
--- a/rookwood/net/endpoints.py
+++ b/rookwood/net/endpoints.py
@@ -17,8 +17,8 @@
 import h11
 
 from rookwood.net.clock import Clock
-from rookwood.net.decisions import AttemptOutcome, LoadReport
 from rookwood.net.http1 import MAX_BODY, NotWrittenError, TooLargeError, Wire
+from rookwood.net.policy_driver import AttemptOutcome, LoadReport
 from rookwood.settings import InvalidSettingError, JsonReader
 
 log = logging.getLogger(__name__)
--- a/rookwood/net/inbound.py
+++ b/rookwood/net/inbound.py
@@ -14,13 +14,13 @@
 import h11
 
 from rookwood.net.clock import Clock
-from rookwood.net.figures import RequestStats
+from rookwood.net.connection_limits import Room
 from rookwood.net.http1 import MAX_BODY, NotWrittenError, TooLargeError, Wire
 from rookwood.net.listener import accepting
 from rookwood.net.messages import REASONS, Taken, UnfitError, class_of, encoded, length_of, request_of
 from rookwood.net.phase import ServiceState
 from rookwood.net.request import InboundRequest, Response
-from rookwood.net.room import Room
+from rookwood.net.stats import RequestStats
 
 log = logging.getLogger(__name__)
 
--- a/rookwood/net/management.py
+++ b/rookwood/net/management.py
@@ -11,11 +11,11 @@
 import h11
 
 from rookwood.net.clock import Clock
+from rookwood.net.connection_limits import CALL_ACCEPTS, Room
 from rookwood.net.http1 import NotWrittenError, TooLargeError, Wire
 from rookwood.net.listener import accepting
 from rookwood.net.messages import REASONS, UnfitError, encoded
 from rookwood.net.request import Response
-from rookwood.net.room import CALL_ACCEPTS, Room
 
 log = logging.getLogger(__name__)
 
--- a/rookwood/net/peers.py
+++ b/rookwood/net/peers.py
@@ -16,8 +16,8 @@
 
 from rookwood.hints import HintCodec, InvalidHintError
 from rookwood.interface import Hint
-from rookwood.net.decisions import PolicyDriver
 from rookwood.net.destinations import Address, DestinationUpdate
+from rookwood.net.policy_driver import PolicyDriver
 
 log = logging.getLogger(__name__)
 
--- a/rookwood/net/probes.py
+++ b/rookwood/net/probes.py
@@ -5,9 +5,9 @@
 import asyncio
 import logging
 
-from rookwood.net.decisions import PolicyDriver
 from rookwood.net.destinations import Destinations
 from rookwood.net.endpoints import Endpoints
+from rookwood.net.policy_driver import PolicyDriver
 
 log = logging.getLogger(__name__)
 
--- a/rookwood/net/request.py
+++ b/rookwood/net/request.py
@@ -11,7 +11,9 @@
 from typing import Protocol
 
 from rookwood.net.clock import Clock
-from rookwood.net.decisions import (
+from rookwood.net.destinations import Destinations
+from rookwood.net.endpoints import Endpoints, Result, Stage, WorkerRequest
+from rookwood.net.policy_driver import (
     NEVER_RAN,
     Attempt,
     AttemptOutcome,
@@ -22,9 +24,7 @@
     PolicyDriver,
     Ticket,
 )
-from rookwood.net.destinations import Destinations
-from rookwood.net.endpoints import Endpoints, Result, Stage, WorkerRequest
-from rookwood.net.figures import RequestStats
+from rookwood.net.stats import RequestStats
 
 log = logging.getLogger(__name__)
 
--- a/rookwood/policy.py
+++ b/rookwood/policy.py
@@ -16,9 +16,9 @@
 
 from rookwood import interface as api
 from rookwood.interface import DeduplicationScope, Health, Outcome, RetrySafety
+from rookwood.load_exchange import Talk
 from rookwood.placement import LEAST, pack
 from rookwood.state import Attempt, Job, Lane, Row, State, Table
-from rookwood.talk import Talk
 
 SECOND = 1_000_000
 STEP, SMOOTH = 2 * SECOND, 0.4  # between placement steps, +- a quarter; weight of the last in a key's demand
--- a/rookwood/state.py
+++ b/rookwood/state.py
@@ -1,4 +1,4 @@
-"""What a dispatcher remembers: types alone, read and changed by rookwood/policy.py and talk.py only."""
+"""What a dispatcher remembers: types alone, read and changed by policy.py and load_exchange.py only."""
 
 import math
 from dataclasses import dataclass, field
--- a/tests/test_clusterconfig_operators.py
+++ b/tests/test_clusterconfig_operators.py
@@ -17,6 +17,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from rookwood.clusterconfig import control_document, history
+from rookwood.clusterconfig.accepted_changes import DIGEST_BYTES, AcceptedChanges
 from rookwood.clusterconfig.faults import Fault, Invalid
 from rookwood.clusterconfig.history import (
     Accepted,
@@ -31,7 +32,6 @@
     InvalidChange,
     decide,
 )
-from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, AcceptedChanges
 
 REMEMBERED = 2
 OPERATORS = 3
--- a/tests/test_coordination_transport.py
+++ b/tests/test_coordination_transport.py
@@ -8,7 +8,7 @@
 from rookwood.coordination import transport as transport_module
 from rookwood.coordination.codec import decode_message
 from rookwood.coordination.document import Configuration, Document, Position
-from rookwood.coordination.lanes import Lane, Preamble, encode_frame, read_frame, read_preamble
+from rookwood.coordination.framing import Lane, Preamble, encode_frame, read_frame, read_preamble
 from rookwood.coordination.messages import JoinRequest, Message, Write
 from rookwood.coordination.transport import Transport
 from rookwood.lab.free_ports import find_free_port
--- a/tests/test_dataplane_parts.py
+++ b/tests/test_dataplane_parts.py
@@ -9,12 +9,12 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from rookwood.clusterconfig.document import Route, RouteKind, ServiceShare
-from rookwood.dataplane.budget import RetryBudget
 from rookwood.dataplane.demand import DemandMeter, ServiceKey
 from rookwood.dataplane.events import MAXIMUM_EVENT, Event, EventSplitter, OversizedEventError
 from rookwood.dataplane.headers import end_to_end
 from rookwood.dataplane.pool import WorkerTraffic
 from rookwood.dataplane.requests import read_key, read_parts, read_time_left
+from rookwood.dataplane.retry_budget import RetryBudget
 from rookwood.dataplane.splitting import RouteSplitter, service_at
 from rookwood.dataplane.upstream import ToldLoad, read_load
 
--- a/tests/test_dataplane_proxy.py
+++ b/tests/test_dataplane_proxy.py
@@ -15,11 +15,11 @@
 
 from rookwood.cluster.workers import HeldModel, WorkerRecord
 from rookwood.dataplane import route_matching, silence
-from rookwood.dataplane.budget import RetryBudget
 from rookwood.dataplane.client_server import ClientServer
 from rookwood.dataplane.demand import DemandMeter, ServiceKey
 from rookwood.dataplane.pool import WorkerPool, WorkerTraffic
 from rookwood.dataplane.proxy import Proxy
+from rookwood.dataplane.retry_budget import RetryBudget
 from rookwood.dataplane.return_times import ORDER_TIME
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import UpstreamClient
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -30,7 +30,7 @@
 from rookwood.gateway.lease import Granted, Held
 from rookwood.gateway.lending import Home, Lender, Turns
 from rookwood.gateway.routing import Peer, Prices, Router, Waiting
-from rookwood.net.tier import DispatcherGroup
+from rookwood.net.dispatcher_group import DispatcherGroup
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
 MS = timedelta(milliseconds=1)
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -16,9 +16,9 @@
 from rookwood.hints import SIZE, HintCodec, InvalidHintError, mark_of
 from rookwood.lab.free_ports import find_free_port
 from rookwood.net.clock import Clock
-from rookwood.net.decisions import PolicyDriver
 from rookwood.net.destinations import Address, DestinationUpdate, Endpoint, State
 from rookwood.net.peers import Peers
+from rookwood.net.policy_driver import PolicyDriver
 from tests.test_wire import PROFILE, hello, serve
 from tests.world import settings
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -14,9 +14,9 @@
     OptionsError,
 )
 from rookwood.mechanisms import ALL_MECHANISMS, Mechanism, Mechanisms, read_mechanisms
+from rookwood.modelplacement.demand import Demand
 from rookwood.modelplacement.loads import LoadPlanner
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
-from rookwood.modelplacement.value import Demand
 
 ROOT = Path(__file__).parents[1]
 PROGRAMS = ("rookwood_dataplane.py", "rookwood_controlplane.py")
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -19,13 +19,13 @@
 from rookwood.cluster.messages import Heartbeat
 from rookwood.cluster.metrics import configuration_families, invariant_families, traffic_families
 from rookwood.cluster.position import NO_CONFIGURATION, ConfigurationPosition
-from rookwood.cluster.primary_witness import SinglePrimaryCheck
 from rookwood.cluster.progress import (
     REMEMBERED_COMMITS,
     ConfigurationProgress,
     DispatcherLag,
     DispatcherProgress,
 )
+from rookwood.cluster.single_primary_check import SinglePrimaryCheck
 from rookwood.controlplane.metrics import activity_families, dispatcher_families, write_families
 from rookwood.coordination.activity import GroupActivity, WriteTimes
 from rookwood.coordination.document import Position
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -18,11 +18,11 @@
 from rookwood.lab.raw_http import encode_chunk, encode_chunks
 from rookwood.net import destinations, endpoints, inbound
 from rookwood.net.clock import Clock
-from rookwood.net.decisions import Attempt, AttemptOutcome, Job, PolicyDriver
 from rookwood.net.destinations import Pace
 from rookwood.net.dispatcher import DispatcherContext
 from rookwood.net.endpoints import Endpoints
 from rookwood.net.http1 import Wire
+from rookwood.net.policy_driver import Attempt, AttemptOutcome, Job, PolicyDriver
 from rookwood.settings import InvalidSettingError, JsonReader, parse_settings
 from tests import stage as st
 from tests.stage import (
--- a/tests/test_replication_payload_limit.py
+++ b/tests/test_replication_payload_limit.py
@@ -5,7 +5,7 @@
 
 from rookwood.coordination import leadership
 from rookwood.coordination.document import MAX_PAYLOAD_BYTES, Configuration, Document, Member, Position
-from rookwood.coordination.lanes import LENGTH_BYTES, MAX_FRAME_BYTES, encode_frame
+from rookwood.coordination.framing import LENGTH_BYTES, MAX_FRAME_BYTES, encode_frame
 from rookwood.coordination.messages import Heartbeat, Promise, Write
 from rookwood.coordination.outcomes import Committed, Declined, PayloadTooLarge
 from rookwood.lab.replica_harness import ReplicaHarness
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -15,8 +15,8 @@
 from rookwood.lab.free_ports import find_free_port
 from rookwood.net import dispatcher, handover, phase
 from rookwood.net.config import load
+from rookwood.net.connection_limits import BASE, CALL_ACCEPTS, room_of
 from rookwood.net.dispatcher import Dispatcher
-from rookwood.net.room import BASE, CALL_ACCEPTS, room_of
 from tests import stage as st
 from tests.stage import (
     LIMIT,
--- a/tests/test_stored_form.py
+++ b/tests/test_stored_form.py
@@ -5,8 +5,8 @@
 
 import unittest
 
+from rookwood.clusterconfig.accepted_changes import AcceptedChange, AcceptedChanges
 from rookwood.clusterconfig.control_document import ControlDocument
-from rookwood.clusterconfig.taken_changes import AcceptedChange, AcceptedChanges
 from rookwood.coordination.codec import decode_record, encode_record
 from rookwood.coordination.document import Configuration, Document, Member, Position, Record
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -18,9 +18,9 @@
 from rookwood import interface as api
 from rookwood.net import destinations, endpoints
 from rookwood.net.clock import EPOCH, Clock
-from rookwood.net.decisions import AttemptOutcome, PolicyDriver
 from rookwood.net.destinations import LONGEST_PAUSE, PAUSE, Pace
 from rookwood.net.endpoints import Endpoints, WorkerRequest
+from rookwood.net.policy_driver import AttemptOutcome, PolicyDriver
 from tests import stage as st
 from tests.stage import LIMIT, SETTINGS, Script, ScriptedWorker, start_dispatcher, wait_until
 
--- a/tests/test_taken_changes.py
+++ b/tests/test_taken_changes.py
@@ -10,13 +10,13 @@
 
 import fastavro
 
+from rookwood.clusterconfig.accepted_changes import DIGEST_BYTES, AcceptedChange, AcceptedChanges
 from rookwood.clusterconfig.control_document import (
     ENCODING_VERSION,
     MAX_TAKEN_CHANGES,
     ControlDocument,
     ControlDocumentError,
 )
-from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, AcceptedChange, AcceptedChanges
 from rookwood.controlplane.payload import read_payload
 
 MOST_CALLS = 100
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -8,9 +8,9 @@
 
 from rookwood import interface as api
 from rookwood.interface import Hint, Word
+from rookwood.load_exchange import KEEPERS, LOOK, MISSED, QUIET, Keepers
 from rookwood.policy import MOST
 from rookwood.state import State
-from rookwood.talk import KEEPERS, LOOK, MISSED, QUIET, Keepers
 from tests.tier import SECOND, Tier
 from tests.world import MS, World, settings, worker
 
--- a/tests/test_worker_answers.py
+++ b/tests/test_worker_answers.py
@@ -18,7 +18,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from rookwood.dataplane import repeats, upstream
+from rookwood.dataplane import retry_rules, upstream
 from rookwood.httpclient import client as http_client
 from rookwood.httpclient.client import Response
 from rookwood.httpclient.connections import ResponseProtocol
@@ -213,7 +213,7 @@
         await self.assert_found(fault, Rule.TWICE, *[Misbehaviour()] * 3, Misbehaviour(cut=0.0))
 
     async def test_a_request_sent_again_after_a_break(self) -> None:
-        fault = mock.patch.object(repeats.RetryRules, "may_retry", lambda *arguments: True)
+        fault = mock.patch.object(retry_rules.RetryRules, "may_retry", lambda *arguments: True)
         await self.assert_found(fault, Rule.TWICE, Misbehaviour(cut=0.0), Misbehaviour(), Misbehaviour())
 
     async def test_a_promise_that_the_worker_did_not_give(self) -> None:
