--- a/rookwood/memory.py
+++ b/rookwood/memory.py
@@ -1,64 +1,57 @@
-"""What the decisions have learned, for the process that follows: plain values, from `remember` to `recall`.
+"""Saves what the policy has learned as plain values, and restores it in the process that follows.
 
-Requests in hand and timers stay behind: they end with the old process. Nothing here is needed to start.
+Requests in hand and timers are left out: they end with the old process. A process can start without it.
 """
 
-import math
 from typing import Any
 
-from rookwood import interface as api
 from rookwood.policy import Policy
+from rookwood.state import STORED_BY_CLASS, STORED_BY_TUPLE, STORED_SCALARS
 
-FORM = 5  # a process of another release may not know this one
-PLAIN = ("job_time", "weight", "seen", "retries", "eject")
-BY_CLASS = ("answers", "typical", "mean", "asked", "won")
-ROWS = ("whole", "firsts", "demand", "table")  # their keys are tuples
+FORMAT = 5  # another release may write another format
 
 
 def remember(policy: Policy) -> dict[str, Any]:
+    """Return the learned state as values that JSON can hold."""
     workers = {
-        w.info.id: {
-            "started_at": w.info.started_at,
-            "seen": [w.trust, w.faults, w.slowness, w.last_sign, w.report_at, w.probe_at],
-            "others": policy.talk.others(w) + w.used,  # jobs still out at the old process are another's
-            "told": policy.talk.books(w, ((a, policy.owed[key]) for key, a in w.out.items())),
-            # The budget of a cold worker goes on: two processes in a row must not spend it twice.
-            "credit": [w.credit, w.credit_at] if w.credit_at else None,
-        }
+        w.info.id: w.to_record(
+            policy.talk.slots_of_others(w) + w.used,  # in the new process, open attempts count as another's
+            policy.talk.jobs_to_save(w, ((a, policy.pending[key]) for key, a in w.attempts.items())),
+        )
         for w in policy.workers.values()
     }
-    plain = {name: getattr(policy, name) for name in PLAIN + BY_CLASS}
-    rows = {name: [[list(key), value] for key, value in getattr(policy, name).items()] for name in ROWS}
-    return {"form": FORM, "workers": workers, "plain": plain, "rows": rows, "slots": policy.talk.by_kind}
+    plain = {key: getattr(policy, name) for key, name in (STORED_SCALARS | STORED_BY_CLASS).items()}
+    rows = {
+        key: [[list(row), value] for row, value in getattr(policy, name).items()]
+        for key, name in STORED_BY_TUPLE.items()
+    }
+    return {
+        "form": FORMAT,
+        "workers": workers,
+        "plain": plain,
+        "rows": rows,
+        "slots": policy.talk.slots_by_kind,
+    }
 
 
 def recall(policy: Policy, memory: dict[str, Any], now: int) -> None:
-    """For a policy that has its list and no request yet. Raises on what it cannot use."""
-    if memory["form"] != FORM:
-        raise ValueError(f"of form {memory['form']!r}")
-    plain = {name: memory["plain"][name] for name in PLAIN}
-    for name in BY_CLASS:  # the settings may name others now
-        fresh, found = getattr(policy, name), memory["plain"][name]
+    """Restore the state of a policy that has its worker list and no request yet. Raises if it is unusable."""
+    if memory["form"] != FORMAT:
+        raise ValueError(f"unknown format {memory['form']!r}")
+    plain = {name: memory["plain"][key] for key, name in STORED_SCALARS.items()}
+    for key, name in STORED_BY_CLASS.items():  # the classes may have changed with the settings
+        fresh, found = getattr(policy, name), memory["plain"][key]
         plain[name] = {job_class: found.get(job_class, value) for job_class, value in fresh.items()}
-    rows = {name: {tuple(key): value for key, value in memory["rows"][name]} for name in ROWS}
+    rows = {
+        name: {tuple(row): value for row, value in memory["rows"][key]}
+        for key, name in STORED_BY_TUPLE.items()
+    }
     rows["demand"] = {key: (level, trend) for key, (level, trend) in rows["demand"].items()}
     rows["table"] = {key: [(uid, phi) for uid, phi in row] for key, row in rows["table"].items()}
     for w in policy.workers.values():
         if (found := memory["workers"].get(w.info.id)) is None or found["started_at"] != w.info.started_at:
             continue
-        w.trust, w.faults, w.slowness, *times = found["seen"]
-        w.last_sign, w.report_at, w.probe_at = (min(now, time) for time in times)
-        w.others, w.told = found["others"], [(until, whose, need) for until, whose, need in found["told"]]
-        if found["credit"]:
-            w.credit, w.credit_at = found["credit"][0], min(now, found["credit"][1])
+        w.restore(found, now)
     for name, value in {**plain, **rows}.items():
         setattr(policy, name, value)
-    policy.talk.by_kind.update(memory["slots"])
-
-
-def pressure(policy: Policy) -> api.Pressure:  # not learned but seen: how full the workers are
-    up, jobs = [w for w in policy.workers.values() if w.up], policy.jobs.values()
-    slots = sum(policy.talk.slots(w) * policy._warmth(w) * (w.trust if policy.eject else 1) for w in up)
-    usual = {n: c.aim * math.exp(policy.typical[n]) * policy.mean[n] / 2e6 for n, c in policy.classes.items()}
-    busy = sum(w.used + policy.talk.others(w) for w in up)
-    return api.Pressure(slots, busy, sum(j.need * j.held for j in jobs), usual)
+    policy.talk.slots_by_kind.update(memory["slots"])
--- a/rookwood/net/decisions.py
+++ b/rookwood/net/decisions.py
@@ -18,10 +18,11 @@
 from typing import Any
 
 from rookwood import interface as api
-from rookwood.memory import pressure, recall, remember
+from rookwood.memory import recall, remember
 from rookwood.net.clock import EPOCH, Clock
 from rookwood.net.destinations import DestinationSet, Endpoint, State
 from rookwood.policy import Policy
+from rookwood.site_load import pressure
 
 log = logging.getLogger(__name__)
 
--- a/rookwood/policy.py
+++ b/rookwood/policy.py
@@ -1,116 +1,104 @@
-"""All decisions of a dispatcher. In and out: rookwood/interface.py; memory: state.py; why: docs/design.md.
+"""All decisions of a dispatcher. Inputs and outputs: interface.py; data: state.py; reasons: docs/design.md.
 
-The ordinary path: `_step` (Algorithm 1) gives each key a few workers with fractions phi; `_draw` takes
-two by phi and the lower estimate gets the job. All else is a departure and says what it guards against.
+The placement step (Algorithm 1) gives each key a few workers with fractions phi. A request draws two of them
+by phi and goes to the one with the lower estimated time. Everything else handles a departure from this path.
 """
 
 import bisect
-import functools
-import hashlib
 import heapq
-import itertools
 import math
-import random
-from collections import defaultdict, deque
+from collections import deque
 from collections.abc import Callable, Iterator
 
 from rookwood import interface as api
+from rookwood.hashing import stable_hashes
 from rookwood.interface import Ending, Group, Health, Repeat
-from rookwood.placement import LEAST, pack
-from rookwood.state import Attempt, Job, Lane, Row, State, Table
-from rookwood.talk import Talk
-
-SECOND = 1_000_000
-STEP, SMOOTH = 2 * SECOND, 0.4  # between placement steps, +- a quarter; weight of the last in a key's demand
-POINTS, WALK = 32, 128  # ring: points of a mean worker, points looked at
-REACH, MOST, PART = 3, 6, 8  # own zone's workers tried for a job in its key's order: one in 8, 3 to 6
-LEARN = 0.02  # weight of an answer
-FAULT, MOST_FAULTS, LEAST_SOUND = 0.1, 0.25, 0.02  # weight of one end; faults that leave a worker the least
-HEAL = 0.8  # part of the faults, and of the worth asked for and won, that is still counted a step later
-SOON, LOOKS = 0.1, 2  # mean jobs that count as no wait; times that load is asked for: own zone, then all
-PATIENCE = 0.17  # part of the time a job can still wait that it may be expected to queue at a worker
-SILENCE, SILENT_JOBS = SECOND // 4, 4.0  # silent after this, and so many mean jobs, without a sign of life
-DISTRUST, LEAST_TRUST = 0.2, 0.02  # a bad sign multiplies trust by this; trust's least
-COLD_SAFETY, GOLDEN = 0.5, 0.618034  # part of the rule-4 budget that is used; spreads turns evenly
-RETRY_AFTER = SECOND  # when a refused client may come back, on the mean
-RETRY_RATIO, RETRY_BURST = 0.1, 10.0  # retries earned by each request; most that are saved up
-LEAST_FIRSTS, HURRIED = 0.25, 3  # part of first tries even in a jam; times that a job may take its mean
-TRIED, AGAIN = 12, 6  # held requests tried at an event; of each lane those whose candidates are asked again
-
-
-@functools.lru_cache(1 << 12)
-def hashed(what: object, count: int = 1) -> list[int]:  # the same in every process, unlike `hash`
-    digest = hashlib.shake_128(repr(what).encode()).digest(8 * count)
-    return [int.from_bytes(digest[8 * n : 8 * n + 8], "big") for n in range(count)]
-
-
-class Policy:
-    """One dispatcher: feed every event to `handle` and carry out what it returns, in order."""
+from rookwood.placement import MIN_PHI, pack
+from rookwood.state import Attempt, Job, PolicyState, Row, WorkerState
+from rookwood.talk import LoadExchange
+
+SECOND = 1_000_000  # times are in microseconds unless said otherwise
+STEP_INTERVAL = 2 * SECOND  # between placement steps; varied at random by up to a quarter
+DEMAND_WEIGHT = 0.4  # weight of the last interval in a key's demand
+RING_POINTS = 32  # of a worker of the largest size
+MAX_RING_STEPS = 128  # ring points visited to find candidates
+MIN_CANDIDATES = 3  # workers of the own zone that are tried for a request, in its key's order
+MAX_CANDIDATES = 6
+WORKERS_PER_CANDIDATE = 8  # within these limits, one candidate for so many listed workers
+LEARNING_RATE = 0.02  # weight of a response in learned service times
+FAULT_WEIGHT = 0.1  # weight of an outcome in a fault rate
+MAX_FAULTS = 0.25  # fault rate from which on a worker has the least health
+MIN_HEALTH = 0.02
+DECAY = 0.8  # part of the fault rates and of the offered and earned worth that a placement step keeps
+NO_WAIT = 0.1  # mean jobs; shorter waits are neglected. Also the price up to which crossing zones is cheap
+MAX_QUERIES = 2  # times that a request has loads queried: for its own zone, then for all zones
+WAIT_SHARE = 0.17  # share of the time a request can still wait that it may be expected to queue at a worker
+SILENCE = SECOND // 4  # without a sign of life for this and SILENT_JOBS, a worker is unresponsive
+SILENT_JOBS = 4.0  # mean jobs
+TRUST_PENALTY = 0.2  # factor on the trust in a suspect worker
+MIN_TRUST = 0.02
+COLD_BUDGET_SHARE = 0.5  # part of the rule-4 budget that is used
+GOLDEN_RATIO = 0.618034  # spreads the dispatchers' turns at a cold worker evenly
+RETRY_AFTER = SECOND  # mean time after which a rejected client may come back
+RETRY_RATIO = 0.1  # retries won by each request
+RETRY_BURST = 10.0  # most retries that are saved up
+MIN_FIRST_TRIES = 0.25  # part of the requests that are first tries even under overload
+SLOW_FACTOR = 3  # a timeout counts as the worker's fault after this many times the expected service time
+HELD_TRIES = 12  # held requests tried at an event
+HELD_QUERIES = 6  # held requests of each queue, the newest, that have loads queried again and again
+
+
+class Policy(PolicyState):
+    """One dispatcher. Pass every event to `handle` and carry out the actions it returns, in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.set, self.rng = settings, random.Random(seed)
-        self.classes = {c.name: c for c in settings.classes}
-        self.answers, self.typical = dict.fromkeys(self.classes, 0), dict.fromkeys(self.classes, 0.0)
-        self.whole: dict[tuple[str, str | None], int] = {}  # time that first tries of (class, tenant) bring
-        self.firsts: dict[tuple[str, str | None], float] = {}  # part of these that names the whole time
-        self.asked, self.won = dict.fromkeys(self.classes, 0.0), dict.fromkeys(self.classes, 0.0)  # worth
-        self.mean = dict.fromkeys(self.classes, 1.0)  # over typical (log of service time over `_base`): tails
-        self.weight = self.job_time = float(max((c.aim for c in settings.classes), default=1))  # the mean
-        self.workers, self.whole_size = dict[str, State](), 0.0  # and the sum of their sizes
-        self.sizes: dict[str, float] = {}  # largest size listed of a kind: that of an idle worker
-        self.jobs: dict[int, Job] = {}
-        self.ring: list[tuple[int, str]] = []  # the one shared order of workers for each key
-        self.lanes: dict[Lane, list[Job]] = defaultdict(list)  # held, newest last
-        self.turns: dict[int, deque[Job]] = {}  # requests of sequential classes by key, oldest first
-        self.rest_until, self.owed = dict[int, int](), dict[tuple[int, int], Job]()  # outcomes to come
-        self.count: dict[Row, float] = defaultdict(float)  # slot-seconds asked for since the last step
-        self.demand: dict[Row, tuple[float, float]] = {}  # level and trend, in slots
-        self.table: Table = {}
-        self.share = {t.name: (t.allowance_per_s / settings.dispatchers, 0.0, 0) for t in settings.tenants}
-        self.due: list[tuple[int, int, Callable[..., None], object]] = []  # what to do when
-        self.timers, self.todo, self.open = list[int](), list[api.Action](), list[State]()  # cold
-        self.talk = Talk(settings, self.workers, self._at, lambda act: self.todo.append(act), self._place)
-        self.now, self.step_at, self.retries, self.stalled, self.eject = -1, 0, RETRY_BURST, False, True
-        self.used, self.seen, self.serial = 0.0, 0.0, itertools.count()  # own slots out, requests counted
+        super().__init__(settings, seed)
+        self.retry_tokens = RETRY_BURST
+        self.talk = LoadExchange(
+            settings, self.workers, self._call_at, lambda act: self.actions.append(act), self._send_or_hold
+        )
         self.on: dict[type, Callable[..., None]] = {
-            api.Request: self._request, api.Outcome: self._outcome, api.WorkersChanged: self._list,
-            api.Note: self._note, api.Timer: lambda e: None, api.Abandoned: self._abandoned,
-            api.Probed: self._probed, api.Heard: self._heard}  # fmt: skip
+            api.Request: self._on_request, api.Outcome: self._on_attempt_ended,
+            api.WorkersChanged: self._on_workers_changed, api.Note: self._on_progress,
+            api.Timer: lambda event: None, api.Abandoned: self._on_abandoned,
+            api.Probed: self._on_probe_result, api.Heard: self._on_hints}  # fmt: skip
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        """Process an event that occurs at time `now`."""
         if now < self.now:
             raise ValueError(f"the clock runs back: {now} after {self.now}")
         if self.now < 0:
             self.step_at = now
-            self._at(now + STEP // 4 + self.rng.randrange(STEP // 4), self._step)
-            self._at(now + self.rng.randrange(SILENCE), self._open)
-            self.todo += [api.Subscribe()] * self.set.subscribe
+            self._call_at(now + STEP_INTERVAL // 4 + self.rng.randrange(STEP_INTERVAL // 4), self._step)
+            self._call_at(now + self.rng.randrange(SILENCE), self._refresh)
+            self.actions += [api.Subscribe()] * self.conf.subscribe
             self.talk.start(self.rng.randrange(SECOND // 2))
-        # A timer that comes late tells of this dispatcher's own pause: silence in it is not the workers'.
+        # A late timer shows that this dispatcher itself stalled: silence meanwhile is not the workers' fault.
         if now > self.now:
-            self.stalled = bool(self.timers) and now - self.timers[0] > SILENCE // 2 + 2 * self.set.tick
+            self.stalled = bool(self.timers) and now - self.timers[0] > SILENCE // 2 + 2 * self.conf.tick
         self.now = now
-        self.talk.tick(now, self.job_time, self.used / len(self.owed) if self.owed else 1.0)
+        self.talk.advance(now, self.job_time, self.used / len(self.pending) if self.pending else 1.0)
         while self.timers and self.timers[0] <= now:
             heapq.heappop(self.timers)
         self.on[type(event)](event)
-        while self.due and self.due[0][0] <= now:
-            _, _, what, about = heapq.heappop(self.due)
-            what(about)
-        if self.due and not (self.timers and self.timers[0] <= self.due[0][0]):  # one timer, for the earliest
-            heapq.heappush(self.timers, self.due[0][0])
-            self.todo.append(api.SetTimer(0, max(0, self.due[0][0] - now)))
-        done, self.todo = self.todo, []
-        return done
+        while self.calls and self.calls[0][0] <= now:
+            _, _, callback, argument = heapq.heappop(self.calls)
+            callback(argument)
+        if self.calls and not (self.timers and self.timers[0] <= self.calls[0][0]):  # one timer only
+            heapq.heappush(self.timers, self.calls[0][0])
+            self.actions.append(api.SetTimer(0, max(0, self.calls[0][0] - now)))
+        actions, self.actions = self.actions, []
+        return actions
 
     def cluster(self) -> api.Cluster:
-        bad = (not w.up or (self.eject and self._sound(w) < 0.5) for w in self.workers.values())
+        """Count the listed workers and those that get hardly any requests."""
+        bad = (not w.is_serving or (self.ejecting and self._health(w) < 0.5) for w in self.workers.values())
         return api.Cluster(len(self.workers), sum(bad))
 
-    def _at(self, when: int, what: Callable[..., None], about: object = None) -> None:
-        heapq.heappush(self.due, (when, next(self.serial), what, about))
+    def _call_at(self, when: int, callback: Callable[..., None], argument: object = None) -> None:
+        heapq.heappush(self.calls, (when, next(self.serial), callback, argument))
 
-    def _request(self, req: api.Request) -> None:
+    def _on_request(self, req: api.Request) -> None:
         if req.id in self.jobs:
             raise ValueError(f"request {req.id} came twice")
         if req.job_class not in self.classes:
@@ -118,340 +106,347 @@
         cls = self.classes[req.job_class]
         group = 1 << max(0, math.ceil(math.log2(max(req.slots, 1.0))))
         row = (cls.kind or "", group, -1 if req.key is None else req.key)
-        lane = (cls.name, self._fairness(req), group)
-        need, service = max(req.slots, req.memory or 0.0), self._base(req) * math.exp(self.typical[cls.name])
-        weight = max(need * service * self.mean[cls.name], self.weight * (not self.answers[cls.name]))
-        value = lane[1] * cls.worth * (service if self.set.worth_by_work else 1.0)
-        job = Job(req, cls, row, lane, need, service, weight, value, self.rng.random())
-        # Load shedding: after its wanted time, counted from the first try, an answer is worth nothing.
-        slack = cls.aim - self._age(req) + (cls.stretch - 1) * job.service
-        job.shed_at = self.now + min(req.time_left - 2 * self.set.tick, int(slack))
+        queue = (cls.name, self._tenant_worth(req), group)
+        need = max(req.slots, req.memory or 0.0)
+        service = self._prior_service_time(req) * math.exp(self.log_factor[cls.name])
+        # A class without a response so far is taken to be no shorter than the mean.
+        slot_time = max(need * service * self.tails[cls.name], self.slot_time * (not self.answers[cls.name]))
+        worth = queue[1] * cls.worth * (service if self.conf.worth_by_work else 1.0)
+        job = Job(req, cls, row, queue, need, service, slot_time, worth, self.rng.random())
+        # Load shedding: past the class's aim, counted from the first try, a response is worth nothing.
+        slack = cls.aim - self._time_since_first_try(req) + (cls.stretch - 1) * job.service
+        job.shed_at = self.now + min(req.time_left - 2 * self.conf.tick, int(slack))
         self.jobs[req.id] = job
-        self.asked[cls.name] += value
-        self.weight += FAULT * (job.weight - self.weight)
-        self.count[row] += service * self.mean[cls.name] * req.slots / SECOND
-        self.seen += 1
-        self.retries = min(RETRY_BURST, self.retries + RETRY_RATIO)
+        self.offered[cls.name] += worth
+        self.slot_time += FAULT_WEIGHT * (job.slot_time - self.slot_time)
+        self.slot_seconds[row] += service * self.tails[cls.name] * req.slots / SECOND
+        self.request_count += 1
+        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
         if cls.sequential and req.key is not None:
-            self.turns.setdefault(req.key, deque()).append(job)
-            self._turn(req.key)
+            self.key_queues.setdefault(req.key, deque()).append(job)
+            self._start_next_of_key(req.key)
         else:
-            self._place(job)
+            self._send_or_hold(job)
         if req.id in self.jobs and not job.attempts:
-            self._at(job.shed_at, self._shed, job)
-
-    def _age(self, req: api.Request) -> int:
-        """Time since the first try. Little time left tells of a repeat, unless clients mark these."""
-        who = (req.job_class, req.tenant if self.set.marks_retry else None)
-        fresh = self.set.marks_retry and not req.is_retry
-        whole = self.whole[who] = req.time_left if fresh else max(self.whole.get(who, 0), req.time_left)
-        # Where hardly anybody names the whole time, clients have grown impatient: these are no repeats.
-        part = self.firsts[who] = 0.85 * self.firsts.get(who, 1.0) + 0.15 * (req.time_left > 0.98 * whole)
-        return 0 if part < LEAST_FIRSTS else whole - req.time_left
-
-    def _fairness(self, req: api.Request) -> float:  # over-share work waits behind, and so is shed first
-        if req.tenant not in self.share:
+            self._call_at(job.shed_at, self._shed_expired, job)
+
+    def _time_since_first_try(self, req: api.Request) -> int:
+        """A short time left shows a retry, unless clients mark their retries."""
+        who = (req.job_class, req.tenant if self.conf.marks_retry else None)
+        first = self.conf.marks_retry and not req.is_retry
+        wait = self.waits[who] = req.time_left if first else max(self.waits.get(who, 0), req.time_left)
+        # Where hardly any request brings the full time, clients have become impatient: these are no retries.
+        ratio = self.firsts[who] = 0.85 * self.firsts.get(who, 1.0) + 0.15 * (req.time_left > 0.98 * wait)
+        return 0 if ratio < MIN_FIRST_TRIES else wait - req.time_left
+
+    def _tenant_worth(self, req: api.Request) -> float:  # over-share requests wait longer and are shed first
+        if req.tenant not in self.tenant_buckets:
             return 1.0
-        rate, level, at = self.share[req.tenant]
+        rate, level, at = self.tenant_buckets[req.tenant]
         level = max(0.0, level - (self.now - at) / SECOND * rate) + 1
         over = level > 2 * rate + 3
-        self.share[req.tenant] = (rate, level - over, self.now)
-        return self.set.over_share_worth if over else 1.0
+        self.tenant_buckets[req.tenant] = (rate, level - over, self.now)
+        return self.conf.over_share_worth if over else 1.0
 
-    def _base(self, req: api.Request) -> float:  # what service is learned against: hint or seed
+    def _prior_service_time(self, req: api.Request) -> float:  # service times are learned as factors of this
         return req.work_hint or max(1.0, self.classes[req.job_class].aim / 2)
 
-    def _worth(self, name: str) -> float:  # of a slot-second; more where the class served worst has its part
+    def _class_worth(self, name: str) -> float:  # of a slot-second; higher for the class served worst
         cls = self.classes[name]
-        worst = min(self.asked, key=lambda n: (self.won[n] + LEAST) / (self.asked[n] + LEAST)) == name
-        up = 1 + self.set.worst_class * worst * sum(self.asked.values()) / (self.asked[name] or LEAST)
-        return cls.worth * up / (self.set.worth_by_work or (cls.aim or 1) * math.exp(self.typical[name]))
-
-    def _turn(self, key: int) -> None:
-        """Rule 5: the first of a key's requests may go, once the key has rested."""
-        queue = self.turns.get(key) or deque()
-        while queue and queue[0].req.id not in self.jobs and all(a.ending for a in queue[0].attempts):
+        worst = min(self.offered, key=lambda n: (self.won[n] + MIN_PHI) / (self.offered[n] + MIN_PHI)) == name
+        up = 1 + self.conf.worst_class * worst * sum(self.offered.values()) / (self.offered[name] or MIN_PHI)
+        return cls.worth * up / (self.conf.worth_by_work or (cls.aim or 1) * math.exp(self.log_factor[name]))
+
+    def _start_next_of_key(self, key: int) -> None:
+        """Rule 5: start the first request of a sequential key once its predecessors and a pause are over."""
+        queue = self.key_queues.get(key) or deque()
+        while queue and queue[0].req.id not in self.jobs and all(a.outcome for a in queue[0].attempts):
             queue.popleft()
-        if self.now < self.rest_until.get(key, 0):
-            self._at(self.rest_until[key], self._turn, key)
+        if self.now < self.paused_until.get(key, 0):
+            self._call_at(self.paused_until[key], self._start_next_of_key, key)
         elif not queue:
-            self.turns.pop(key, None)
-            self.rest_until.pop(key, None)
-        elif queue[0].req.id in self.jobs and not queue[0].attempts and not queue[0].held:
-            self._place(queue[0])
+            self.key_queues.pop(key, None)
+            self.paused_until.pop(key, None)
+        elif queue[0].req.id in self.jobs and not queue[0].attempts and not queue[0].is_held:
+            self._send_or_hold(queue[0])
 
-    def _shed(self, job: Job) -> None:
-        if job.req.id in self.jobs and all(a.ending for a in job.attempts):
-            self._end(job)
+    def _shed_expired(self, job: Job) -> None:
+        if job.req.id in self.jobs and all(a.outcome for a in job.attempts):
+            self._reject_or_fail(job)
 
-    def _end(self, job: Job) -> None:  # refused where a new try does no harm, else failed (rule 2)
+    def _reject_or_fail(self, job: Job) -> None:  # rejected where a retry by the client does no harm (rule 2)
         harmless = job.cls.repeat is Repeat.SAFE or not any(a.may_have_run for a in job.attempts)
         harmless = harmless or (job.cls.repeat is Repeat.KEYED and job.cls.group is Group.ALL)
-        wait = int(RETRY_AFTER * self.rng.uniform(0.5, 1.5))  # refused together is not back together
-        self.todo.append(api.Refuse(job.req.id, wait) if harmless else api.Fail(job.req.id))
-        self._forget(job)
+        wait = int(RETRY_AFTER * self.rng.uniform(0.5, 1.5))  # clients must not all come back at once
+        self.actions.append(api.Refuse(job.req.id, wait) if harmless else api.Fail(job.req.id))
+        self._remove_job(job)
 
-    def _forget(self, job: Job) -> None:
+    def _remove_job(self, job: Job) -> None:
         del self.jobs[job.req.id]
-        self.talk.drop(job)
-        if job.held:
-            job.held = False
-            self.lanes[job.lane].remove(job)
+        self.talk.forget(job)
+        if job.is_held:
+            job.is_held = False
+            self.lanes[job.queue].remove(job)
         if job.cls.sequential and job.req.key is not None:
-            self._turn(job.req.key)
+            self._start_next_of_key(job.req.key)
 
-    def _abandoned(self, event: api.Abandoned) -> None:
+    def _on_abandoned(self, event: api.Abandoned) -> None:
         if job := self.jobs.get(event.request):
-            if self.set.cancel:  # nobody waits for the answer: what has not started need not start
-                self.todo += [api.Cancel(job.req.id, n) for n, a in enumerate(job.attempts) if not a.ending]
-            self._forget(job)
-
-    def _place(self, job: Job) -> None:
-        """Send, or hold: unsent, a request may still go anywhere or be refused."""
-        while not (w := self._draw(job)) and job.looks < LOOKS:
-            job.looks += 1
-            if self.talk.look(job, self._near(job)):
+            if self.conf.cancel:  # nobody waits for the response: a job that has not started need not start
+                self.actions += [
+                    api.Cancel(job.req.id, n) for n, a in enumerate(job.attempts) if not a.outcome
+                ]
+            self._remove_job(job)
+
+    def _send_or_hold(self, job: Job) -> None:
+        """While a request is held, it may still go to any worker or be rejected."""
+        while not (w := self._choose(job)) and job.queries < MAX_QUERIES:
+            job.queries += 1
+            if self.talk.wait_for_load(job, self._candidates(job)):
                 return None
         if w:
             return self._send(job, w)
-        job.held = True
-        return self.lanes[job.lane].append(job)
-
-    def _serve_held(self) -> None:
-        """Most worth first, and newest first: in a jam the oldest would all just miss their time."""
-        tries = TRIED
-        for name in sorted(self.lanes, key=lambda lane: (-lane[1] * self._worth(lane[0]) / lane[2], lane)):
-            lane = self.lanes[name]
-            while lane and tries > 0:
-                tries -= 2  # where the newest fits nowhere, it must not block the rest: any other is tried
-                pair = (lane[-1], lane[self.rng.randrange(len(lane))])
-                job, w = next(((j, w) for j in pair if (w := self._draw(j))), (None, None))
+        job.is_held = True
+        return self.lanes[job.queue].append(job)
+
+    def _send_held(self) -> None:
+        """Most worth first, then newest first: under overload the oldest would all just miss their time."""
+        tries = HELD_TRIES
+        for key in sorted(self.lanes, key=lambda q: (-q[1] * self._class_worth(q[0]) / q[2], q)):
+            queue = self.lanes[key]
+            while queue and tries > 0:
+                tries -= 2  # the newest, and any other, as the newest may fit nowhere
+                pair = (queue[-1], queue[self.rng.randrange(len(queue))])
+                job, w = next(((j, w) for j in pair if (w := self._choose(j))), (None, None))
                 if not (job and w):
                     break
-                lane.remove(job)
-                job.held = False
+                queue.remove(job)
+                job.is_held = False
                 self._send(job, w)
 
-    def _draw(self, job: Job) -> State | None:
-        """Two phi draws, the lower estimate wins. Both busy: spill, or hold."""
-        near = self._near(job)
-        known = [w for w in near if self.talk.known(w)]
-        if job.looks == LOOKS and not any(self.talk.known(w, 1.0) for w in near):
-            known = self.rng.sample(near, len(near))  # nobody tells: all that are blind must not choose alike
-        return next((w for w in known if self._room(job, w)), None)
+    def _choose(self, job: Job) -> WorkerState | None:
+        """The first candidate of known load that has room. None: query loads, or hold the request."""
+        near = self._candidates(job)
+        known = [w for w in near if self.talk.is_load_known(w)]
+        if job.queries == MAX_QUERIES and not any(self.talk.is_load_known(w, 1.0) for w in near):
+            known = self.rng.sample(near, len(near))  # without load data, all must not choose alike
+        return next((w for w in known if self._has_room(job, w)), None)
 
-    def _near(self, job: Job) -> list[State]:
-        """Two phi draws, then spill in the key's own order; own zone first, unless a crossing is cheap."""
+    def _candidates(self, job: Job) -> list[WorkerState]:
+        """Two draws by phi, then workers in the key's ring order, own zone first unless crossing is cheap."""
         names = self.rng.choices(row, [p for _, p in row], k=2) if (row := self.table.get(job.row)) else ()
-        near = [w for name, _ in names if (w := self.workers.get(name)) and self._usable(job, w)]
-        near.sort(key=lambda w: (self._wait(job, w) + job.service * w.slowness) / self._sound(w))
-        reach = max(REACH, min(MOST, len(self.workers) // PART))
-        few, rest, last, cheap = list[State](), list[State](), job.looks == LOOKS, self.set.crossing <= SOON
-        for w in self._ordered(job.req.key):
-            if self._usable(job, w):
-                (few if (cheap or w.info.zone == self.set.zone) and len(few) < reach else rest).append(w)
-                if len(few) == reach and (not last or len(rest) > reach // 2):
+        drawn = [w for name, _ in names if (w := self.workers.get(name)) and self._is_eligible(job, w)]
+        drawn.sort(key=lambda w: (self._delay(job, w) + job.service * w.slowness) / self._health(w))
+        limit = max(MIN_CANDIDATES, min(MAX_CANDIDATES, len(self.workers) // WORKERS_PER_CANDIDATE))
+        near, rest = list[WorkerState](), list[WorkerState]()
+        last, cheap = job.queries == MAX_QUERIES, self.conf.crossing <= NO_WAIT
+        for w in self._ring_order(job.req.key):
+            if self._is_eligible(job, w):
+                (near if (cheap or w.info.zone == self.conf.zone) and len(near) < limit else rest).append(w)
+                if len(near) == limit and (not last or len(rest) > limit // 2):
                     break
-        few += [*rest[: reach // 2 + 1], *(w for w in self.open if self._usable(job, w))][: last * MOST]
-        return sorted([*near, *few], key=lambda w: max(0.0, self._wait(job, w) - SOON * self.job_time))
-
-    def _ordered(self, key: int | None, walk: int = WALK) -> Iterator[State]:
-        """Workers in the key's order: along a ring on which each stands by its size."""
-        many, met = len(self.ring), set()
-        at = 0 if key is None else bisect.bisect_left(self.ring, (hashed(key)[0], ""))
-        for n in range(at, at + min(walk, many)):
-            name = self.ring[self.rng.randrange(many) if key is None else n % many][1]
+        near += [*rest[: limit // 2 + 1], *(w for w in self.cold if self._is_eligible(job, w))][
+            : last * MAX_CANDIDATES
+        ]
+        return sorted([*drawn, *near], key=lambda w: max(0.0, self._delay(job, w) - NO_WAIT * self.job_time))
+
+    def _ring_order(self, key: int | None, steps: int = MAX_RING_STEPS) -> Iterator[WorkerState]:
+        """Workers in the key's order along the ring, on which larger workers have more points."""
+        points, met = len(self.ring), set()
+        start = 0 if key is None else bisect.bisect_left(self.ring, (stable_hashes(key)[0], ""))
+        for n in range(start, start + min(steps, points)):
+            name = self.ring[self.rng.randrange(points) if key is None else n % points][1]
             if name not in met:
                 met.add(name)
                 yield self.workers[name]
 
-    def _usable(self, job: Job, w: State) -> bool:  # rules, job's demands, trust
-        if not w.up or w.info.id == job.not_on or (self.eject and job.luck > self._sound(w)):
+    def _is_eligible(self, job: Job, w: WorkerState) -> bool:  # by the rules, the request's needs and health
+        if not w.is_serving or w.info.id == job.failed_on or (self.ejecting and job.cutoff > self._health(w)):
             return False
-        if job.cls.kind not in (None, w.info.kind) or not self._repeatable(job, w.info):
+        if job.cls.kind not in (None, w.info.kind) or not self._may_run_again(job, w.info):
             return False
         return self.talk.fits(job.need, w)
 
-    def _repeatable(self, job: Job, info: api.Worker) -> bool:  # rule 2
+    def _may_run_again(self, job: Job, info: api.Worker) -> bool:  # rule 2
         ran = next((a for a in job.attempts if a.may_have_run), None)
         if ran is None or job.cls.repeat is Repeat.SAFE:
             return True
-        if job.cls.repeat is Repeat.UNSAFE or self.now >= ran.sent + job.cls.window - 2 * self.set.tick:
+        if job.cls.repeat is Repeat.UNSAFE or self.now >= ran.sent_at + job.cls.window - 2 * self.conf.tick:
             return False
         same = {Group.CELL: ran.worker.cell == info.cell, Group.ZONE: ran.worker.zone == info.zone}
         return same.get(job.cls.group, True)
 
-    def _warmth(self, w: State) -> float:  # slow start: least capacity of a new worker
-        if not w.info.started_at or self.set.warm_up <= 0:
+    def _capacity(self, w: WorkerState) -> float:  # slow start: the part of its capacity that a worker has
+        if not w.info.started_at or self.conf.warm_up <= 0:
             return 1.0
-        age = (self.now - w.info.started_at) / self.set.warm_up
-        return min(1.0, self.set.cold_share + (1 - self.set.cold_share) * max(0.0, age))
+        age = (self.now - w.info.started_at) / self.conf.warm_up
+        return min(1.0, self.conf.cold_share + (1 - self.conf.cold_share) * max(0.0, age))
 
-    def _room(self, job: Job, w: State) -> bool:  # starts soon, pushes no cold worker over
-        if self._warmth(w) < 1.0 and (self._credit(w) < 0 or job.weight * w.slowness > self._budget(w)):
+    def _has_room(self, job: Job, w: WorkerState) -> bool:  # starts soon, within a cold budget
+        if self._capacity(w) < 1.0 and (self._credit(w) < 0 or job.slot_time * w.slowness > self._budget(w)):
             return False
-        usual = 1.25 * (self.used + job.need) * self.sizes[w.info.kind] / max(self.whole_size, LEAST)
-        most = math.ceil(max(job.need, self.talk.slots(w) / self.set.dispatchers, usual))  # else all herd
-        if not (self.set.peers or self.set.probes) and w.used + job.need > most:
+        usual = 1.25 * (self.used + job.need) * self.sizes[w.info.kind] / max(self.total_size, MIN_PHI)
+        most = math.ceil(max(job.need, self.talk.slots(w) / self.conf.dispatchers, usual))  # else all herd
+        if not (self.conf.peers or self.conf.probes) and w.used + job.need > most:
             return False
-        # Late already, it still earns a part of its worth, but only in time that nobody else wants.
-        patience = PATIENCE * (job.shed_at - self.now) if job.looks == LOOKS else SOON * self.job_time
-        return self._wait(job, w) <= max(0.0, patience)
+        # A late response still earns a part of its worth, but only at a worker that is idle.
+        cap = WAIT_SHARE * (job.shed_at - self.now) if job.queries == MAX_QUERIES else NO_WAIT * self.job_time
+        return self._delay(job, w) <= max(0.0, cap)
 
-    def _budget(self, w: State) -> float:  # rule 4: slot-time that all may send within the window
-        return self.set.fall_multiple * self.talk.slots(w) * self._warmth(w) * self.set.fall_window
+    def _budget(self, w: WorkerState) -> float:  # rule 4: slot-time that all may send within the window
+        return self.conf.fall_multiple * self.talk.slots(w) * self._capacity(w) * self.conf.fall_window
 
-    def _credit(self, w: State) -> float:
+    def _credit(self, w: WorkerState) -> float:
         """Own part of a cold worker's budget. All machines read one clock, so parts of less than a job fall
-        due in turn. Unused they lapse within the window, else all would spend what they saved at once."""
-        rate = COLD_SAFETY * self._budget(w) / self.set.fall_window / self.set.dispatchers
-        whole = max(1.0, self.weight * w.slowness)
+        due in turn. Unused parts expire within the window, or all could spend their savings at once."""
+        rate = COLD_BUDGET_SHARE * self._budget(w) / self.conf.fall_window / self.conf.dispatchers
+        whole = max(1.0, self.slot_time * w.slowness)
         if w.credit == math.inf and w.info.started_at:
             turn = rate * (self.now - w.info.started_at) / whole
-            turn -= self.set.me * GOLDEN + hashed(w.info.id)[0] / 2**64
-            w.credit, w.credit_at = (turn % 1.0 - 1) * whole, self.now  # none saved up: who sent what?
+            turn -= self.conf.me * GOLDEN_RATIO + stable_hashes(w.info.id)[0] / 2**64
+            w.credit, w.credit_at = (turn % 1.0 - 1) * whole, self.now  # no savings: past sends are unknown
         w.credit, w.credit_at = w.credit + rate * (self.now - w.credit_at), self.now
-        w.credit -= whole * max(0, math.ceil((w.credit - rate * self.set.fall_window) / whole))
+        w.credit -= whole * max(0, math.ceil((w.credit - rate * self.conf.fall_window) / whole))
         return w.credit
 
-    def _open(self, _: object) -> None:
-        """Cold workers that may get a job now, hardly ever a key's own; and what held jobs hang on, anew."""
-        self._at(self.now + SILENCE, self._open)
-        for job in (job for lane in self.lanes.values() for job in lane[-AGAIN:]):
-            self.talk.ask(self._near(job))
-        self.open = [w for w in self.workers.values() if self._warmth(w) < 1.0 and self._credit(w) >= 0]
+    def _refresh(self, _: object) -> None:
+        """Query loads for held requests, and list cold workers with credit; a key's own hardly ever are."""
+        self._call_at(self.now + SILENCE, self._refresh)
+        for job in (job for queue in self.lanes.values() for job in queue[-HELD_QUERIES:]):
+            self.talk.query_load(self._candidates(job))
+        self.cold = [w for w in self.workers.values() if self._capacity(w) < 1.0 and self._credit(w) >= 0]
 
-    def _wait(self, job: Job, w: State) -> float:
-        slots, others = self.talk.slots(w), self.talk.others(w)
+    def _delay(self, job: Job, w: WorkerState) -> float:  # expected time in the worker's queue
+        slots, others = self.talk.slots(w), self.talk.slots_of_others(w)
         return max(0.0, w.used + others + job.need - slots) / slots * self.job_time * w.slowness
 
-    def _sound(self, w: State) -> float:  # part of its usual requests that it gets
-        over = max(0.0, max(w.faults, w.told_faults) - FAULT)  # a stray one is free
-        return w.trust * max(LEAST_SOUND, 1 - over / (MOST_FAULTS - FAULT))
+    def _health(self, w: WorkerState) -> float:  # part of its usual requests that it gets
+        over = max(0.0, max(w.fault_rate, w.peer_fault_rate) - FAULT_WEIGHT)  # a single fault is free
+        return w.trust * max(MIN_HEALTH, 1 - over / (MAX_FAULTS - FAULT_WEIGHT))
 
-    def _send(self, job: Job, w: State) -> None:
+    def _send(self, job: Job, w: WorkerState) -> None:
         key = (job.req.id, len(job.attempts))
         job.attempts.append(Attempt(w.info, self.now))
-        self.owed[key] = job
+        self.pending[key] = job
         w.used += job.need
         self.used += job.need
-        w.out[key] = job.attempts[-1]
-        w.credit -= job.weight * w.slowness
-        self.todo.append(api.Send(job.req.id, w.info.id))
-        self.talk.tell(w, api.Word.SENT, job.need)
-        self._at(self.now + SILENCE, self._silent, (key, w))
-
-    def _silent(self, about: tuple[tuple[int, int], State]) -> None:
-        # No start or answer: hung, cut off, paused, dead alike. Could harm a worker with one very long job.
+        w.attempts[key] = job.attempts[-1]
+        w.credit -= job.slot_time * w.slowness
+        self.actions.append(api.Send(job.req.id, w.info.id))
+        self.talk.send_hint(w, api.Word.SENT, job.need)
+        self._call_at(self.now + SILENCE, self._check_silence, (key, w))
+
+    def _check_silence(self, about: tuple[tuple[int, int], WorkerState]) -> None:
+        # No start or outcome: the worker hangs, is cut off, stalled or dead. One very long job could harm it.
         key, w = about
-        if (attempt := w.out.get(key)) is None or (self.set.tells_start and attempt.started):
+        if (attempt := w.attempts.get(key)) is None or (self.conf.tells_start and attempt.started_at):
             return
-        jobs = 1.0 if self.set.tells_start else SILENT_JOBS
-        limit = max(w.last_sign, attempt.sent) + SILENCE + int(jobs * self.job_time * max(1.0, w.slowness))
+        jobs = 1.0 if self.conf.tells_start else SILENT_JOBS
+        limit = max(w.alive_at, attempt.sent_at) + SILENCE + int(jobs * self.job_time * max(1.0, w.slowness))
         if self.stalled or self.now < limit:
-            self._at(max(self.now + SILENCE, limit), self._silent, about)
+            self._call_at(max(self.now + SILENCE, limit), self._check_silence, about)
         else:
-            self._doubt(w)
-
-    def _heard(self, said: api.Heard) -> None:
-        """Another one's word can cost a worker requests; it never gives back what own evidence took."""
-        for w, faults in (news := list(self.talk.heard(said))):
-            w.told_faults += FAULT * (faults - w.told_faults)
-        return self._serve_held() if news else None
-
-    def _doubt(self, w: State) -> None:
-        self.talk.tell(w, api.Word.SICK)
-        w.trust = max(LEAST_TRUST, w.trust * DISTRUST)
-
-    def _note(self, note: api.Note) -> None:
-        job, w = self.owed.get((note.request, note.attempt)), self.workers.get(note.worker)
-        if job and note.started and job.attempts[note.attempt].started is None:
-            job.attempts[note.attempt].started = self.now
-        if note.streaming and note.request in self.jobs:  # the attempt is the client's, no deadline runs
-            self._forget(self.jobs[note.request])
+            self._lower_trust(w)
+
+    def _on_hints(self, event: api.Heard) -> None:
+        """Hints can cost a worker requests, but never restore the trust that own observation took away."""
+        for w, faults in (news := list(self.talk.receive_hints(event))):
+            w.peer_fault_rate += FAULT_WEIGHT * (faults - w.peer_fault_rate)
+        return self._send_held() if news else None
+
+    def _lower_trust(self, w: WorkerState) -> None:
+        self.talk.send_hint(w, api.Word.SICK)
+        w.trust = max(MIN_TRUST, w.trust * TRUST_PENALTY)
+
+    def _on_progress(self, event: api.Note) -> None:
+        job, w = self.pending.get((event.request, event.attempt)), self.workers.get(event.worker)
+        if job and event.started and job.attempts[event.attempt].started_at is None:
+            job.attempts[event.attempt].started_at = self.now
+        if event.streaming and event.request in self.jobs:  # its client has the response: no deadline applies
+            self._remove_job(self.jobs[event.request])
         if w:
-            self._alive(w)
+            self._record_life_sign(w)
 
-    def _alive(self, w: State) -> None:
-        w.last_sign, w.trust = self.now, (w.trust + 1) / 2
+    def _record_life_sign(self, w: WorkerState) -> None:
+        w.alive_at, w.trust = self.now, (w.trust + 1) / 2
 
-    def _outcome(self, o: api.Outcome) -> None:
-        key = (o.request, o.attempt)
-        job, w = self.owed.pop(key, None), self.workers.get(o.worker)
+    def _on_attempt_ended(self, event: api.Outcome) -> None:
+        key = (event.request, event.attempt)
+        job, w = self.pending.pop(key, None), self.workers.get(event.worker)
         if job is None:
             return
-        attempt = job.attempts[o.attempt]
-        self.used, attempt.ending = max(0.0, self.used - job.need), o.ending
+        attempt = job.attempts[event.attempt]
+        self.used, attempt.outcome = max(0.0, self.used - job.need), event.ending
         if w:
-            bad = o.ending in (Ending.FAILED, Ending.FULL, Ending.CONNECT_FAILED, Ending.RESET)
-            self.talk.tell(w, api.Word.BAD if bad else api.Word.ENDED, job.need)
-            w.faults += FAULT * (bad - w.faults)
-            if w.out.pop(key, None):  # not one from before a restart under the same id
-                # Work that was given up goes on: its slots stay taken for as long as it is expected to run.
-                left = int(job.service * w.slowness) - attempt.ran(self.now) if attempt.started else 0
-                if left > 0 and o.ending in (Ending.TIMED_OUT, Ending.CANCELLED):
-                    self._at(self.now + left, w.free, job.need)
+            bad = event.ending in (Ending.FAILED, Ending.FULL, Ending.CONNECT_FAILED, Ending.RESET)
+            self.talk.send_hint(w, api.Word.BAD if bad else api.Word.ENDED, job.need)
+            w.fault_rate += FAULT_WEIGHT * (bad - w.fault_rate)
+            if w.attempts.pop(key, None):  # else it was sent before a restart under the same id
+                # A worker goes on with a job that was given up: its slots stay taken for the expected time.
+                left = int(job.service * w.slowness) - attempt.run_time(self.now) if attempt.started_at else 0
+                if left > 0 and event.ending in (Ending.TIMED_OUT, Ending.CANCELLED):
+                    self._call_at(self.now + left, w.release, job.need)
                 else:
-                    w.free(job.need)
-            self.talk.reported(w, o.load)
-            if o.ending is Ending.OK:
-                self._alive(w)
-                self.won[job.cls.name] += job.value * (self.now <= job.shed_at + job.service)
-                if not self.stalled:  # found late, an answer tells this dispatcher's pause for service time
+                    w.release(job.need)
+            self.talk.record_report(w, event.load)
+            if event.ending is Ending.OK:
+                self._record_life_sign(w)
+                self.won[job.cls.name] += job.worth * (self.now <= job.shed_at + job.service)
+                if not self.stalled:  # else the measured time would include this dispatcher's own stall
                     self._learn(job, attempt, w)
-            elif o.ending not in (Ending.CANCELLED, Ending.IGNORED):
-                long = attempt.ran(self.now) > SILENCE + HURRIED * job.service * max(1.0, w.slowness)
-                if long if o.ending is Ending.TIMED_OUT else o.ending is not Ending.FAILED:
-                    self._doubt(w)  # a client's hurry is not its fault, and of failures `faults` knows
+            elif event.ending not in (Ending.CANCELLED, Ending.IGNORED):
+                slow = attempt.run_time(self.now) > SILENCE + SLOW_FACTOR * job.service * max(1.0, w.slowness)
+                if slow if event.ending is Ending.TIMED_OUT else event.ending is not Ending.FAILED:
+                    self._lower_trust(w)  # not for an impatient client, nor for failures: see `fault_rate`
         if job.cls.sequential and job.req.key is not None:
-            if o.ending in (Ending.TIMED_OUT, Ending.RESET, Ending.CANCELLED):
-                self.rest_until[job.req.key] = self.now + self.set.order_settle
-            if o.request not in self.jobs:
-                self._turn(job.req.key)
-        if o.request in self.jobs:
-            self._forget(job) if o.done else self._again(job, attempt)
-        self._serve_held()
-
-    def _again(self, job: Job, attempt: Attempt) -> None:
-        """Retry: where it may have run, from a budget, since retries must not feed a jam."""
-        job.not_on = attempt.worker.id if len(self.workers) > 1 else ""
+            if event.ending in (Ending.TIMED_OUT, Ending.RESET, Ending.CANCELLED):
+                self.paused_until[job.req.key] = self.now + self.conf.order_settle
+            if event.request not in self.jobs:
+                self._start_next_of_key(job.req.key)
+        if event.request in self.jobs:
+            self._remove_job(job) if event.done else self._retry(job, attempt)
+        self._send_held()
+
+    def _retry(self, job: Job, attempt: Attempt) -> None:
+        """An attempt that may have run costs retry budget, since retries must not feed an overload."""
+        job.failed_on = attempt.worker.id if len(self.workers) > 1 else ""
         free = not attempt.may_have_run
-        able = len(job.attempts) < self.set.max_attempts and self.now < job.shed_at
-        if not (able and self._repeatable(job, attempt.worker) and (free or self.retries >= 1)):
-            return self._end(job)
-        self.retries -= not free
-        self._at(job.shed_at, self._shed, job)
-        return self._place(job)
-
-    def _learn(self, job: Job, attempt: Attempt, w: State) -> None:
+        able = len(job.attempts) < self.conf.max_attempts and self.now < job.shed_at
+        if not (able and self._may_run_again(job, attempt.worker) and (free or self.retry_tokens >= 1)):
+            return self._reject_or_fail(job)
+        self.retry_tokens -= not free
+        self._call_at(job.shed_at, self._shed_expired, job)
+        return self._send_or_hold(job)
+
+    def _learn(self, job: Job, attempt: Attempt, w: WorkerState) -> None:
         name = job.cls.name
-        service = max(1, attempt.ran(self.now)) / w.slowness
-        over = math.log(service / self._base(job.req)) - self.typical[name]
+        service = max(1, attempt.run_time(self.now)) / w.slowness
+        over = math.log(service / self._prior_service_time(job.req)) - self.log_factor[name]
         self.answers[name] += 1
-        self.typical[name] += max(LEARN, 1 / (self.answers[name] + 1)) * over
-        self.mean[name] += LEARN * (min(20.0, math.exp(over)) - self.mean[name])
-        self.job_time += LEARN * (service - self.job_time)
-
-    def _probed(self, p: api.Probed) -> None:
-        w = self.workers.get(p.worker)
-        if w and self.talk.reported(w, p.load):
-            self._serve_held()
-        elif w and p.ending in (Ending.CONNECT_FAILED, Ending.TIMED_OUT):  # dead or cut off
-            self._doubt(w)
-
-    def _list(self, event: api.WorkersChanged) -> None:
+        self.log_factor[name] += max(LEARNING_RATE, 1 / (self.answers[name] + 1)) * over
+        self.tails[name] += LEARNING_RATE * (min(20.0, math.exp(over)) - self.tails[name])
+        self.job_time += LEARNING_RATE * (service - self.job_time)
+
+    def _on_probe_result(self, event: api.Probed) -> None:
+        w = self.workers.get(event.worker)
+        if w and self.talk.record_report(w, event.load):
+            self._send_held()
+        elif w and event.ending in (Ending.CONNECT_FAILED, Ending.TIMED_OUT):  # dead or cut off
+            self._lower_trust(w)
+
+    def _on_workers_changed(self, event: api.WorkersChanged) -> None:
         if event.how is api.Listing.LOST:
-            self.todo += [api.Subscribe()] * self.set.subscribe
+            self.actions += [api.Subscribe()] * self.conf.subscribe
             return
-        whole, new = event.how is not api.Listing.CHANGES, list[State]()
-        gone = self.workers.keys() - {w.id for w in event.workers} if whole else set()
+        is_full, new = event.how is not api.Listing.CHANGES, list[WorkerState]()
+        gone = self.workers.keys() - {w.id for w in event.workers} if is_full else set()
         for info in event.workers:
             old, kind = self.workers.get(info.id), info.kind
             self.sizes[kind] = max(self.sizes.get(kind, 0.0), info.size)
             if info.health is Health.DELETED:
                 gone.add(info.id)
             elif old is None or old.info.started_at != info.started_at:
-                new.append(State(info, old.points if old else [], self.now))
+                new.append(WorkerState(info, old.ring_points if old else [], self.now))
             else:
                 old.info = info
         if gone:
@@ -460,47 +455,49 @@
                 del self.workers[name]
         for w in new:
             self.workers[w.info.id] = w
-            if not w.points:  # a restart under the same id keeps its place
-                many = max(1, round(POINTS * self.sizes[w.info.kind] / (max(self.sizes.values()) or 1.0)))
-                w.points = [(place, w.info.id) for place in hashed(w.info.id, many)]
-                self.ring += w.points
+            if not w.ring_points:  # a restart under the same id keeps its points
+                n = max(1, round(RING_POINTS * self.sizes[w.info.kind] / (max(self.sizes.values()) or 1.0)))
+                w.ring_points = [(point, w.info.id) for point in stable_hashes(w.info.id, n)]
+                self.ring += w.ring_points
         if gone or new:
             self.ring.sort()
-            self.whole_size = sum(self.sizes[w.info.kind] for w in self.workers.values()) or LEAST
-        self._serve_held()
+            self.total_size = sum(self.sizes[w.info.kind] for w in self.workers.values()) or MIN_PHI
+        self._send_held()
 
     def _step(self, _: object) -> None:
-        """Steps 1 and 6: extrapolated demand in, the new table out. No demand keeps the last table."""
+        """Steps 1 and 6 of Algorithm 1: from extrapolated demand to a new table. Without demand it stays."""
         span, self.step_at = max(1, self.now - self.step_at) / SECOND, self.now
-        self._at(self.now + STEP * 3 // 4 + self.rng.randrange(STEP // 2), self._step)
+        self._call_at(self.now + STEP_INTERVAL * 3 // 4 + self.rng.randrange(STEP_INTERVAL // 2), self._step)
         slots = sum(self.talk.slots(w) for w in self.workers.values())
         for w in self.workers.values():
-            w.slowness = self.talk.slots(w) * self.whole_size / max(self.sizes[w.info.kind] * slots, LEAST)
-            w.trust, w.faults, w.told_faults = min(1.0, 2 * w.trust), HEAL * w.faults, HEAL * w.told_faults
-        self.asked, self.won = ({n: HEAL * v for n, v in book.items()} for book in (self.asked, self.won))
-        # Where nearly all look bad, the fault is likelier here: ejecting is the harm. A lost zone is half.
-        bad = sum(self._sound(w) < 0.5 for w in self.workers.values())
-        self.eject = 4 * bad <= 3 * len(self.workers)
-        self._serve_held()
-        if not self.count:
+            w.slowness = self.talk.slots(w) * self.total_size / max(self.sizes[w.info.kind] * slots, MIN_PHI)
+            w.trust = min(1.0, 2 * w.trust)
+            w.fault_rate, w.peer_fault_rate = DECAY * w.fault_rate, DECAY * w.peer_fault_rate
+        self.offered, self.won = ({n: DECAY * v for n, v in d.items()} for d in (self.offered, self.won))
+        # Where over 3/4 look bad, the fault is likelier here and ejecting does harm. A lost zone is half.
+        bad = sum(self._health(w) < 0.5 for w in self.workers.values())
+        self.ejecting = 4 * bad <= 3 * len(self.workers)
+        self._send_held()
+        if not self.slot_seconds:
             return
         wanted: dict[Row, float] = {}
-        for row in sorted({*self.count, *self.demand}):
-            rate = self.count.get(row, 0.0) / span
+        for row in sorted({*self.slot_seconds, *self.demand}):
+            rate = self.slot_seconds.get(row, 0.0) / span
             level, trend = self.demand.pop(row, (rate, 0.0))
-            new = level + SMOOTH * (rate - level)
-            trend += SMOOTH * (new - level - trend)
+            new = level + DEMAND_WEIGHT * (rate - level)
+            trend += DEMAND_WEIGHT * (new - level - trend)
             if new > 1e-3:
                 self.demand[row] = (new, trend)
                 wanted[row] = max(new + trend, new / 2)
-        self.count.clear()
-        # What may be chance, or has no key (one table for all would herd), goes along the ring, as `rest`.
+        self.slot_seconds.clear()
+        # What may be chance, by its standard error, and what has no key, which would herd to the few workers
+        # of one row, follows the ring as `rest`.
         total = sum(wanted.values())
-        error = {row: (total / rate / self.seen) ** 0.5 for row, rate in wanted.items()}  # standard error
+        error = {row: (total / rate / self.request_count) ** 0.5 for row, rate in wanted.items()}
         sure = {r: rate * (1 - error[r]) for r, rate in wanted.items() if error[r] < 0.5 and r[2] != -1}
-        self.seen *= 1 - SMOOTH
-        fit = sorted((w for w in self.workers.values() if sure and w.up), key=lambda w: w.points)  # one order
-        size = [self.sizes[w.info.kind] * self._warmth(w) * self._sound(w) for w in fit]
+        self.request_count *= 1 - DEMAND_WEIGHT
+        fit = sorted((w for w in self.workers.values() if sure and w.is_serving), key=lambda w: w.ring_points)
+        size = [self.sizes[w.info.kind] * self._capacity(w) * self._health(w) for w in fit]
         fleet = {w.info.id: (c, w.info.kind, self.talk.slots(w)) for w, c in zip(fit, size, strict=True)}
-        order = lambda key: (w.info.id for w in self._ordered(key, len(self.ring)))  # noqa: E731
+        order = lambda key: (w.info.id for w in self._ring_order(key, len(self.ring)))  # noqa: E731
         self.table = pack(sure, total - sum(sure.values()), fleet, order, self.table)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from rookwood import interface as api
+from rookwood.hashing import stable_hashes
 from rookwood.placement import pack
-from rookwood.policy import hashed
 from rookwood.state import Row, Table
 from tests.world import MS, World, settings, worker
 
@@ -29,7 +29,9 @@
 ) -> Table:
     """`pack` on a fleet, each key with an order of its own."""
     fleet = {w: (c, (kinds or {}).get(w, ""), (slots or {}).get(w, 4.0)) for w, c in capacity.items()}
-    return pack(demand, 0.0, fleet, lambda key: sorted(fleet, key=lambda w: hashed((key, w))), last or {})
+    return pack(
+        demand, 0.0, fleet, lambda key: sorted(fleet, key=lambda w: stable_hashes((key, w))), last or {}
+    )
 
 
 def rows(demand: dict[tuple[int, int], float], kind: str = "") -> dict[Row, float]:
@@ -204,7 +206,7 @@
     else:
         world.advance(3_000 * MS)
     world.advance(10 * MS)
-    return world.policy.eject
+    return world.policy.ejecting
 
 
 def test_when_most_workers_are_silent_nobody_is_ejected() -> None:
@@ -318,14 +320,14 @@
         world = World(settings(dispatchers=100))
         world.list_workers(*(worker(n) for n in range(size)))
         looked = 0
-        usable = world.policy._usable
+        usable = world.policy._is_eligible
 
         def counted(job: object, w: object, usable: object = usable) -> bool:
             nonlocal looked
             looked += 1
             return usable(job, w)  # type: ignore[operator, no-any-return]
 
-        world.policy._usable = counted  # type: ignore[method-assign]
+        world.policy._is_eligible = counted  # type: ignore[method-assign]
         for key in range(300):
             world.ask("fee", key=key % 50)
         timers = sum(isinstance(a, api.SetTimer) for _, a in world.trace)
@@ -345,8 +347,8 @@
             world.end(number, api.Ending.OK)
     world.advance(60_000 * MS)
     policy = world.policy
-    assert not policy.jobs and not policy.owed and not policy.lanes and not policy.turns
-    assert len(policy.due) < 5
+    assert not policy.jobs and not policy.pending and not policy.lanes and not policy.key_queues
+    assert len(policy.calls) < 5
     assert len(policy.demand) < 500
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -209,7 +209,7 @@
     sent: list[int] = []
     for seed in range(60):
         world = World(settings(dispatchers=60, me=seed), seed)
-        world.policy.weight = 300.0 * MS  # as learned long since
+        world.policy.slot_time = 300.0 * MS  # as learned long since
         world.judge_cold = False  # the share of one dispatcher is less than any job: judged in sum, below
         world.list_workers(worker(0, started_at=world.now))
         for key in range(300):
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -8,44 +8,46 @@
 
 from rookwood import interface as api
 from rookwood.interface import Hint, Word
-from rookwood.policy import MOST
-from rookwood.state import State
-from rookwood.talk import KEEPERS, LOOK, MISSED, QUIET, Keepers
+from rookwood.policy import MAX_CANDIDATES
+from rookwood.state import WorkerState
+from rookwood.talk import MAX_MISSED_REPLIES, QUERY_TIMEOUT, SILENT_PEER_PAUSE, TRACKERS_PER_WORKER, Trackers
 from tests.tier import SECOND, Tier
 from tests.world import MS, World, settings, worker
 
 
-def state(number: int) -> State:
-    return State(worker(number), [], 0)
+def state(number: int) -> WorkerState:
+    return WorkerState(worker(number), [], 0)
 
 
 @pytest.mark.parametrize("dispatchers", [1, 3, 4, 40, 200])
 def test_every_dispatcher_names_the_same_few_keepers(dispatchers: int) -> None:
-    some = [Keepers(me, dispatchers) for me in range(min(dispatchers, 7))]
+    some = [Trackers(me, dispatchers) for me in range(min(dispatchers, 7))]
     named = [{n: one.of(state(n)) for n in range(50)} for one in some]
     assert all(one == named[0] for one in named)
-    assert all(len(set(of)) == len(of) == min(KEEPERS, dispatchers) for of in named[0].values())
+    assert all(len(set(of)) == len(of) == min(TRACKERS_PER_WORKER, dispatchers) for of in named[0].values())
     kept = Counter(n for of in named[0].values() for n in of)
-    assert max(kept.values()) <= 50 * KEEPERS / dispatchers + 12  # and no dispatcher keeps most of the books
+    assert (
+        max(kept.values()) <= 50 * TRACKERS_PER_WORKER / dispatchers + 12
+    )  # and no dispatcher keeps most of the books
 
 
 def test_silent_keeper_is_passed_over_and_asked_again_later() -> None:
-    keepers, w = Keepers(199, 200), state(0)
-    first, second = keepers.others(w)[:2]
-    assert keepers.whom(w, 0) == first
-    keepers.silent(first, 0)
-    assert keepers.whom(w, 1) == second
-    keepers.sign(first)
-    assert keepers.whom(w, 2) == first
-    keepers.silent(first, 2)
-    assert keepers.whom(w, 2 + QUIET) == first
+    keepers, w = Trackers(199, 200), state(0)
+    first, second = keepers.others_of(w)[:2]
+    assert keepers.choose_peer(w, 0) == first
+    keepers.record_silence(first, 0)
+    assert keepers.choose_peer(w, 1) == second
+    keepers.record_reply(first)
+    assert keepers.choose_peer(w, 2) == first
+    keepers.record_silence(first, 2)
+    assert keepers.choose_peer(w, 2 + SILENT_PEER_PAUSE) == first
 
 
 def test_where_nobody_answers_nobody_is_waited_for_but_one_tries_at_times() -> None:
-    keepers = Keepers(199, 200)
-    for n in range(MISSED):
-        keepers.silent(n, 0)
-    asked = [keepers.whom(state(7), at) for at in range(0, SECOND, 10 * MS)]
+    keepers = Trackers(199, 200)
+    for n in range(MAX_MISSED_REPLIES):
+        keepers.record_silence(n, 0)
+    asked = [keepers.choose_peer(state(7), at) for at in range(0, SECOND, 10 * MS)]
     assert 0 < sum(peer is not None for peer in asked) <= 3
 
 
@@ -61,7 +63,7 @@
         tier.load(150, 3 * SECOND)
         tier.run(7 * SECOND)
         # Two words to each keeper; a question and its answer for each worker of the own zone in question.
-        assert messages(tier) / tier.ended[api.Ending.OK] < 2 * KEEPERS + 2 * MOST
+        assert messages(tier) / tier.ended[api.Ending.OK] < 2 * TRACKERS_PER_WORKER + 2 * MAX_CANDIDATES
 
 
 @pytest.mark.parametrize("lost", [0.3, 1.0])
@@ -77,7 +79,7 @@
 
 def asking(dispatchers: int = 200) -> tuple[World, int, int]:
     """A request that hangs on one worker's load, its number, and the keeper who is asked."""
-    me = next(n for n in range(dispatchers) if not Keepers(n, dispatchers).mine(state(0)))
+    me = next(n for n in range(dispatchers) if not Trackers(n, dispatchers).includes_me(state(0)))
     world = World(settings(peers=True, dispatchers=dispatchers, me=me))
     world.list_workers(worker(0))
     number = world.ask("fee", key=1)
@@ -95,7 +97,7 @@
 
 def test_request_does_not_wait_for_a_dead_keeper_longer_than_its_limit() -> None:
     world, number, _ = asking()
-    world.advance(2 * LOOK)
+    world.advance(2 * QUERY_TIMEOUT)
     assert world.asked[number].tries
 
 
@@ -107,17 +109,17 @@
 
 def test_request_that_was_sent_meanwhile_is_not_sent_again_with_the_answer() -> None:
     """A sequential request had its turn while load was asked for, and the answer placed it once more."""
-    me = next(n for n in range(200) if not Keepers(n, 200).mine(state(0)))
+    me = next(n for n in range(200) if not Trackers(n, 200).includes_me(state(0)))
     world = World(settings(peers=True, dispatchers=200, me=me, sequential=("vent",)))
     world.list_workers(worker(0))
     number = world.ask("vent", key=1)
     (keeper,) = (a.to[0] for _, a in world.trace if isinstance(a, api.Tell))
     found = world.policy.workers[worker(0).id]
-    found.report_at = world.now  # known by other means
-    world.policy._turn(1)
-    world.policy.workers[worker(0).id].asked = keeper
+    found.reported_at = world.now  # known by other means
+    world.policy._start_next_of_key(1)
+    world.policy.workers[worker(0).id].queried_peer = keeper
     world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
-    world.advance(2 * LOOK)
+    world.advance(2 * QUERY_TIMEOUT)
     assert len([a for _, a in world.trace if isinstance(a, api.Send) and a.request == number]) == 1
 
 
@@ -127,13 +129,13 @@
     for sender in (n for n in range(200) if n != keeper):
         world.feed(api.Heard(sender, (Hint(worker(0).id, Word.LOAD, 99.0, 0.35),)))
     found = world.policy.workers[worker(0).id]
-    assert found.others == 0 and found.told_faults == 0
+    assert found.others_slots == 0 and found.peer_fault_rate == 0
     world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
     assert world.asked[number].tries
 
 
 def test_who_is_new_does_not_answer_for_books_that_it_has_not_kept() -> None:
-    me = next(n for n in range(200) if Keepers(n, 200).mine(state(0)))
+    me = next(n for n in range(200) if Trackers(n, 200).includes_me(state(0)))
     world = World(settings(peers=True, dispatchers=200, me=me))
     world.list_workers(worker(0))
     ask = api.Heard((me + 1) % 200, (Hint(worker(0).id, Word.ASK),))
@@ -146,7 +148,7 @@
 
 def test_each_held_request_has_its_own_workers_asked_again() -> None:
     """Only the newest of a lane had: the others were refused beside workers that had become free."""
-    me = next(n for n in range(200) if not any(Keepers(n, 200).mine(state(w)) for w in range(60)))
+    me = next(n for n in range(200) if not any(Trackers(n, 200).includes_me(state(w)) for w in range(60)))
     world = World(settings(peers=True, dispatchers=200, me=me))
     world.list_workers(*(worker(n) for n in range(60)))
 
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -44,7 +44,7 @@
     for name in dead:
         tier.boxes[name].dead = True
     tier.run(8 * SECOND)
-    assert all(policy.eject for policy in tier.policies)
+    assert all(policy.ejecting for policy in tier.policies)
     assert tier.ended[api.Ending.CONNECT_FAILED] < 4 * len(dead)
     # Half of the dispatchers lose all of their own zone.
     assert tier.count(api.Refuse) + tier.count(api.Fail) < 0.08 * tier.ended[api.Ending.OK]
@@ -82,16 +82,16 @@
     for _ in range(1000):
         told(world, 7, api.Word.SENT)
         told(world, 8, api.Word.BAD)
-    assert len(state.told) <= 100 and world.policy.cluster().avoided == 1
+    assert len(state.tracked_jobs) <= 100 and world.policy.cluster().avoided == 1
     trust = state.trust
     for _ in range(1000):
         told(world, 7, api.Word.ENDED)
     assert state.trust <= trust
-    state.faults = 0.3
-    worth = world.policy._sound(state)
+    state.fault_rate = 0.3
+    worth = world.policy._health(state)
     for _ in range(1000):
         told(world, 7, api.Word.ENDED)
-    assert world.policy._sound(state) <= worth
+    assert world.policy._health(state) <= worth
     world.feed(api.Heard(7, (api.Hint("10.9.9.9:80", api.Word.SENT, 1.0),)))  # of a worker that no list named
 
 
@@ -136,9 +136,9 @@
     """Each keeps to a share of its own; what forty send together must stay under the rule all the same."""
     tier = Tier(probes=True, peers=True)
     born = tier.now
-    conf = tier.policies[0].set
+    conf = tier.policies[0].conf
     for policy in tier.policies:
-        policy.weight = SECOND / 2  # as learned long since
+        policy.slot_time = SECOND / 2  # as learned long since
     tier.tell(tuple(replace(info, started_at=born) for info in tier.infos))
     tier.load(600, 3 * SECOND)  # more than the cold fleet can do
     tier.run(3 * SECOND)
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -99,7 +99,7 @@
     for n in range(60):  # it is well again, and has its trials
         world.end(world.ask("fee", key=n), api.Ending.OK)
         world.advance(200 * MS)
-    assert world.policy._sound(world.policy.workers[bad]) > 0.5
+    assert world.policy._health(world.policy.workers[bad]) > 0.5
 
 
 def test_process_that_follows_knows_what_was_learned() -> None:
@@ -119,12 +119,14 @@
     recall(new.policy, json.loads(text), new.now)
     mine, theirs = old.policy.workers, new.policy.workers
     same = [worker(n).id for n in (0, 2)]
-    assert [(theirs[uid].trust, theirs[uid].faults) for uid in same] == [
-        (mine[uid].trust, mine[uid].faults) for uid in same
+    assert [(theirs[uid].trust, theirs[uid].fault_rate) for uid in same] == [
+        (mine[uid].trust, mine[uid].fault_rate) for uid in same
     ]
-    assert sum(theirs[uid].others for uid in same) == sum(mine[uid].others + mine[uid].used for uid in same)
+    assert sum(theirs[uid].others_slots for uid in same) == sum(
+        mine[uid].others_slots + mine[uid].used for uid in same
+    )
     assert theirs[worker(8).id].trust == 1.0
     assert (new.policy.table, new.policy.demand) == (old.policy.table, old.policy.demand)
-    assert new.policy.typical == old.policy.typical and old.policy.table
+    assert new.policy.log_factor == old.policy.log_factor and old.policy.table
     number = new.ask("fee", key=2)
     assert new.asked[number].tries[-1].worker != worker(0).id
