--- a/rookwood/policy.py
+++ b/rookwood/policy.py
@@ -265,15 +265,18 @@
             return False
         if job.cls.kind not in (None, w.info.kind) or not self._may_run_again(job, w.info):
             return False
-        return self.talk.fits(job.need, w)
+        return self.load_exchange.fits(job.need, w)
 
     def _may_run_again(self, job: Job, info: api.Worker) -> bool:  # rule 2
         ran = next((a for a in job.attempts if a.may_have_run), None)
-        if ran is None or job.cls.repeat is Repeat.SAFE:
+        if ran is None or job.cls.repeat is RetrySafety.SAFE:
             return True
         if job.cls.repeat is Repeat.UNSAFE or self.now >= ran.sent_at + job.cls.window - 2 * self.conf.tick:
             return False
-        same = {Group.CELL: ran.worker.cell == info.cell, Group.ZONE: ran.worker.zone == info.zone}
+        same = {
+            DeduplicationScope.CELL: ran.worker.cell == info.cell,
+            DeduplicationScope.ZONE: ran.worker.zone == info.zone,
+        }
         return same.get(job.cls.group, True)
 
     def _capacity(self, w: WorkerState) -> float:  # slow start: the part of its capacity that a worker has
--- a/rookwood/state.py
+++ b/rookwood/state.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from rookwood import interface as api
-from rookwood.interface import Ending
+from rookwood.interface import Outcome
 
 Row = tuple[str, int, int]
 """A row of the placement table: worker kind that the class is bound to ("" if none), slot group, key (-1 if
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -52,7 +52,7 @@
 
 
 def messages(tier: Tier) -> int:
-    return sum(len(a.to) for _, _, a in tier.done if isinstance(a, api.Tell))
+    return sum(len(a.to) for _, _, a in tier.done if isinstance(a, api.SendHints))
 
 
 def test_messages_a_job_do_not_grow_with_the_fleet() -> None:
@@ -74,7 +74,7 @@
     tier.load(180, 5 * SECOND)  # 90 of 160 slots
     tier.run(10 * SECOND)
     assert sum(wait > 700 * MS for wait in tier.started) < 0.03 * len(tier.started)
-    assert tier.count(api.Refuse) < 0.06 * len(tier.started)
+    assert tier.count(api.Reject) < 0.06 * len(tier.started)
 
 
 def asking(dispatchers: int = 200) -> tuple[World, int, int]:
@@ -83,7 +83,7 @@
     world = World(settings(peers=True, dispatchers=dispatchers, me=me))
     world.list_workers(worker(0))
     number = world.ask("fee", key=1)
-    told = [a for _, a in world.trace if isinstance(a, api.Tell)]
+    told = [a for _, a in world.trace if isinstance(a, api.SendHints)]
     assert [(len(a.to), [h.word for h in a.hints]) for a in told] == [(1, [Word.ASK])]
     return world, number, told[0].to[0]
 
@@ -91,7 +91,7 @@
 def test_request_waits_for_the_answer_and_goes() -> None:
     world, number, keeper = asking()
     assert not world.asked[number].tries
-    world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 1.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, Word.LOAD, 1.0),)))
     assert world.asked[number].tries
 
 
@@ -103,7 +103,7 @@
 
 def test_worker_told_to_be_full_gets_nothing_while_that_is_fresh() -> None:
     world, number, keeper = asking()
-    world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 9.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, Word.LOAD, 9.0),)))
     assert not world.asked[number].tries
 
 
@@ -113,7 +113,7 @@
     world = World(settings(peers=True, dispatchers=200, me=me, sequential=("vent",)))
     world.list_workers(worker(0))
     number = world.ask("vent", key=1)
-    (keeper,) = (a.to[0] for _, a in world.trace if isinstance(a, api.Tell))
+    (keeper,) = (a.to[0] for _, a in world.trace if isinstance(a, api.SendHints))
     found = world.policy.workers[worker(0).id]
     found.reported_at = world.now  # known by other means
     world.policy._start_next_of_key(1)
@@ -127,7 +127,7 @@
     """A liar says of every worker that it is full, or bad."""
     world, number, keeper = asking()
     for sender in (n for n in range(200) if n != keeper):
-        world.feed(api.Heard(sender, (Hint(worker(0).id, Word.LOAD, 99.0, 0.35),)))
+        world.feed(api.HintsReceived(sender, (Hint(worker(0).id, Word.LOAD, 99.0, 0.35),)))
     found = world.policy.workers[worker(0).id]
     assert found.others_slots == 0 and found.peer_fault_rate == 0
     world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
@@ -138,12 +138,12 @@
     me = next(n for n in range(200) if Trackers(n, 200).includes_me(state(0)))
     world = World(settings(peers=True, dispatchers=200, me=me))
     world.list_workers(worker(0))
-    ask = api.Heard((me + 1) % 200, (Hint(worker(0).id, Word.ASK),))
+    ask = api.HintsReceived((me + 1) % 200, (Hint(worker(0).id, Word.ASK),))
     assert not world.feed(ask)
     world.advance(3 * SECOND)
-    world.feed(api.Heard((me + 2) % 200, (Hint(worker(0).id, Word.SENT, 4.0),)))
-    answers = [a for a in world.feed(ask) if isinstance(a, api.Tell)]
-    assert answers == [api.Tell(((me + 1) % 200,), (Hint(worker(0).id, Word.LOAD, 4.0, 0.0),))]
+    world.feed(api.HintsReceived((me + 2) % 200, (Hint(worker(0).id, Word.SENT, 4.0),)))
+    answers = [a for a in world.feed(ask) if isinstance(a, api.SendHints)]
+    assert answers == [api.SendHints(((me + 1) % 200,), (Hint(worker(0).id, Word.LOAD, 4.0, 0.0),))]
 
 
 def test_each_held_request_has_its_own_workers_asked_again() -> None:
@@ -153,7 +153,7 @@
     world.list_workers(*(worker(n) for n in range(60)))
 
     def asked(since: int) -> dict[str, int]:
-        tells = [a for t, a in world.trace if isinstance(a, api.Tell) and t >= since]
+        tells = [a for t, a in world.trace if isinstance(a, api.SendHints) and t >= since]
         return {hint.worker: a.to[0] for a in tells for hint in a.hints if hint.word is Word.ASK}
 
     first: list[set[str]] = []
@@ -162,10 +162,10 @@
         world.ask("fee", key=key)
         for _ in range(3):
             for name, keeper in asked(since).items():
-                world.feed(api.Heard(keeper, (Hint(name, Word.LOAD, 9.0),)))
+                world.feed(api.HintsReceived(keeper, (Hint(name, Word.LOAD, 9.0),)))
         first.append(set(asked(since)))
         world.advance(1)
-    assert len(world.policy.lanes) == 1 and sum(map(len, world.policy.lanes.values())) == 4
+    assert len(world.policy.held_jobs) == 1 and sum(map(len, world.policy.held_jobs.values())) == 4
     since = world.now + 200 * MS
     world.advance(500 * MS)
     assert all(names & set(asked(since)) for names in first)
--- a/tests/test_worker_answers.py
+++ b/tests/test_worker_answers.py
@@ -18,11 +18,11 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from rookwood.dataplane import repeats, upstream
+from rookwood.dataplane import retry_rules, upstream
 from rookwood.httpclient import client as http_client
-from rookwood.httpclient.client import Answer
-from rookwood.httpclient.connections import AnswerProtocol
-from rookwood.httpclient.outcomes import Broken
+from rookwood.httpclient.client import Response
+from rookwood.httpclient.connections import ResponseProtocol
+from rookwood.httpclient.outcomes import ResponseLost
 from rookwood.lab.exchange_clients import ClientHabits
 from rookwood.lab.exchange_judge import (
     EVENTS,
@@ -172,7 +172,7 @@
             self.assertIn(rule, await self.rules_broken(plans, kind))
 
     async def test_a_reset_taken_for_the_end(self) -> None:
-        fault = mock.patch.object(AnswerProtocol, "_break_answer", lambda self, cause: None)
+        fault = mock.patch.object(ResponseProtocol, "_break_answer", lambda self, cause: None)
         plans = [
             Misbehaviour(framing=Framing.UNFRAMED, cut=share / 200, ending=Ending.RESET)
             for share in range(100, 200)
@@ -181,18 +181,18 @@
         await self.assert_found(fault, Rule.ORDER, *plans, kind=RequestKind.STREAM)
 
     async def test_a_break_taken_for_the_end_of_a_stream(self) -> None:
-        read = Answer.read_some
+        read = Response.read_some
 
-        async def read_to_any_end(answer: Answer) -> bytes | Broken:
+        async def read_to_any_end(answer: Response) -> bytes | ResponseLost:
             data = await read(answer)
-            return b"" if isinstance(data, Broken) else data
+            return b"" if isinstance(data, ResponseLost) else data
 
-        fault = mock.patch.object(Answer, "read_some", read_to_any_end)
+        fault = mock.patch.object(Response, "read_some", read_to_any_end)
         plans = [Misbehaviour(framing=Framing.CHUNKED, cut=share / 200) for share in range(100, 200)]
         await self.assert_found(fault, Rule.ORDER, *plans, kind=RequestKind.STREAM)
 
     async def test_an_answer_to_another_request_passed_on(self) -> None:
-        fault = mock.patch.object(upstream, "find_flaw", lambda answer, request: None)
+        fault = mock.patch.object(upstream, "find_response_defect", lambda answer, request: None)
         await self.assert_found(fault, Rule.MIXED, Misbehaviour(identity=Identity.OTHER))
 
     async def test_the_head_of_one_answer_with_the_rest_of_another(self) -> None:
@@ -213,11 +213,11 @@
         await self.assert_found(fault, Rule.TWICE, *[Misbehaviour()] * 3, Misbehaviour(cut=0.0))
 
     async def test_a_request_sent_again_after_a_break(self) -> None:
-        fault = mock.patch.object(repeats.RepeatRules, "may_repeat", lambda *arguments: True)
+        fault = mock.patch.object(retry_rules.RetryRules, "may_retry", lambda *arguments: True)
         await self.assert_found(fault, Rule.TWICE, Misbehaviour(cut=0.0), Misbehaviour(), Misbehaviour())
 
     async def test_a_promise_that_the_worker_did_not_give(self) -> None:
-        fault: Any = mock.patch.object(upstream, "PROMISES", frozenset())
+        fault: Any = mock.patch.object(upstream, "NOT_RUN_STATUSES", frozenset())
         await self.assert_found(fault, Rule.REFUSED, Misbehaviour(reaction=Reaction.FALSE_PROMISE))
 
 
