--- a/rookwood/hints.py
+++ b/rookwood/hints.py
@@ -10,11 +10,11 @@
 import math
 from collections.abc import Iterable, Sequence
 
-from rookwood.interface import Hint, Word
+from rookwood.interface import Hint, HintKind
 
 VERSION = 2
 SIZE, MOST = 4, 64  # bytes of a hint; hints of a message
-WORDS = {word.value: word for word in Word}
+WORDS = {word.value: word for word in HintKind}
 MOST_SLOTS = 255
 LEVEL, MOST_LEVEL = 0.05, 7  # part of jobs that a level of faults stands for
 
@@ -52,9 +52,9 @@
         return tuple(self._decoded(data[at : at + SIZE]) for at in range(0, len(data), SIZE))
 
     def _encoded(self, hint: Hint) -> bytes:
-        level = max(0, min(round(hint.faults / LEVEL), MOST_LEVEL))
+        level = max(0, min(round(hint.fault_rate / LEVEL), MOST_LEVEL))
         slots = max(0, min(math.ceil(hint.slots), MOST_SLOTS))
-        return bytes([VERSION << 6 | hint.word.value << 3 | level, slots]) + mark_of(hint.worker)
+        return bytes([VERSION << 6 | hint.kind.value << 3 | level, slots]) + mark_of(hint.worker)
 
     def _decoded(self, data: bytes) -> Hint:
         version, word, level = data[0] >> 6, data[0] >> 3 & 7, data[0] & 7
--- a/rookwood/interface.py
+++ b/rookwood/interface.py
@@ -156,15 +156,15 @@
 # ---- between dispatchers ----
 
 
-class Word(Enum):
+class HintKind(Enum):
     """What one dispatcher tells another of a worker."""
 
     SENT = 1  # a job went there
     ENDED = 2  # and is over
-    BAD = 3  # and is over, by the worker's fault
-    SICK = 4  # it is silent, or answers no probe
-    ASK = 5  # how full is it?
-    LOAD = 6  # so full, but for the jobs of who asked
+    FAILED = 3  # and is over, by the worker's fault
+    SUSPECT = 4  # it is silent, or answers no probe
+    LOAD_QUERY = 5  # how full is it?
+    LOAD_REPORT = 6  # so full, but for the jobs of who asked
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,9 +172,9 @@
     """May come late, twice, or never; it can make a dispatcher more careful and breaks no rule."""
 
     worker: str
-    word: Word
+    kind: HintKind
     slots: float = 0.0
-    faults: float = 0.0  # part of its jobs that lately ended by its fault; told with `LOAD`
+    fault_rate: float = 0.0  # part of its jobs that lately ended by its fault; told with `LOAD`
 
 
 # ---- events ----
@@ -193,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkersChanged:
-    how: WorkerListKind
+    kind: WorkerListKind
     workers: tuple[Worker, ...] = ()
 
 
@@ -236,9 +236,9 @@
     request: int
     attempt: int
     worker: str
-    ending: Outcome
+    outcome: Outcome
     latency: int
-    done: bool
+    request_done: bool
     load: Mapping[str, float] | None = None  # outstanding, backlog, x0 (free slots); others ignored
 
 
@@ -247,7 +247,7 @@
     """What came of one Probe."""
 
     worker: str
-    ending: Outcome
+    outcome: Outcome
     load: Mapping[str, float] | None = None  # as in Outcome
 
 
--- a/rookwood/load_exchange.py
+++ b/rookwood/load_exchange.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from rookwood import interface as api
-from rookwood.interface import Hint, Word
+from rookwood.interface import Hint, HintKind
 from rookwood.state import Attempt, Job, WorkerState
 
 TRACKERS_PER_WORKER = 4  # what they know outlives the death of three, or a partition
@@ -147,9 +147,9 @@
             return self._tracked_slots(w)
         # Without hints and probes, late reports reach all dispatchers alike, and all would herd.
         if not (self._settings.peers or self._settings.probes):
-            return min(w.others_slots, self.slots(w) * (1 - 1 / self._settings.dispatchers))
+            return min(w.others_slots, self.slots_of(w) * (1 - 1 / self._settings.dispatchers))
         weight = math.exp((w.reported_at - self._now) / self._mean_job_time) if w.reported_at else 0.0
-        return w.others_slots * weight + self._mean_others_share * self.slots(w) * (1 - weight)
+        return w.others_slots * weight + self._mean_others_share * self.slots_of(w) * (1 - weight)
 
     def jobs_to_save(
         self, w: WorkerState, own: Iterable[tuple[Attempt, Job]]
@@ -166,19 +166,19 @@
     def record_load(self, w: WorkerState, others: float) -> None:
         """Record the reported slots of others, and place the requests that waited for this report last."""
         w.others_slots, w.reported_at, w.queried_peer = others, self._now, None
-        self._mean_others_share += LOAD_SMOOTHING * (others / self.slots(w) - self._mean_others_share)
+        self._mean_others_share += LOAD_SMOOTHING * (others / self.slots_of(w) - self._mean_others_share)
         for job, awaited in list(self._waiting.values()):
             awaited.discard(w.info.id)
-            if not awaited and job.req.id in self._waiting:
+            if not awaited and job.request.id in self._waiting:
                 self._end_wait(job)
 
-    def slots(self, w: WorkerState) -> float:
+    def slots_of(self, w: WorkerState) -> float:
         """Return the estimated number of slots of a worker."""
         return max(1.0, round(self.slots_by_kind.get(w.info.kind, INITIAL_SLOTS)))
 
     def fits(self, slots: float, w: WorkerState) -> bool:
         """Whether a worker has that many slots, or at least as many as any other."""
-        return slots <= self.slots(w) or self.slots(w) >= max(self.slots_by_kind.values(), default=0.0)
+        return slots <= self.slots_of(w) or self.slots_of(w) >= max(self.slots_by_kind.values(), default=0.0)
 
     def record_report(self, w: WorkerState, load: Mapping[str, float] | None) -> bool:
         """Learn from a worker's own load report, which is noisy and dated. Return whether it has a load."""
@@ -193,7 +193,9 @@
         # busy worker such a report does not lower the estimate.
         fall = 0.005 if held or 2 * free >= old else 0.0
         self.slots_by_kind[kind] = max(1.0, old + (0.2 if most > old else fall) * (most - old))
-        self.record_load(w, max(0.0, self.slots_by_kind[kind] - free + queue * self._mean_job_slots - w.used))
+        self.record_load(
+            w, max(0.0, self.slots_by_kind[kind] - free + queue * self._mean_job_slots - w.used_slots)
+        )
         return True
 
     def _is_tracked_here(self, w: WorkerState) -> bool:
@@ -212,7 +214,7 @@
         Returns False if all of them are known, so there is nothing to wait for.
         """
         if awaited := self.query_load(workers):
-            self._waiting[job.req.id] = (job, awaited)
+            self._waiting[job.request.id] = (job, awaited)
             self._schedule(self._now + QUERY_TIMEOUT, self._on_wait_timeout, (job, awaited))
         return bool(awaited)
 
@@ -224,18 +226,18 @@
             peer = self._trackers.choose_peer(w, self._now) if self._settings.peers else None
             if peer is not None:
                 w.queried_peer = peer
-                messages[peer].append(Hint(w.info.id, Word.ASK))
+                messages[peer].append(Hint(w.info.id, HintKind.LOAD_QUERY))
                 self._schedule(self._now + QUERY_TIMEOUT, self._on_query_timeout, (w, peer))
             elif self._settings.probes and probed < MAX_PROBES_PER_JOB:
                 probed += 1
                 self._emit(api.Probe(w.info.id))
         for peer, hints in messages.items():
-            self._emit(api.Tell((peer,), tuple(hints)))
+            self._emit(api.SendHints((peer,), tuple(hints)))
         return {w.info.id for w in unknown}
 
     def forget(self, job: Job) -> None:
         """Stop waiting for a load on behalf of a request that has ended."""
-        self._waiting.pop(job.req.id, None)
+        self._waiting.pop(job.request.id, None)
 
     def _on_query_timeout(self, query: tuple[WorkerState, int]) -> None:
         w, peer = query
@@ -245,24 +247,24 @@
 
     def _on_wait_timeout(self, wait: tuple[Job, set[str]]) -> None:
         job, awaited = wait
-        if (entry := self._waiting.get(job.req.id)) and entry[1] is awaited:
+        if (entry := self._waiting.get(job.request.id)) and entry[1] is awaited:
             self._end_wait(job)
 
     def _end_wait(self, job: Job) -> None:
-        """Place a request, unless its key's turn came while it waited and it has been sent or held already."""
-        del self._waiting[job.req.id]
+        """Place a request, unless its key's turn came meanwhile and it has been sent or held already."""
+        del self._waiting[job.request.id]
         if not job.is_held and all(attempt.outcome for attempt in job.attempts):
             self._place(job)
 
     # ---- hints ----
 
-    def send_hint(self, w: WorkerState, kind: Word, slots: float = 0.0) -> None:
+    def send_hint(self, w: WorkerState, kind: HintKind, slots: float = 0.0) -> None:
         """Send a hint about a worker to its trackers."""
         to = self._trackers.others_of(w) if self._settings.peers else ()
         if to:
-            self._emit(api.Tell(to, (Hint(w.info.id, kind, slots),)))
+            self._emit(api.SendHints(to, (Hint(w.info.id, kind, slots),)))
 
-    def receive_hints(self, event: api.Heard) -> Iterable[tuple[WorkerState, float]]:
+    def receive_hints(self, event: api.HintsReceived) -> Iterable[tuple[WorkerState, float]]:
         """Process hints. Yields each worker of which they report an outcome or a fault rate, with that rate.
 
         What follows from a fault rate is left to the policy.
@@ -272,25 +274,27 @@
         for hint in event.hints:
             if (w := self._workers.get(hint.worker)) is None:
                 continue
-            if hint.word is Word.SENT:
+            if hint.kind is HintKind.SENT:
                 until = self._now + int(HINT_LIFETIME * self._mean_job_time * max(1.0, w.slowness))
                 w.tracked_jobs = [*w.tracked_jobs[-MAX_TRACKED_JOBS:], (until, event.sender, hint.slots)]
-            elif hint.word is Word.ASK:
-                used = w.used + self._tracked_slots(w, but=event.sender)
-                replies.append(Hint(hint.worker, Word.LOAD, used, max(w.fault_rate, w.peer_fault_rate)))
-            elif hint.word is Word.LOAD:
+            elif hint.kind is HintKind.LOAD_QUERY:
+                used = w.used_slots + self._tracked_slots(w, but=event.sender)
+                replies.append(
+                    Hint(hint.worker, HintKind.LOAD_REPORT, used, max(w.fault_rate, w.peer_fault_rate))
+                )
+            elif hint.kind is HintKind.LOAD_REPORT:
                 if w.queried_peer == event.sender:  # a load that was not queried is dropped
-                    w.peer_fault_rate = hint.faults
+                    w.peer_fault_rate = hint.fault_rate
                     self.record_load(w, hint.slots)
-                    yield w, hint.faults
+                    yield w, hint.fault_rate
             else:
                 same = (job for job in w.tracked_jobs if job[1:] == (event.sender, hint.slots))
-                if hint.word is not Word.SICK and (job := next(same, None)):
+                if hint.kind is not HintKind.SUSPECT and (job := next(same, None)):
                     w.tracked_jobs.remove(job)
-                yield w, float(hint.word is not Word.ENDED)
+                yield w, float(hint.kind is not HintKind.ENDED)
         # A dispatcher that has just started has tracked nothing yet, so it doesn't reply.
         if replies and self._now - self._started_at > self._mean_job_time:
-            self._emit(api.Tell((event.sender,), tuple(replies)))
+            self._emit(api.SendHints((event.sender,), tuple(replies)))
 
     # ---- periodic probes ----
 
--- a/rookwood/memory.py
+++ b/rookwood/memory.py
@@ -11,12 +11,12 @@
 FORMAT = 5  # another release may write another format
 
 
-def remember(policy: Policy) -> dict[str, Any]:
+def save_learned_state(policy: Policy) -> dict[str, Any]:
     """Return the learned state as values that JSON can hold."""
     workers = {
         w.info.id: w.to_record(
-            policy.talk.slots_of_others(w) + w.used,  # in the new process, open attempts count as another's
-            policy.talk.jobs_to_save(w, ((a, policy.pending[key]) for key, a in w.attempts.items())),
+            policy.loads.slots_of_others(w) + w.used_slots,  # own attempts then count as another's
+            policy.loads.jobs_to_save(w, ((a, policy.pending[key]) for key, a in w.attempts.items())),
         )
         for w in policy.workers.values()
     }
@@ -30,11 +30,11 @@
         "workers": workers,
         "plain": plain,
         "rows": rows,
-        "slots": policy.talk.slots_by_kind,
+        "slots": policy.loads.slots_by_kind,
     }
 
 
-def recall(policy: Policy, memory: dict[str, Any], now: int) -> None:
+def restore_learned_state(policy: Policy, memory: dict[str, Any], now: int) -> None:
     """Restore the state of a policy that has its worker list and no request yet. Raises if it is unusable."""
     if memory["form"] != FORMAT:
         raise ValueError(f"unknown format {memory['form']!r}")
@@ -54,4 +54,4 @@
         w.restore(found, now)
     for name, value in {**plain, **rows}.items():
         setattr(policy, name, value)
-    policy.talk.slots_by_kind.update(memory["slots"])
+    policy.loads.slots_by_kind.update(memory["slots"])
--- a/rookwood/net/policy_driver.py
+++ b/rookwood/net/policy_driver.py
@@ -18,11 +18,11 @@
 from typing import Any
 
 from rookwood import interface as api
-from rookwood.memory import recall, remember
+from rookwood.memory import restore_learned_state, save_learned_state
 from rookwood.net.clock import EPOCH, Clock
 from rookwood.net.destinations import DestinationUpdate, Endpoint, State
 from rookwood.policy import Policy
-from rookwood.site_load import pressure
+from rookwood.site_load import summarize_site_load
 
 log = logging.getLogger(__name__)
 
@@ -265,7 +265,7 @@
         restore_learned_state(self._policy, memory, self._last)
 
     def pressure(self) -> api.SiteLoad:
-        return pressure(self._policy)
+        return summarize_site_load(self._policy)
 
     def cluster(self) -> api.ClusterHealth:
         return self._policy.cluster_health()
--- a/rookwood/policy.py
+++ b/rookwood/policy.py
@@ -1,8 +1,7 @@
 """All decisions of a dispatcher. Inputs and outputs: interface.py; data: state.py; reasons: docs/design.md.
 
 The placement step (Algorithm 1) gives each key a few workers with fractions phi. A request draws two of them
-by phi and goes to the one with the lower estimated time. Everything else handles a departure from this path.
-"""
+by phi and goes to the one with the lower estimated time. All else handles departures from this path."""
 
 import bisect
 import heapq
@@ -12,10 +11,12 @@
 
 from rookwood import interface as api
 from rookwood.hashing import stable_hashes
-from rookwood.interface import Ending, Group, Health, Repeat
+from rookwood.interface import DeduplicationScope as Scope
+from rookwood.interface import Health, Outcome
+from rookwood.interface import RetrySafety as Safety
+from rookwood.load_exchange import LoadExchange
 from rookwood.placement import MIN_PHI, pack
 from rookwood.state import Attempt, Job, PolicyState, Row, WorkerState
-from rookwood.talk import LoadExchange
 
 SECOND = 1_000_000  # times are in microseconds unless said otherwise
 STEP_INTERVAL = 2 * SECOND  # between placement steps; varied at random by up to a quarter
@@ -54,17 +55,16 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.retry_tokens = RETRY_BURST
-        self.talk = LoadExchange(
+        self.loads = LoadExchange(
             settings, self.workers, self._call_at, lambda act: self.actions.append(act), self._send_or_hold
         )
-        self.on: dict[type, Callable[..., None]] = {
-            api.Request: self._on_request, api.Outcome: self._on_attempt_ended,
-            api.WorkersChanged: self._on_workers_changed, api.Note: self._on_progress,
-            api.Timer: lambda event: None, api.Abandoned: self._on_abandoned,
-            api.Probed: self._on_probe_result, api.Heard: self._on_hints}  # fmt: skip
+        self.event_handlers: dict[type, Callable[..., None]] = {
+            api.Request: self._on_request, api.AttemptEnded: self._on_attempt_ended,
+            api.WorkersChanged: self._on_workers_changed, api.AttemptProgress: self._on_progress,
+            api.Timer: lambda event: None, api.RequestAbandoned: self._on_abandoned,
+            api.ProbeResult: self._on_probe_result, api.HintsReceived: self._on_hints}  # fmt: skip
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Process an event that occurs at time `now`."""
         if now < self.now:
             raise ValueError(f"the clock runs back: {now} after {self.now}")
         if self.now < 0:
@@ -72,15 +72,15 @@
             self._call_at(now + STEP_INTERVAL // 4 + self.rng.randrange(STEP_INTERVAL // 4), self._step)
             self._call_at(now + self.rng.randrange(SILENCE), self._refresh)
             self.actions += [api.Subscribe()] * self.conf.subscribe
-            self.talk.start(self.rng.randrange(SECOND // 2))
+            self.loads.start(self.rng.randrange(SECOND // 2))
         # A late timer shows that this dispatcher itself stalled: silence meanwhile is not the workers' fault.
         if now > self.now:
             self.stalled = bool(self.timers) and now - self.timers[0] > SILENCE // 2 + 2 * self.conf.tick
         self.now = now
-        self.talk.advance(now, self.job_time, self.used / len(self.pending) if self.pending else 1.0)
+        self.loads.advance(now, self.job_time, self.used_slots / len(self.pending) if self.pending else 1.0)
         while self.timers and self.timers[0] <= now:
             heapq.heappop(self.timers)
-        self.on[type(event)](event)
+        self.event_handlers[type(event)](event)
         while self.calls and self.calls[0][0] <= now:
             _, _, callback, argument = heapq.heappop(self.calls)
             callback(argument)
@@ -90,10 +90,10 @@
         actions, self.actions = self.actions, []
         return actions
 
-    def cluster(self) -> api.Cluster:
+    def cluster_health(self) -> api.ClusterHealth:
         """Count the listed workers and those that get hardly any requests."""
         bad = (not w.is_serving or (self.ejecting and self._health(w) < 0.5) for w in self.workers.values())
-        return api.Cluster(len(self.workers), sum(bad))
+        return api.ClusterHealth(len(self.workers), sum(bad))
 
     def _call_at(self, when: int, callback: Callable[..., None], argument: object = None) -> None:
         heapq.heappush(self.calls, (when, next(self.serial), callback, argument))
@@ -160,41 +160,41 @@
     def _start_next_of_key(self, key: int) -> None:
         """Rule 5: start the first request of a sequential key once its predecessors and a pause are over."""
         queue = self.key_queues.get(key) or deque()
-        while queue and queue[0].req.id not in self.jobs and all(a.outcome for a in queue[0].attempts):
+        while queue and queue[0].request.id not in self.jobs and all(a.outcome for a in queue[0].attempts):
             queue.popleft()
         if self.now < self.paused_until.get(key, 0):
             self._call_at(self.paused_until[key], self._start_next_of_key, key)
         elif not queue:
             self.key_queues.pop(key, None)
             self.paused_until.pop(key, None)
-        elif queue[0].req.id in self.jobs and not queue[0].attempts and not queue[0].is_held:
+        elif queue[0].request.id in self.jobs and not queue[0].attempts and not queue[0].is_held:
             self._send_or_hold(queue[0])
 
     def _shed_expired(self, job: Job) -> None:
-        if job.req.id in self.jobs and all(a.outcome for a in job.attempts):
+        if job.request.id in self.jobs and all(a.outcome for a in job.attempts):
             self._reject_or_fail(job)
 
     def _reject_or_fail(self, job: Job) -> None:  # rejected where a retry by the client does no harm (rule 2)
-        harmless = job.cls.repeat is Repeat.SAFE or not any(a.may_have_run for a in job.attempts)
-        harmless = harmless or (job.cls.repeat is Repeat.KEYED and job.cls.group is Group.ALL)
+        harmless = job.cls.repeat is Safety.SAFE or not any(a.may_have_run for a in job.attempts)
+        harmless = harmless or (job.cls.repeat is Safety.KEYED and job.cls.group is Scope.ALL)
         wait = int(RETRY_AFTER * self.rng.uniform(0.5, 1.5))  # clients must not all come back at once
-        self.actions.append(api.Refuse(job.req.id, wait) if harmless else api.Fail(job.req.id))
+        self.actions.append(api.Reject(job.request.id, wait) if harmless else api.Fail(job.request.id))
         self._remove_job(job)
 
     def _remove_job(self, job: Job) -> None:
-        del self.jobs[job.req.id]
-        self.talk.forget(job)
+        del self.jobs[job.request.id]
+        self.loads.forget(job)
         if job.is_held:
             job.is_held = False
-            self.lanes[job.queue].remove(job)
-        if job.cls.sequential and job.req.key is not None:
-            self._start_next_of_key(job.req.key)
+            self.held_jobs[job.queue].remove(job)
+        if job.cls.sequential and job.request.key is not None:
+            self._start_next_of_key(job.request.key)
 
-    def _on_abandoned(self, event: api.Abandoned) -> None:
+    def _on_abandoned(self, event: api.RequestAbandoned) -> None:
         if job := self.jobs.get(event.request):
             if self.conf.cancel:  # nobody waits for the response: a job that has not started need not start
                 self.actions += [
-                    api.Cancel(job.req.id, n) for n, a in enumerate(job.attempts) if not a.outcome
+                    api.Cancel(job.request.id, n) for n, a in enumerate(job.attempts) if not a.outcome
                 ]
             self._remove_job(job)
 
@@ -202,18 +202,18 @@
         """While a request is held, it may still go to any worker or be rejected."""
         while not (w := self._choose(job)) and job.queries < MAX_QUERIES:
             job.queries += 1
-            if self.talk.wait_for_load(job, self._candidates(job)):
+            if self.loads.wait_for_load(job, self._candidates(job)):
                 return None
         if w:
             return self._send(job, w)
         job.is_held = True
-        return self.lanes[job.queue].append(job)
+        return self.held_jobs[job.queue].append(job)
 
     def _send_held(self) -> None:
         """Most worth first, then newest first: under overload the oldest would all just miss their time."""
         tries = HELD_TRIES
-        for key in sorted(self.lanes, key=lambda q: (-q[1] * self._class_worth(q[0]) / q[2], q)):
-            queue = self.lanes[key]
+        for key in sorted(self.held_jobs, key=lambda q: (-q[1] * self._class_worth(q[0]) / q[2], q)):
+            queue = self.held_jobs[key]
             while queue and tries > 0:
                 tries -= 2  # the newest, and any other, as the newest may fit nowhere
                 pair = (queue[-1], queue[self.rng.randrange(len(queue))])
@@ -227,8 +227,8 @@
     def _choose(self, job: Job) -> WorkerState | None:
         """The first candidate of known load that has room. None: query loads, or hold the request."""
         near = self._candidates(job)
-        known = [w for w in near if self.talk.is_load_known(w)]
-        if job.queries == MAX_QUERIES and not any(self.talk.is_load_known(w, 1.0) for w in near):
+        known = [w for w in near if self.loads.is_load_known(w)]
+        if job.queries == MAX_QUERIES and not any(self.loads.is_load_known(w, 1.0) for w in near):
             known = self.rng.sample(near, len(near))  # without load data, all must not choose alike
         return next((w for w in known if self._has_room(job, w)), None)
 
@@ -240,7 +240,7 @@
         limit = max(MIN_CANDIDATES, min(MAX_CANDIDATES, len(self.workers) // WORKERS_PER_CANDIDATE))
         near, rest = list[WorkerState](), list[WorkerState]()
         last, cheap = job.queries == MAX_QUERIES, self.conf.crossing <= NO_WAIT
-        for w in self._ring_order(job.req.key):
+        for w in self._ring_order(job.request.key):
             if self._is_eligible(job, w):
                 (near if (cheap or w.info.zone == self.conf.zone) and len(near) < limit else rest).append(w)
                 if len(near) == limit and (not last or len(rest) > limit // 2):
@@ -265,18 +265,15 @@
             return False
         if job.cls.kind not in (None, w.info.kind) or not self._may_run_again(job, w.info):
             return False
-        return self.load_exchange.fits(job.need, w)
+        return self.loads.fits(job.need, w)
 
     def _may_run_again(self, job: Job, info: api.Worker) -> bool:  # rule 2
         ran = next((a for a in job.attempts if a.may_have_run), None)
-        if ran is None or job.cls.repeat is RetrySafety.SAFE:
+        if ran is None or job.cls.repeat is Safety.SAFE:
             return True
-        if job.cls.repeat is Repeat.UNSAFE or self.now >= ran.sent_at + job.cls.window - 2 * self.conf.tick:
+        if job.cls.repeat is Safety.UNSAFE or self.now >= ran.sent_at + job.cls.window - 2 * self.conf.tick:
             return False
-        same = {
-            DeduplicationScope.CELL: ran.worker.cell == info.cell,
-            DeduplicationScope.ZONE: ran.worker.zone == info.zone,
-        }
+        same = {Scope.CELL: ran.worker.cell == info.cell, Scope.ZONE: ran.worker.zone == info.zone}
         return same.get(job.cls.group, True)
 
     def _capacity(self, w: WorkerState) -> float:  # slow start: the part of its capacity that a worker has
@@ -288,16 +285,16 @@
     def _has_room(self, job: Job, w: WorkerState) -> bool:  # starts soon, within a cold budget
         if self._capacity(w) < 1.0 and (self._credit(w) < 0 or job.slot_time * w.slowness > self._budget(w)):
             return False
-        usual = 1.25 * (self.used + job.need) * self.sizes[w.info.kind] / max(self.total_size, MIN_PHI)
-        most = math.ceil(max(job.need, self.talk.slots(w) / self.conf.dispatchers, usual))  # else all herd
-        if not (self.conf.peers or self.conf.probes) and w.used + job.need > most:
+        usual = 1.25 * (self.used_slots + job.need) * self.sizes[w.info.kind] / max(self.total_size, MIN_PHI)
+        most = math.ceil(max(job.need, self.loads.slots_of(w) / self.conf.dispatchers, usual))  # or all herd
+        if not (self.conf.peers or self.conf.probes) and w.used_slots + job.need > most:
             return False
         # A late response still earns a part of its worth, but only at a worker that is idle.
         cap = WAIT_SHARE * (job.shed_at - self.now) if job.queries == MAX_QUERIES else NO_WAIT * self.job_time
         return self._delay(job, w) <= max(0.0, cap)
 
     def _budget(self, w: WorkerState) -> float:  # rule 4: slot-time that all may send within the window
-        return self.conf.fall_multiple * self.talk.slots(w) * self._capacity(w) * self.conf.fall_window
+        return self.conf.fall_multiple * self.loads.slots_of(w) * self._capacity(w) * self.conf.fall_window
 
     def _credit(self, w: WorkerState) -> float:
         """Own part of a cold worker's budget. All machines read one clock, so parts of less than a job fall
@@ -315,28 +312,28 @@
     def _refresh(self, _: object) -> None:
         """Query loads for held requests, and list cold workers with credit; a key's own hardly ever are."""
         self._call_at(self.now + SILENCE, self._refresh)
-        for job in (job for queue in self.lanes.values() for job in queue[-HELD_QUERIES:]):
-            self.talk.query_load(self._candidates(job))
+        for job in (job for queue in self.held_jobs.values() for job in queue[-HELD_QUERIES:]):
+            self.loads.query_load(self._candidates(job))
         self.cold = [w for w in self.workers.values() if self._capacity(w) < 1.0 and self._credit(w) >= 0]
 
     def _delay(self, job: Job, w: WorkerState) -> float:  # expected time in the worker's queue
-        slots, others = self.talk.slots(w), self.talk.slots_of_others(w)
-        return max(0.0, w.used + others + job.need - slots) / slots * self.job_time * w.slowness
+        slots, others = self.loads.slots_of(w), self.loads.slots_of_others(w)
+        return max(0.0, w.used_slots + others + job.need - slots) / slots * self.job_time * w.slowness
 
     def _health(self, w: WorkerState) -> float:  # part of its usual requests that it gets
         over = max(0.0, max(w.fault_rate, w.peer_fault_rate) - FAULT_WEIGHT)  # a single fault is free
         return w.trust * max(MIN_HEALTH, 1 - over / (MAX_FAULTS - FAULT_WEIGHT))
 
     def _send(self, job: Job, w: WorkerState) -> None:
-        key = (job.req.id, len(job.attempts))
+        key = (job.request.id, len(job.attempts))
         job.attempts.append(Attempt(w.info, self.now))
         self.pending[key] = job
-        w.used += job.need
-        self.used += job.need
+        w.used_slots += job.need
+        self.used_slots += job.need
         w.attempts[key] = job.attempts[-1]
         w.credit -= job.slot_time * w.slowness
-        self.actions.append(api.Send(job.req.id, w.info.id))
-        self.talk.send_hint(w, api.Word.SENT, job.need)
+        self.actions.append(api.Send(job.request.id, w.info.id))
+        self.loads.send_hint(w, api.HintKind.SENT, job.need)
         self._call_at(self.now + SILENCE, self._check_silence, (key, w))
 
     def _check_silence(self, about: tuple[tuple[int, int], WorkerState]) -> None:
@@ -351,17 +348,17 @@
         else:
             self._lower_trust(w)
 
-    def _on_hints(self, event: api.Heard) -> None:
+    def _on_hints(self, event: api.HintsReceived) -> None:
         """Hints can cost a worker requests, but never restore the trust that own observation took away."""
-        for w, faults in (news := list(self.talk.receive_hints(event))):
+        for w, faults in (news := list(self.loads.receive_hints(event))):
             w.peer_fault_rate += FAULT_WEIGHT * (faults - w.peer_fault_rate)
         return self._send_held() if news else None
 
     def _lower_trust(self, w: WorkerState) -> None:
-        self.talk.send_hint(w, api.Word.SICK)
+        self.loads.send_hint(w, api.HintKind.SUSPECT)
         w.trust = max(MIN_TRUST, w.trust * TRUST_PENALTY)
 
-    def _on_progress(self, event: api.Note) -> None:
+    def _on_progress(self, event: api.AttemptProgress) -> None:
         job, w = self.pending.get((event.request, event.attempt)), self.workers.get(event.worker)
         if job and event.started and job.attempts[event.attempt].started_at is None:
             job.attempts[event.attempt].started_at = self.now
@@ -373,41 +370,41 @@
     def _record_life_sign(self, w: WorkerState) -> None:
         w.alive_at, w.trust = self.now, (w.trust + 1) / 2
 
-    def _on_attempt_ended(self, event: api.Outcome) -> None:
+    def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
         key = (event.request, event.attempt)
         job, w = self.pending.pop(key, None), self.workers.get(event.worker)
         if job is None:
             return
         attempt = job.attempts[event.attempt]
-        self.used, attempt.outcome = max(0.0, self.used - job.need), event.ending
+        self.used_slots, attempt.outcome = max(0.0, self.used_slots - job.need), event.outcome
         if w:
-            bad = event.ending in (Ending.FAILED, Ending.FULL, Ending.CONNECT_FAILED, Ending.RESET)
-            self.talk.send_hint(w, api.Word.BAD if bad else api.Word.ENDED, job.need)
+            bad = event.outcome in (Outcome.FAILED, Outcome.QUEUE_FULL, Outcome.CONNECT_FAILED, Outcome.RESET)
+            self.loads.send_hint(w, api.HintKind.FAILED if bad else api.HintKind.ENDED, job.need)
             w.fault_rate += FAULT_WEIGHT * (bad - w.fault_rate)
             if w.attempts.pop(key, None):  # else it was sent before a restart under the same id
                 # A worker goes on with a job that was given up: its slots stay taken for the expected time.
                 left = int(job.service * w.slowness) - attempt.run_time(self.now) if attempt.started_at else 0
-                if left > 0 and event.ending in (Ending.TIMED_OUT, Ending.CANCELLED):
+                if left > 0 and event.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
                     self._call_at(self.now + left, w.release, job.need)
                 else:
                     w.release(job.need)
-            self.talk.record_report(w, event.load)
-            if event.ending is Ending.OK:
+            self.loads.record_report(w, event.load)
+            if event.outcome is Outcome.OK:
                 self._record_life_sign(w)
                 self.won[job.cls.name] += job.worth * (self.now <= job.shed_at + job.service)
                 if not self.stalled:  # else the measured time would include this dispatcher's own stall
                     self._learn(job, attempt, w)
-            elif event.ending not in (Ending.CANCELLED, Ending.IGNORED):
+            elif event.outcome not in (Outcome.CANCELLED, Outcome.IGNORED):
                 slow = attempt.run_time(self.now) > SILENCE + SLOW_FACTOR * job.service * max(1.0, w.slowness)
-                if slow if event.ending is Ending.TIMED_OUT else event.ending is not Ending.FAILED:
+                if slow if event.outcome is Outcome.TIMED_OUT else event.outcome is not Outcome.FAILED:
                     self._lower_trust(w)  # not for an impatient client, nor for failures: see `fault_rate`
-        if job.cls.sequential and job.req.key is not None:
-            if event.ending in (Ending.TIMED_OUT, Ending.RESET, Ending.CANCELLED):
-                self.paused_until[job.req.key] = self.now + self.conf.order_settle
+        if job.cls.sequential and job.request.key is not None:
+            if event.outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
+                self.paused_until[job.request.key] = self.now + self.conf.order_settle
             if event.request not in self.jobs:
-                self._start_next_of_key(job.req.key)
+                self._start_next_of_key(job.request.key)
         if event.request in self.jobs:
-            self._remove_job(job) if event.done else self._retry(job, attempt)
+            self._remove_job(job) if event.request_done else self._retry(job, attempt)
         self._send_held()
 
     def _retry(self, job: Job, attempt: Attempt) -> None:
@@ -424,24 +421,24 @@
     def _learn(self, job: Job, attempt: Attempt, w: WorkerState) -> None:
         name = job.cls.name
         service = max(1, attempt.run_time(self.now)) / w.slowness
-        over = math.log(service / self._prior_service_time(job.req)) - self.log_factor[name]
+        over = math.log(service / self._prior_service_time(job.request)) - self.log_factor[name]
         self.answers[name] += 1
         self.log_factor[name] += max(LEARNING_RATE, 1 / (self.answers[name] + 1)) * over
         self.tails[name] += LEARNING_RATE * (min(20.0, math.exp(over)) - self.tails[name])
         self.job_time += LEARNING_RATE * (service - self.job_time)
 
-    def _on_probe_result(self, event: api.Probed) -> None:
+    def _on_probe_result(self, event: api.ProbeResult) -> None:
         w = self.workers.get(event.worker)
-        if w and self.talk.record_report(w, event.load):
+        if w and self.loads.record_report(w, event.load):
             self._send_held()
-        elif w and event.ending in (Ending.CONNECT_FAILED, Ending.TIMED_OUT):  # dead or cut off
+        elif w and event.outcome in (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT):  # dead or cut off
             self._lower_trust(w)
 
     def _on_workers_changed(self, event: api.WorkersChanged) -> None:
-        if event.how is api.Listing.LOST:
+        if event.kind is api.WorkerListKind.LOST:
             self.actions += [api.Subscribe()] * self.conf.subscribe
             return
-        is_full, new = event.how is not api.Listing.CHANGES, list[WorkerState]()
+        is_full, new = event.kind is not api.WorkerListKind.CHANGES, list[WorkerState]()
         gone = self.workers.keys() - {w.id for w in event.workers} if is_full else set()
         for info in event.workers:
             old, kind = self.workers.get(info.id), info.kind
@@ -471,9 +468,11 @@
         """Steps 1 and 6 of Algorithm 1: from extrapolated demand to a new table. Without demand it stays."""
         span, self.step_at = max(1, self.now - self.step_at) / SECOND, self.now
         self._call_at(self.now + STEP_INTERVAL * 3 // 4 + self.rng.randrange(STEP_INTERVAL // 2), self._step)
-        slots = sum(self.talk.slots(w) for w in self.workers.values())
+        slots = sum(self.loads.slots_of(w) for w in self.workers.values())
         for w in self.workers.values():
-            w.slowness = self.talk.slots(w) * self.total_size / max(self.sizes[w.info.kind] * slots, MIN_PHI)
+            w.slowness = (
+                self.loads.slots_of(w) * self.total_size / max(self.sizes[w.info.kind] * slots, MIN_PHI)
+            )
             w.trust = min(1.0, 2 * w.trust)
             w.fault_rate, w.peer_fault_rate = DECAY * w.fault_rate, DECAY * w.peer_fault_rate
         self.offered, self.won = ({n: DECAY * v for n, v in d.items()} for d in (self.offered, self.won))
@@ -493,14 +492,13 @@
                 self.demand[row] = (new, trend)
                 wanted[row] = max(new + trend, new / 2)
         self.slot_seconds.clear()
-        # What may be chance, by its standard error, and what has no key, which would herd to the few workers
-        # of one row, follows the ring as `rest`.
+        # What may be chance, or has no key (all of it would herd to one row), follows the ring as `rest`.
         total = sum(wanted.values())
         error = {row: (total / rate / self.request_count) ** 0.5 for row, rate in wanted.items()}
         sure = {r: rate * (1 - error[r]) for r, rate in wanted.items() if error[r] < 0.5 and r[2] != -1}
         self.request_count *= 1 - DEMAND_WEIGHT
         fit = sorted((w for w in self.workers.values() if sure and w.is_serving), key=lambda w: w.ring_points)
         size = [self.sizes[w.info.kind] * self._capacity(w) * self._health(w) for w in fit]
-        fleet = {w.info.id: (c, w.info.kind, self.talk.slots(w)) for w, c in zip(fit, size, strict=True)}
+        fleet = {w.info.id: (c, w.info.kind, self.loads.slots_of(w)) for w, c in zip(fit, size, strict=True)}
         order = lambda key: (w.info.id for w in self._ring_order(key, len(self.ring)))  # noqa: E731
         self.table = pack(sure, total - sum(sure.values()), fleet, order, self.table)
--- a/rookwood/state.py
+++ b/rookwood/state.py
@@ -35,7 +35,7 @@
     worker: api.Worker
     sent_at: int
     started_at: int | None = None
-    outcome: Ending | None = None  # None until the attempt ends
+    outcome: Outcome | None = None  # None until the attempt ends
 
     @property
     def may_have_run(self) -> bool:
@@ -51,7 +51,7 @@
 class Job:
     """A request without a final response, and its attempts."""
 
-    req: api.Request
+    request: api.Request
     cls: api.JobClass
     row: Row
     queue: HoldQueue
@@ -78,7 +78,7 @@
     fault_rate: float = 0.0  # fraction of this dispatcher's recent attempts that ended by the worker's fault
     peer_fault_rate: float = 0.0  # the same for the attempts of other dispatchers, from their hints
     trust: float = 1.0  # from 0 to 1; lowered by silence, timeouts and failed probes seen by this dispatcher
-    used: float = 0.0  # slots of this dispatcher's open attempts
+    used_slots: float = 0.0  # slots of this dispatcher's open attempts
     others_slots: float = 0.0  # slots that other dispatchers use, as last reported by a hint or a probe
     queried_peer: int | None = None  # the dispatcher whose reply about this worker's load is awaited
     trackers: tuple[int, ...] = ()  # the dispatchers that receive hints of every job here
@@ -96,7 +96,7 @@
 
     def release(self, slots: float) -> None:
         """Free slots of an attempt that has ended."""
-        self.used = max(0.0, self.used - slots)
+        self.used_slots = max(0.0, self.used_slots - slots)
 
     def to_record(self, others: float, tracked_jobs: list[tuple[int, int, float]]) -> dict[str, Any]:
         """Return the part of this state that outlives the process, under the keys of the stored document."""
@@ -146,11 +146,11 @@
 
         # Requests.
         self.jobs: dict[int, Job] = {}  # by request id
-        self.lanes: dict[HoldQueue, list[Job]] = defaultdict(list)  # held requests, newest last
+        self.held_jobs: dict[HoldQueue, list[Job]] = defaultdict(list)  # held requests, newest last
         self.key_queues: dict[int, deque[Job]] = {}  # requests of sequential classes by key, oldest first
         self.paused_until: dict[int, int] = {}  # by sequential key: it starts nothing before this time
         self.pending: dict[tuple[int, int], Job] = {}  # by (request, attempt): attempts without an outcome
-        self.used = 0.0  # slots of this dispatcher's open attempts
+        self.used_slots = 0.0  # slots of this dispatcher's open attempts
         # Worth that requests would earn by a response in time, and worth earned, by class; both decay.
         self.offered = dict.fromkeys(self.classes, 0.0)
         self.won = dict.fromkeys(self.classes, 0.0)
--- a/rookwood/wirehost.py
+++ b/rookwood/wirehost.py
@@ -183,9 +183,9 @@
             request=line.whole("handle"),
             attempt=line.whole("n"),
             worker=line.text("worker"),
-            ending=line.one_of("ending", api.Outcome),
+            outcome=line.one_of("ending", api.Outcome),
             latency=line.whole("latency"),
-            done=line.flag("done-flag"),
+            request_done=line.flag("done-flag"),
             load=line.load("usage"),
         )
     if tag == "SAMPLED":
@@ -305,7 +305,7 @@
                     line.bad("dispatcher", f"{name} has had no HELLO")
                 else:
                     if isinstance(event, api.WorkersChanged):
-                        whole = event.how in (api.WorkerListKind.FULL, api.WorkerListKind.CACHED)
+                        whole = event.kind in (api.WorkerListKind.FULL, api.WorkerListKind.CACHED)
                         self.codecs[name].add_workers((w.id for w in event.workers), whole)
                     if isinstance(event, Said):
                         try:
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -33,8 +33,8 @@
 
 
 @profile(derandomize=True, max_examples=100, deadline=None)
-@given(st.sampled_from(NAMES), st.sampled_from(api.Word), st.sampled_from([1.0, 2.0, 4.0, 8.0]))
-def test_hint_comes_back_as_it_went(name: str, word: api.Word, slots: float) -> None:
+@given(st.sampled_from(NAMES), st.sampled_from(api.HintKind), st.sampled_from([1.0, 2.0, 4.0, 8.0]))
+def test_hint_comes_back_as_it_went(name: str, word: api.HintKind, slots: float) -> None:
     hint = api.Hint(name, word, slots)
     assert codec().decode(codec().encode((hint, hint))) == (hint, hint)
 
@@ -54,18 +54,18 @@
     both = codec([first, f"w{n}", "other"])
     for name in (first, f"w{n}"):
         with pytest.raises(InvalidHintError):
-            both.decode(both.encode([api.Hint(name, api.Word.SENT, 1.0)]))
+            both.decode(both.encode([api.Hint(name, api.HintKind.SENT, 1.0)]))
     both.add_workers([first], whole=True)
-    assert both.decode(both.encode([api.Hint(first, api.Word.SENT, 1.0)]))[0].worker == first
+    assert both.decode(both.encode([api.Hint(first, api.HintKind.SENT, 1.0)]))[0].worker == first
     with pytest.raises(InvalidHintError):
-        both.decode(both.encode([api.Hint("other", api.Word.SENT, 1.0)]))
+        both.decode(both.encode([api.Hint("other", api.HintKind.SENT, 1.0)]))
 
 
 def test_hints_pass_over_the_wire_and_odd_ones_change_nothing() -> None:
     profile_ = PROFILE | {"balancers": 3, "bounds": {"attempts-cap": 3, "peers": True}}
     ask = "ASK 11 240000 1 0 - - read 0 0 - -\n"
     lines = serve(hello(profile_) + f"FRAME 1001000\nFOR dispatcher/3\n{ask}OVER_TO_YOU\n")
-    told = codec(["10.0.0.1:80"]).encode([api.Hint("10.0.0.1:80", api.Word.SENT, 1.0)]).hex()
+    told = codec(["10.0.0.1:80"]).encode([api.Hint("10.0.0.1:80", api.HintKind.SENT, 1.0)]).hex()
     assert any(line.startswith("NOTIFY ") and line.endswith(f" {told}") for line in lines)
     notes = "".join(f"NOTE_FROM 2 {payload}\n" for payload in (told, "00", "-", "ff" * 256))
     lines = serve(hello(profile_) + f"FRAME 1001000\nFOR dispatcher/3\n{notes}OVER_TO_YOU\n")
@@ -102,16 +102,16 @@
             await one.start()
             one.learn(listed(*NAMES), False)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            bad = codec().encode([api.Hint("s-1", api.Word.BAD, 1.0)])
+            bad = codec().encode([api.Hint("s-1", api.HintKind.FAILED, 1.0)])
             stranger.sendto(bad, (places[1].host, places[1].port))
         for data in (b"", b"x" * 300, b"\xff" * SIZE, b"\x49" + b"??"):
             peers[1].datagram_received(data, (places[0].host, places[0].port))
-        doors[0].tell((1,), [api.Hint("s-2", api.Word.SENT, 4.0)])
+        doors[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
         async with asyncio.timeout(5):
             await doors[1].some.wait()
             while not peers[1].dropped["of a stranger"]:
                 await asyncio.sleep(0)
-        assert doors[1].hints == [(0, api.Hint("s-2", api.Word.SENT, 4.0))]
+        assert doors[1].hints == [(0, api.Hint("s-2", api.HintKind.SENT, 4.0))]
         assert peers[1].dropped.total() == 5
         assert not doors[0].hints  # what comes back to its sender is no news
         for one in peers:
@@ -133,12 +133,12 @@
             for one in (late, early):
                 await one.start()
                 one.learn(listed(*NAMES), False)
-            doors[0].tell((1,), [api.Hint("s-2", api.Word.SENT, 4.0)])
+            doors[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
         async with asyncio.timeout(5):
             while not doors[1].hints:  # from here on the address is free
-                doors[0].tell((1,), [api.Hint("s-3", api.Word.SENT, 4.0)])
+                doors[0].tell((1,), [api.Hint("s-3", api.HintKind.SENT, 4.0)])
                 await asyncio.sleep(0)
-        assert doors[1].hints[0] == (0, api.Hint("s-3", api.Word.SENT, 4.0))
+        assert doors[1].hints[0] == (0, api.Hint("s-3", api.HintKind.SENT, 4.0))
         for one in (late, early):
             await one.close()
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -347,7 +347,7 @@
             world.end(number, api.Outcome.OK)
     world.advance(60_000 * MS)
     policy = world.policy
-    assert not policy.jobs and not policy.pending and not policy.lanes and not policy.key_queues
+    assert not policy.jobs and not policy.pending and not policy.held_jobs and not policy.key_queues
     assert len(policy.calls) < 5
     assert len(policy.demand) < 500
 
@@ -444,7 +444,7 @@
     world.list_workers(worker(0))
     for free in [5.0] + 200 * [1.0]:
         world.end(world.ask("fee"), api.Outcome.OK, {"x0": free, "utilization": 0.5})
-    assert world.policy.load_exchange.slots_of(world.policy.workers[worker(0).id]) == 5.0
+    assert world.policy.loads.slots_of(world.policy.workers[worker(0).id]) == 5.0
 
 
 @pytest.mark.parametrize(("worst_class", "first"), [(0.0, "order"), (0.6, "fee")])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -50,7 +50,7 @@
             case "start" if world.out():
                 world.start(data.draw(st.sampled_from(world.out())))
             case "heard" if world.conf.peers and world.listed:
-                said = data.draw(st.sampled_from(api.Word))
+                said = data.draw(st.sampled_from(api.HintKind))
                 uid = data.draw(st.sampled_from(sorted(world.listed)))
                 hint = api.Hint(uid, said, data.draw(st.sampled_from([0.0, 1.0, 255.0])), 0.1)
                 world.feed(api.HintsReceived(data.draw(st.integers(0, world.conf.dispatchers - 1)), (hint,)))
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -299,7 +299,7 @@
             assert not old_peers.dropped
             (held,) = new.dispatcher._decisions._policy.workers.values()
             assert sum(slots for _, _, slots in held.tracked_jobs) == 1  # the old one's job is in the books
-            assert (await new.ask())[0] == 200
+            assert (await new.send_request())[0] == 200
             sent = [await asyncio.to_thread(peer.recv, 512) for _ in range(2)]
             endpoint.resume.set()
             ended = await asyncio.to_thread(peer.recv, 512)  # and the old one still tells of its end
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -380,7 +380,7 @@
         async with start_dispatcher(tmp_path, endpoint, settings=changed) as s:
             await wait_until(lambda: endpoint.probes > 1)
             policy = s.dispatcher._decisions._policy
-            assert policy.load_exchange.slots_of(policy.workers["s-0"]) == slots
+            assert policy.loads.slots_of(policy.workers["s-0"]) == slots
             assert (await s.send_request())[0] == 200
 
     play(story())
@@ -404,7 +404,7 @@
         async with start_dispatcher(tmp_path, ScriptedWorker(script, st.served)) as s:
             assert (await s.send_request("/page"))[0] == 200
             policy = s.dispatcher._decisions._policy
-            assert policy.load_exchange.slots_of(policy.workers["s-0"]) == slots
+            assert policy.loads.slots_of(policy.workers["s-0"]) == slots
 
     play(story())
 
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -7,10 +7,16 @@
 import pytest
 
 from rookwood import interface as api
-from rookwood.interface import Hint, Word
+from rookwood.interface import Hint, HintKind
+from rookwood.load_exchange import (
+    MAX_MISSED_REPLIES,
+    QUERY_TIMEOUT,
+    SILENT_PEER_PAUSE,
+    TRACKERS_PER_WORKER,
+    Trackers,
+)
 from rookwood.policy import MAX_CANDIDATES
 from rookwood.state import WorkerState
-from rookwood.talk import MAX_MISSED_REPLIES, QUERY_TIMEOUT, SILENT_PEER_PAUSE, TRACKERS_PER_WORKER, Trackers
 from tests.tier import SECOND, Tier
 from tests.world import MS, World, settings, worker
 
@@ -63,7 +69,7 @@
         tier.load(150, 3 * SECOND)
         tier.run(7 * SECOND)
         # Two words to each keeper; a question and its answer for each worker of the own zone in question.
-        assert messages(tier) / tier.ended[api.Ending.OK] < 2 * TRACKERS_PER_WORKER + 2 * MAX_CANDIDATES
+        assert messages(tier) / tier.ended[api.Outcome.OK] < 2 * TRACKERS_PER_WORKER + 2 * MAX_CANDIDATES
 
 
 @pytest.mark.parametrize("lost", [0.3, 1.0])
@@ -84,14 +90,14 @@
     world.list_workers(worker(0))
     number = world.ask("fee", key=1)
     told = [a for _, a in world.trace if isinstance(a, api.SendHints)]
-    assert [(len(a.to), [h.word for h in a.hints]) for a in told] == [(1, [Word.ASK])]
+    assert [(len(a.to), [h.kind for h in a.hints]) for a in told] == [(1, [HintKind.LOAD_QUERY])]
     return world, number, told[0].to[0]
 
 
 def test_request_waits_for_the_answer_and_goes() -> None:
     world, number, keeper = asking()
     assert not world.asked[number].tries
-    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, Word.LOAD, 1.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, HintKind.LOAD_REPORT, 1.0),)))
     assert world.asked[number].tries
 
 
@@ -103,7 +109,7 @@
 
 def test_worker_told_to_be_full_gets_nothing_while_that_is_fresh() -> None:
     world, number, keeper = asking()
-    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, Word.LOAD, 9.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, HintKind.LOAD_REPORT, 9.0),)))
     assert not world.asked[number].tries
 
 
@@ -118,7 +124,7 @@
     found.reported_at = world.now  # known by other means
     world.policy._start_next_of_key(1)
     world.policy.workers[worker(0).id].queried_peer = keeper
-    world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, HintKind.LOAD_REPORT, 0.0),)))
     world.advance(2 * QUERY_TIMEOUT)
     assert len([a for _, a in world.trace if isinstance(a, api.Send) and a.request == number]) == 1
 
@@ -127,10 +133,10 @@
     """A liar says of every worker that it is full, or bad."""
     world, number, keeper = asking()
     for sender in (n for n in range(200) if n != keeper):
-        world.feed(api.HintsReceived(sender, (Hint(worker(0).id, Word.LOAD, 99.0, 0.35),)))
+        world.feed(api.HintsReceived(sender, (Hint(worker(0).id, HintKind.LOAD_REPORT, 99.0, 0.35),)))
     found = world.policy.workers[worker(0).id]
     assert found.others_slots == 0 and found.peer_fault_rate == 0
-    world.feed(api.Heard(keeper, (Hint(worker(0).id, Word.LOAD, 0.0),)))
+    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, HintKind.LOAD_REPORT, 0.0),)))
     assert world.asked[number].tries
 
 
@@ -138,12 +144,14 @@
     me = next(n for n in range(200) if Trackers(n, 200).includes_me(state(0)))
     world = World(settings(peers=True, dispatchers=200, me=me))
     world.list_workers(worker(0))
-    ask = api.HintsReceived((me + 1) % 200, (Hint(worker(0).id, Word.ASK),))
+    ask = api.HintsReceived((me + 1) % 200, (Hint(worker(0).id, HintKind.LOAD_QUERY),))
     assert not world.feed(ask)
     world.advance(3 * SECOND)
-    world.feed(api.HintsReceived((me + 2) % 200, (Hint(worker(0).id, Word.SENT, 4.0),)))
+    world.feed(api.HintsReceived((me + 2) % 200, (Hint(worker(0).id, HintKind.SENT, 4.0),)))
     answers = [a for a in world.feed(ask) if isinstance(a, api.SendHints)]
-    assert answers == [api.SendHints(((me + 1) % 200,), (Hint(worker(0).id, Word.LOAD, 4.0, 0.0),))]
+    assert answers == [
+        api.SendHints(((me + 1) % 200,), (Hint(worker(0).id, HintKind.LOAD_REPORT, 4.0, 0.0),))
+    ]
 
 
 def test_each_held_request_has_its_own_workers_asked_again() -> None:
@@ -154,7 +162,7 @@
 
     def asked(since: int) -> dict[str, int]:
         tells = [a for t, a in world.trace if isinstance(a, api.SendHints) and t >= since]
-        return {hint.worker: a.to[0] for a in tells for hint in a.hints if hint.word is Word.ASK}
+        return {hint.worker: a.to[0] for a in tells for hint in a.hints if hint.kind is HintKind.LOAD_QUERY}
 
     first: list[set[str]] = []
     for key in range(4):  # each key has workers of its own
@@ -162,7 +170,7 @@
         world.ask("fee", key=key)
         for _ in range(3):
             for name, keeper in asked(since).items():
-                world.feed(api.HintsReceived(keeper, (Hint(name, Word.LOAD, 9.0),)))
+                world.feed(api.HintsReceived(keeper, (Hint(name, HintKind.LOAD_REPORT, 9.0),)))
         first.append(set(asked(since)))
         world.advance(1)
     assert len(world.policy.held_jobs) == 1 and sum(map(len, world.policy.held_jobs.values())) == 4
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -45,12 +45,12 @@
         tier.boxes[name].dead = True
     tier.run(8 * SECOND)
     assert all(policy.ejecting for policy in tier.policies)
-    assert tier.ended[api.Ending.CONNECT_FAILED] < 4 * len(dead)
+    assert tier.ended[api.Outcome.CONNECT_FAILED] < 4 * len(dead)
     # Half of the dispatchers lose all of their own zone.
     assert tier.count(api.Reject) + tier.count(api.Fail) < 0.08 * tier.ended[api.Outcome.OK]
 
 
-def told(world: World, sender: int, word: api.Word, slots: float = 1.0) -> None:
+def told(world: World, sender: int, word: api.HintKind, slots: float = 1.0) -> None:
     world.feed(api.HintsReceived(sender, (api.Hint(worker(0).id, word, slots),)))
 
 
@@ -58,10 +58,10 @@
     world = World(settings(peers=True, dispatchers=4))
     world.list_workers(worker(0), worker(2))
     for _ in range(4):
-        told(world, 7, api.Word.SENT)
+        told(world, 7, api.HintKind.SENT)
     assert world.asked[world.ask("fee", key=1)].tries[0].worker == worker(2).id
     for _ in range(4):
-        told(world, 7, api.Word.ENDED)
+        told(world, 7, api.HintKind.ENDED)
     assert all(world.asked[world.ask("fee", key=1)].tries[0].worker == worker(0).id for _ in range(4))
 
 
@@ -69,7 +69,7 @@
     world = World(settings(peers=True, dispatchers=4))
     world.list_workers(worker(0))
     for _ in range(60):
-        told(world, 7, api.Word.SENT)
+        told(world, 7, api.HintKind.SENT)
     assert not world.asked[world.ask("fee", key=1)].tries
     world.advance(10 * SECOND)
     assert world.asked[world.ask("fee", key=1)].tries
@@ -80,19 +80,19 @@
     world.list_workers(worker(0), worker(1))
     state = world.policy.workers[worker(0).id]
     for _ in range(1000):
-        told(world, 7, api.Word.SENT)
-        told(world, 8, api.Word.BAD)
-    assert len(state.tracked_jobs) <= 100 and world.policy.cluster().avoided == 1
+        told(world, 7, api.HintKind.SENT)
+        told(world, 8, api.HintKind.FAILED)
+    assert len(state.tracked_jobs) <= 100 and world.policy.cluster_health().avoided == 1
     trust = state.trust
     for _ in range(1000):
-        told(world, 7, api.Word.ENDED)
+        told(world, 7, api.HintKind.ENDED)
     assert state.trust <= trust
     state.fault_rate = 0.3
     worth = world.policy._health(state)
     for _ in range(1000):
-        told(world, 7, api.Word.ENDED)
+        told(world, 7, api.HintKind.ENDED)
     assert world.policy._health(state) <= worth
-    world.feed(api.Heard(7, (api.Hint("10.9.9.9:80", api.Word.SENT, 1.0),)))  # of a worker that no list named
+    world.feed(api.HintsReceived(7, (api.Hint("10.9.9.9:80", api.HintKind.SENT, 1.0),)))  # in no list
 
 
 def test_worker_that_turns_jobs_away_is_told_of() -> None:
@@ -103,14 +103,20 @@
     world.end(number, api.Outcome.QUEUE_FULL)
     assert world.policy.cluster_health().avoided == 1
     told = [hint for _, action in world.trace if isinstance(action, api.SendHints) for hint in action.hints]
-    assert api.Hint(worker(0).id, api.Word.BAD, 1.0) in told
+    assert api.Hint(worker(0).id, api.HintKind.FAILED, 1.0) in told
 
 
 def test_worker_that_fails_some_of_its_jobs_is_found_out_by_all_together() -> None:
     """Four in ten failed: each dispatcher saw too few of them, and each result brought all trust back."""
     world = World(settings(peers=True, dispatchers=4))
     world.list_workers(worker(0), worker(2))
-    words = [api.Word.ENDED, api.Word.BAD, api.Word.ENDED, api.Word.ENDED, api.Word.BAD]
+    words = [
+        api.HintKind.ENDED,
+        api.HintKind.FAILED,
+        api.HintKind.ENDED,
+        api.HintKind.ENDED,
+        api.HintKind.FAILED,
+    ]
     for sender, word in enumerate(words * 3):
         told(world, sender, word)
     assert world.policy.cluster_health().avoided == 1
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -123,7 +123,7 @@
         (mine[uid].trust, mine[uid].fault_rate) for uid in same
     ]
     assert sum(theirs[uid].others_slots for uid in same) == sum(
-        mine[uid].others_slots + mine[uid].used for uid in same
+        mine[uid].others_slots + mine[uid].used_slots for uid in same
     )
     assert theirs[worker(8).id].trust == 1.0
     assert (new.policy.table, new.policy.demand) == (old.policy.table, old.policy.demand)
