--- a/rookwood/__main__.py
+++ b/rookwood/__main__.py
@@ -1,4 +1,4 @@
-"""One real dispatcher: ``python -m rookwood``. What the operator's file does not ask for is not imported."""
+"""The dispatcher's program: ``python -m rookwood``. Only extensions in the operator file are imported."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 log = logging.getLogger(__name__)
 
 
-OPERATOR_FILE_VARIABLE = "ROOKWOOD_CONF"  # names the operator's file; without it, everything in that is off
-FrontOf = Callable[[DispatcherContext], Extension]
+OPERATOR_FILE_VARIABLE = "ROOKWOOD_CONF"  # holds the operator file's path; without it all extensions are off
+ExtensionFactory = Callable[[DispatcherContext], Extension]
 
 
-async def run(config: Config, fronts: list[FrontOf]) -> None:
+async def run(config: Config, extensions: list[ExtensionFactory]) -> None:
+    """Run a dispatcher until it has shut down."""
     loop = asyncio.get_running_loop()
-    dispatcher = Dispatcher(config, *fronts)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, dispatcher.begin_shutdown)
+    dispatcher = Dispatcher(config, *extensions)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, dispatcher.begin_shutdown)
     loop.add_signal_handler(signal.SIGHUP, reload, dispatcher)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     try:
         await dispatcher.start()
-        gc.freeze()  # what was made so far stays: the collector need not walk it
+        gc.freeze()  # objects made so far live on, so the collector need not scan them
         await dispatcher.wait_drained()
     finally:
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
@@ -40,19 +41,22 @@
 
 
 def reload(dispatcher: Dispatcher) -> None:
-    """A file that is not sound changes nothing: what is in force goes on."""
+    """Read the configuration again. An invalid file is logged, and the configuration in force stays."""
     try:
         dispatcher.reload(load(os.environ, again=True))
-    except InvalidSettingError as fault:
-        log.error("the new configuration is not taken over: %s", fault)
+    except InvalidSettingError as error:
+        log.error("configuration not reloaded: %s", error)
     except Exception:
-        log.exception("the new configuration is not taken over")
+        log.exception("configuration not reloaded")
 
 
-def operated(environ: Mapping[str, str]) -> list[FrontOf]:
-    """Sets the log up, and reads the operator's file if there is one. Raises `InvalidSettingError`."""
-    place = environ.get(OPERATOR_FILE_VARIABLE)
-    if not place:
+def load_extensions(environ: Mapping[str, str]) -> list[ExtensionFactory]:
+    """Configure logging, read the operator file if there is one, and return its extensions' factories.
+
+    Raises `InvalidSettingError`.
+    """
+    path = environ.get(OPERATOR_FILE_VARIABLE)
+    if not path:
         configure_logging()
         return []
     try:
@@ -62,39 +66,40 @@
             OPERATOR_FILE_VARIABLE, f"needs the extra packages of rookwood[gateway]: {error}"
         ) from None
     try:
-        settings = load(Path(place))
+        settings = load(Path(path))
     except OperatorFileError as error:
         raise InvalidSettingError(OPERATOR_FILE_VARIABLE, f"{len(error.faults)} fault(s)\n{error}") from None
     operator = settings.operator
     fields = {"site": operator.site} if operator.site else {}
     configure_logging(operator.log_format, operator.log_level, **fields)
-    fronts: list[FrontOf] = []
+    extensions: list[ExtensionFactory] = []
     if operator.store:
         from rookwood.ledger import front as ledger
 
-        fronts.append(ledger.front_of(operator))
+        extensions.append(ledger.front_of(operator))
     if operator.gateway:
         from rookwood.gateway import gate
 
-        fronts.append(gate.front_of(operator, Path(place)))
+        extensions.append(gate.front_of(operator, Path(path)))
     if operator.duties:
         from rookwood.duties import front as duties
 
-        fronts.append(duties.front_of(operator, Path(place)))
-    return fronts
+        extensions.append(duties.front_of(operator, Path(path)))
+    return extensions
 
 
 def main() -> int:
-    # Its default is to end the program. While nobody handles it, at the start and at the end, it waits.
+    """Run the dispatcher. Returns 2 for an invalid configuration, 1 if an address can't be listened on."""
+    # By default SIGHUP ends the program, so it is blocked while no handler is installed, at start and end.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
-        fronts = operated(os.environ)
+        extensions = load_extensions(os.environ)
         config = load(os.environ)
-    except InvalidSettingError as fault:
-        print(f"rookwood: {fault}", file=sys.stderr)
+    except InvalidSettingError as error:
+        print(f"rookwood: {error}", file=sys.stderr)
         return 2
     try:
-        asyncio.run(run(config, fronts))
+        asyncio.run(run(config, extensions))
     except OSError as error:
         print(f"rookwood: listen: {error}", file=sys.stderr)
         return 1
--- a/rookwood/conf/__init__.py
+++ b/rookwood/conf/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's file: read line by line, checked in one place, given defaults in one place."""
+"""The operator file: its grammar, its schema with all defaults, and the checks of the whole."""
 
 from rookwood.conf.read import Fault, OperatorFileError, OperatorSettings, Origin, load
 from rookwood.conf.schema import Duties, Gateway, OperatorFile, Peer, Site, Store
--- a/rookwood/conf/grammar.py
+++ b/rookwood/conf/grammar.py
@@ -1,6 +1,6 @@
-"""One line of the operator's file: words, quoted words, an opening or a closing brace, a comment.
+"""The grammar of a line in the operator file: bare and quoted words, an opening or closing brace, a comment.
 
-Each line is parsed by itself, so that a fault in one hides none of the others.
+Each line is parsed on its own, so that a fault in one line does not hide faults in others.
 """
 
 from __future__ import annotations
@@ -24,26 +24,33 @@
 %ignore /[ \t\r]+/
 """
 ESCAPE = re.compile(r"\\(.)")
-ESCAPES = {"n": "\n", "t": "\t"}
+ESCAPED_CHARACTERS = {"n": "\n", "t": "\t"}
 
 
 @dataclass(frozen=True, slots=True)
 class Word:
+    """A word of a line, without its quotes and escapes."""
+
     text: str
     column: int  # from 1
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
+    """A parsed line. An empty line or a comment has no words."""
+
     words: tuple[Word, ...] = ()
-    opens: bool = False
-    closes: bool = False
+    opens: bool = False  # ends with an opening brace
+    closes: bool = False  # is a closing brace
 
 
 class LineError(ValueError):
-    def __init__(self, column: int, why: str) -> None:
-        super().__init__(why)
-        self.column, self.why = column, why
+    """A line does not match the grammar."""
+
+    def __init__(self, column: int, reason: str) -> None:
+        super().__init__(reason)
+        self.column = column  # from 1
+        self.reason = reason
 
 
 @cache
@@ -51,12 +58,12 @@
     return Lark(GRAMMAR, parser="lalr")
 
 
-def _unquoted(token: Token) -> str:
-    return ESCAPE.sub(lambda found: ESCAPES.get(found[1], found[1]), str(token)[1:-1])
+def _unquote(token: Token) -> str:
+    return ESCAPE.sub(lambda found: ESCAPED_CHARACTERS.get(found[1], found[1]), str(token)[1:-1])
 
 
-def line_of(text: str) -> Line:
-    """Raises `LineError`, with the column from 1."""
+def parse_line(text: str) -> Line:
+    """Parse a line. Raises `LineError`."""
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
@@ -64,7 +71,9 @@
         if text[column - 1 : column] == '"':
             raise LineError(column, "a quoted word has no closing quote") from None
         found = text[column - 1 : column]
-        raise LineError(column, f"{found!r} is out of place" if found else "the line breaks off") from None
+        raise LineError(
+            column, f"{found!r} is out of place" if found else "the line ends too early"
+        ) from None
     words, opens, closes = list[Word](), False, False
     for child in tree.children:
         if child is None:
@@ -74,5 +83,5 @@
             continue
         token = child.children[0]
         assert isinstance(token, Token) and token.column is not None
-        words.append(Word(_unquoted(token) if child.data == "quoted" else str(token), token.column))
+        words.append(Word(_unquote(token) if child.data == "quoted" else str(token), token.column))
     return Line(tuple(words), opens, closes)
--- a/rookwood/conf/read.py
+++ b/rookwood/conf/read.py
@@ -1,4 +1,4 @@
-"""Reads the operator's file and what it includes; tells every fault at once, by file, line and column."""
+"""Reads the operator file and the files it includes, and reports all faults with file, line and column."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from rookwood.conf.grammar import Line, LineError, Word, line_of
+from rookwood.conf.grammar import Line, LineError, Word, parse_line
 from rookwood.conf.schema import (
     SECTIONS,
     TOP,
@@ -26,13 +26,13 @@
     Store,
 )
 
-MAX_DEPTH = 8  # of includes
-MAX_LINES = 20_000  # of all files together
+MAX_DEPTH = 8  # of nested includes
+MAX_LINES = 20_000  # in all files together
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where a value came from."""
+    """The position of a value."""
 
     file: str
     line: int
@@ -44,18 +44,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
+    """A fault in the file, and what would be valid in its place."""
+
     origin: Origin
     directive: str
-    why: str
+    reason: str
     right: str = ""
 
     def __str__(self) -> str:
         at = f" {self.directive}:" if self.directive else ""
-        return f"{self.origin}:{at} {self.why}" + (f"; right would be {self.right}" if self.right else "")
+        return f"{self.origin}:{at} {self.reason}" + (f"; expected {self.right}" if self.right else "")
 
 
 class OperatorFileError(ValueError):
-    """All faults of a file; the text holds one a line."""
+    """The file is invalid. The message has one line for each fault."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
@@ -64,13 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """What is in force, and where each value came from: by dotted path; what is missing is a default."""
+    """The loaded file, and the origin of each value by its dotted path; defaults have none."""
 
     operator: OperatorFile
     origins: dict[str, Origin]
 
     def rows(self) -> Iterator[tuple[str, str, str]]:
-        """Path, value and origin of every setting, for `rookwood show`."""
+        """Yield path, value and origin of every setting, for `rookwood show`."""
         operator = self.operator
         yield from self._rows("", operator, skip=("gateway", "sites", "store", "duties"))
         if operator.gateway:
@@ -87,10 +89,11 @@
             if name not in skip:
                 path = prefix + name.replace("_", "-").removesuffix("s" if name in ("peers", "zones") else "")
                 origin = self.origins.get(path)
-                yield path, shown(getattr(struct, name)), str(origin) if origin else "default"
+                yield path, format_value(getattr(struct, name)), str(origin) if origin else "default"
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
+    """Format a value as it is written in the file."""
     match value:
         case bool():
             return "yes" if value else "no"
@@ -101,7 +104,7 @@
         case (str() as name, (str() as host, int() as port)):
             return f"{name} {host}:{port}"
         case tuple():
-            return " ".join(shown(item) for item in value) or "-"
+            return " ".join(format_value(item) for item in value) or "-"
         case None | "":
             return "-"
         case _ if hasattr(value, "total_seconds"):
@@ -111,7 +114,7 @@
 
 @dataclass(slots=True)
 class _Block:
-    """A section while it is read; the top is one."""
+    """A section while it is read. The directives outside all sections form one, too."""
 
     kind: str
     name: str
@@ -122,6 +125,8 @@
 
 
 class _Reader:
+    """Collects sections, values and faults of a file and of the files it includes."""
+
     def __init__(self) -> None:
         self.faults: list[Fault] = []
         self.origins: dict[str, Origin] = {}
@@ -129,100 +134,103 @@
         self.blocks: list[_Block] = []
         self._lines = itertools.count(1)
 
-    def fault(self, origin: Origin, directive: str, why: str, right: str = "") -> None:
-        self.faults.append(Fault(origin, directive, why, right))
+    def add_fault(self, origin: Origin, directive: str, reason: str, right: str = "") -> None:
+        self.faults.append(Fault(origin, directive, reason, right))
 
-    def file(self, place: Path, stack: tuple[Path, ...] = (), asked: Origin | None = None) -> None:
-        asked = asked or Origin(str(place), 1)
-        if place.resolve() in stack:
-            return self.fault(asked, "include", f"{place} includes itself")
+    def read_file(self, path: Path, stack: tuple[Path, ...] = (), include: Origin | None = None) -> None:
+        """Read a file. `stack` holds the files that include it, `include` the position of the directive."""
+        include = include or Origin(str(path), 1)
+        if path.resolve() in stack:
+            return self.add_fault(include, "include", f"{path} includes itself")
         if len(stack) >= MAX_DEPTH:
-            return self.fault(asked, "include", f"over {MAX_DEPTH} files deep")
+            return self.add_fault(include, "include", f"includes are nested over {MAX_DEPTH} files deep")
         try:
-            lines = place.read_text(encoding="utf-8").splitlines()
+            lines = path.read_text(encoding="utf-8").splitlines()
         except (OSError, ValueError) as error:
-            return self.fault(asked, "include" if stack else "", f"{place} cannot be read: {error}")
+            return self.add_fault(include, "include" if stack else "", f"{path} cannot be read: {error}")
         block = self.top
         for number, text in enumerate(lines, 1):
-            origin = Origin(str(place), number)
+            origin = Origin(str(path), number)
             if next(self._lines) > MAX_LINES:
-                return self.fault(origin, "", f"over {MAX_LINES} lines in all")
+                return self.add_fault(origin, "", f"the files have over {MAX_LINES} lines in total")
             try:
-                line = line_of(text)
+                line = parse_line(text)
             except LineError as error:
-                self.fault(Origin(str(place), number, error.column), "", error.why)
+                self.add_fault(Origin(str(path), number, error.column), "", error.reason)
                 continue
-            block = self._line(line, block, origin, place, (*stack, place.resolve()))
+            block = self._add_line(line, block, origin, path, (*stack, path.resolve()))
         if block is not self.top:
-            self.fault(block.origin, block.kind, "the section has no closing '}'")
+            self.add_fault(block.origin, block.kind, "the section has no closing '}'")
         return None
 
-    def _line(
-        self, line: Line, block: _Block, origin: Origin, place: Path, stack: tuple[Path, ...]
+    def _add_line(
+        self, line: Line, block: _Block, origin: Origin, path: Path, stack: tuple[Path, ...]
     ) -> _Block:
         if line.closes:
             if block is self.top:
-                self.fault(origin, "", "'}' closes no section")
+                self.add_fault(origin, "", "'}' closes no section")
             return self.top
         if not line.words:
             return block
         keyword, *words = line.words
         origin = Origin(origin.file, origin.line, keyword.column)
         if line.opens:
-            return self._open(keyword, words, block, origin)
+            return self._open_section(keyword, words, block, origin)
         if keyword.text == "include" and block is self.top:
             if len(words) != 1:
-                self.fault(origin, "include", "takes one path")
+                self.add_fault(origin, "include", "takes one path")
             else:
-                self.file(place.parent / words[0].text, stack, origin)
+                self.read_file(path.parent / words[0].text, stack, origin)
             return block
-        self._directive(keyword, words, block, origin)
+        self._add_directive(keyword, words, block, origin)
         return block
 
-    def _open(self, keyword: Word, words: list[Word], block: _Block, origin: Origin) -> _Block:
+    def _open_section(self, keyword: Word, words: list[Word], block: _Block, origin: Origin) -> _Block:
         if block is not self.top:
-            self.fault(origin, keyword.text, f"a section inside {block.kind!r}; that one has no closing '}}'")
+            self.add_fault(
+                origin, keyword.text, f"a section inside {block.kind!r}, which has no closing '}}'"
+            )
         section = SECTIONS.get(keyword.text)
         if section is None:
-            self.fault(origin, keyword.text, "no such section", near(keyword.text, SECTIONS))
-            return _Block(keyword.text, "?", Section({}), origin)  # its lines are passed over
+            self.add_fault(origin, keyword.text, "no such section", suggest(keyword.text, SECTIONS))
+            return _Block(keyword.text, "?", Section({}), origin)  # its lines are skipped
         name = words[0].text if words else ""
         if section.named != bool(words) or len(words) > 1:
             right = f"{keyword.text} NAME {{" if section.named else f"{keyword.text} {{"
-            self.fault(origin, keyword.text, "wrong number of words", right)
-        before = next((b for b in self.blocks if (b.kind, b.name) == (keyword.text, name)), None)
-        if before:
-            self.fault(origin, keyword.text, f"is here for the second time, first at {before.origin}")
+            self.add_fault(origin, keyword.text, "wrong number of words", right)
+        first = next((b for b in self.blocks if (b.kind, b.name) == (keyword.text, name)), None)
+        if first:
+            self.add_fault(origin, keyword.text, f"is given twice, first at {first.origin}")
         path = f"{keyword.text}.{name}" if name else keyword.text
         self.blocks.append(_Block(keyword.text, name, section, origin, path=path))
         return self.blocks[-1]
 
-    def _directive(self, keyword: Word, words: list[Word], block: _Block, origin: Origin) -> None:
+    def _add_directive(self, keyword: Word, words: list[Word], block: _Block, origin: Origin) -> None:
         if block.name == "?":
             return None
-        known = block.section.directives
-        directive = known.get(keyword.text)
+        directives = block.section.directives
+        directive = directives.get(keyword.text)
         if directive is None:
             where = f" in section {block.kind!r}" if block.kind else ""
-            return self.fault(origin, keyword.text, f"no such directive{where}", near(keyword.text, known))
+            return self.add_fault(
+                origin, keyword.text, f"no such directive{where}", suggest(keyword.text, directives)
+            )
         path = f"{block.path}.{keyword.text}" if block.path else keyword.text
         if keyword.text in block.values and not directive.many:
-            return self.fault(
-                origin, keyword.text, f"is here for the second time, first at {self.origins[path]}"
-            )
-        rounds = max(1, len(words) // len(directive.parsers)) if directive.many else 1
-        if len(words) != rounds * len(directive.parsers):
-            return self.fault(
+            return self.add_fault(origin, keyword.text, f"is given twice, first at {self.origins[path]}")
+        groups = max(1, len(words) // len(directive.parsers)) if directive.many else 1
+        if len(words) != groups * len(directive.parsers):
+            return self.add_fault(
                 origin, keyword.text, f"takes {len(directive.parsers)} value(s)", directive.right
             )
         self.origins.setdefault(path, origin)
         found = block.values.setdefault(keyword.text, [])
         step = len(directive.parsers)
         for at in range(0, len(words), step):
-            self._values(keyword, directive, words[at : at + step], found, origin)
+            self._parse_values(keyword, directive, words[at : at + step], found, origin)
         return None
 
-    def _values(
+    def _parse_values(
         self, keyword: Word, directive: Directive, words: list[Word], found: list[Any], origin: Origin
     ) -> None:
         values = []
@@ -231,17 +239,20 @@
                 values.append(parser(word.text))
             except ValueError as error:
                 at = Origin(origin.file, origin.line, word.column)
-                self.fault(at, keyword.text, str(error), directive.right)
+                self.add_fault(at, keyword.text, str(error), directive.right)
                 return
         found.append(values[0] if len(values) == 1 else tuple(values))
 
-    # ---- from blocks to the typed whole ----
+    # ---- the typed file ----
 
-    def built(self) -> OperatorFile:
+    def build(self) -> OperatorFile:
+        """Build the typed file from the sections. After a fault it is empty."""
         for block in (self.top, *self.blocks):
             for name, directive in block.section.directives.items():
                 if directive.required and not block.values.get(name) and not self.faults:
-                    self.fault(block.origin, name, f"is missing in section {block.kind!r}", directive.right)
+                    self.add_fault(
+                        block.origin, name, f"is missing in section {block.kind!r}", directive.right
+                    )
         if self.faults:
             return OperatorFile()
         gateway = next((Gateway(**_fields(b)) for b in self.blocks if b.kind == "gateway"), None)
@@ -260,70 +271,80 @@
         return OperatorFile(gateway=gateway, store=store, duties=duties, sites=sites, **top)
 
     def check(self, operator: OperatorFile) -> None:
-        """What no single directive can tell."""
+        """Check what depends on more than one directive."""
         gateway, store = operator.gateway, operator.store
-        place = {b.path: b.origin for b in self.blocks}
+        sections = {b.path: b.origin for b in self.blocks}
         if store and sum(map(bool, (store.redis, store.file, store.memory, store.peers))) != 1:
-            self.fault(place["store"], "store", "needs one of 'redis', 'file', 'memory' and 'peers'")
+            self.add_fault(sections["store"], "store", "needs one of 'redis', 'file', 'memory' and 'peers'")
         if store and store.peers and not operator.duties:
-            self.fault(place["store"], "peers", "needs the section 'duties', for its members", "duties {")
+            self.add_fault(
+                sections["store"], "peers", "needs the section 'duties', for its members", "duties {"
+            )
         if store and store.password_file and not store.password_file.is_file():
             at = self.origins["store.password-file"]
-            self.fault(at, "password-file", f"{store.password_file} is no file", "a path that can be read")
+            self.add_fault(
+                at, "password-file", f"{store.password_file} is not a file", "a path that can be read"
+            )
         if store and store.timeout * 4 > store.lease:
-            at = self.origins.get("store.timeout", place["store"])
-            self.fault(at, "timeout", "is over a quarter of 'lease': two slow answers would end it")
+            at = self.origins.get("store.timeout", sections["store"])
+            self.add_fault(at, "timeout", "is over a quarter of 'lease': two slow responses would end it")
         if operator.duties:
-            self._check_duties(operator.duties, gateway, place["duties"])
+            self._check_duties(operator.duties, gateway, sections["duties"])
         if operator.sites and not gateway:
-            self.fault(self.blocks[0].origin, "site", "there is no section 'gateway'", "gateway {")
+            self.add_fault(self.blocks[0].origin, "site", "there is no section 'gateway'", "gateway {")
         if gateway is None:
             return
-        here = place["gateway"]
+        here = sections["gateway"]
         if not operator.site:
-            self.fault(here, "site", "the own site has no name", "site NAME on a line outside all sections")
+            self.add_fault(here, "site", "this site has no name", "site NAME on a line outside all sections")
         for site in operator.sites:
             if site.name == operator.site:
-                self.fault(place[f"site.{site.name}"], "site", "is the own site", "the name of another")
+                self.add_fault(
+                    sections[f"site.{site.name}"], "site", "is the own site", "the name of another"
+                )
         if gateway.leave >= gateway.enter:
-            self.fault(self.origins.get("gateway.leave", here), "leave", "is not below 'enter'")
+            self.add_fault(self.origins.get("gateway.leave", here), "leave", "is not below 'enter'")
         if gateway.lend + gateway.reserve > 1:
-            self.fault(self.origins.get("gateway.lend", here), "lend", "and 'reserve' are over 1 together")
+            self.add_fault(
+                self.origins.get("gateway.lend", here), "lend", "and 'reserve' are over 1 together"
+            )
         if gateway.keepalive * 3 > gateway.lease:
             at = self.origins.get("gateway.keepalive", here)
-            self.fault(at, "keepalive", "is over a third of 'lease': one lost message would end it")
+            self.add_fault(at, "keepalive", "is over a third of 'lease': one lost message would end it")
         if gateway.max_frame < 2048:
-            self.fault(self.origins.get("gateway.max-frame", here), "max-frame", "is under 2048 bytes")
+            self.add_fault(self.origins.get("gateway.max-frame", here), "max-frame", "is under 2048 bytes")
         files = [gateway.certificate, gateway.key, gateway.authority]
         if gateway.plaintext:
             if any(files):
-                self.fault(here, "plaintext", "excludes certificate, key and authority")
+                self.add_fault(here, "plaintext", "excludes certificate, key and authority")
             addresses = [gateway.listen[0], *(p.host for s in operator.sites for p in s.peers)]
             if bad := [a for a in addresses if not a.startswith("127.") and a not in ("::1", "localhost")]:
                 at = self.origins.get("gateway.plaintext", here)
-                self.fault(at, "plaintext", f"is for loopback alone, not {bad[0]}")
+                self.add_fault(at, "plaintext", f"is for loopback alone, not {bad[0]}")
         elif not all(files):
-            self.fault(here, "certificate", "'certificate', 'key' and 'authority' are all needed")
+            self.add_fault(here, "certificate", "'certificate', 'key' and 'authority' are all needed")
 
     def _check_duties(self, duties: Duties, gateway: Gateway | None, here: Origin) -> None:
         if gateway is None:
-            self.fault(here, "duties", "needs the section 'gateway', for its name and keys", "gateway {")
+            self.add_fault(here, "duties", "needs the section 'gateway', for its name and keys", "gateway {")
         names = [name for name, _ in duties.member]
         if len(set(names)) < len(names):
-            self.fault(self.origins.get("duties.member", here), "member", "one is named twice")
+            self.add_fault(self.origins.get("duties.member", here), "member", "one is named twice")
         if bool(duties.relay) != bool(duties.address):
-            self.fault(here, "relay", "'relay' and 'address' go together")
+            self.add_fault(here, "relay", "'relay' and 'address' go together")
         if duties.drift >= 0.5:
-            self.fault(self.origins.get("duties.drift", here), "drift", "is not below 0.5", "0.01")
+            self.add_fault(self.origins.get("duties.drift", here), "drift", "is not below 0.5", "0.01")
         if duties.lease < timedelta(milliseconds=100):
             at = self.origins.get("duties.lease", here)
-            self.fault(at, "lease", "is under 100ms: a busy machine could not keep it", "1s")
+            self.add_fault(at, "lease", "is under 100ms: a busy machine could not keep it", "1s")
         if "duties.places" in self.origins and duties.places * 2 >= len(names):
-            self.fault(self.origins["duties.places"], "places", "would leave no majority of the members", "1")
+            self.add_fault(
+                self.origins["duties.places"], "places", "would leave no majority of the members", "1"
+            )
         if gateway and gateway.plaintext:
             hosts = [duties.listen[0], *(host for _, (host, _) in duties.member)]
             if bad := [h for h in hosts if not h.startswith("127.") and h not in ("::1", "localhost")]:
-                self.fault(here, "duties", f"'plaintext' is for loopback alone, not {bad[0]}")
+                self.add_fault(here, "duties", f"'plaintext' is for loopback alone, not {bad[0]}")
 
 
 def _fields(block: _Block) -> dict[str, Any]:
@@ -334,16 +355,17 @@
     }
 
 
-def near(word: str, known: dict[str, Any]) -> str:
+def suggest(word: str, known: dict[str, Any]) -> str:
+    """Return the known word that is most like this one, or all of them."""
     close = difflib.get_close_matches(word, known, 1)
     return close[0] if close else f"one of {', '.join(sorted(known))}" if known else ""
 
 
-def load(place: Path) -> OperatorSettings:
-    """Reads `place` and what it includes. Raises `OperatorFileError` with every fault found."""
+def load(path: Path) -> OperatorSettings:
+    """Read a file and the files it includes. Raises `OperatorFileError` with every fault found."""
     reader = _Reader()
-    reader.file(place)
-    operator = reader.built()
+    reader.read_file(path)
+    operator = reader.build()
     if not reader.faults:
         reader.check(operator)
     if reader.faults:
--- a/rookwood/conf/schema.py
+++ b/rookwood/conf/schema.py
@@ -1,4 +1,4 @@
-"""What the operator's file may say: every section, directive, type and default, in this one place."""
+"""The schema of the operator file: every section and directive with its type and default."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 class Peer(Struct, frozen=True):
     """A gateway of another site."""
 
-    name: str  # as its certificate says
+    name: str  # as in its certificate
     host: str
     port: int
 
 
 class Site(Struct, frozen=True):
-    """Another site, to which jobs may cross."""
+    """Another site, to which requests may be forwarded."""
 
     name: str
     peers: tuple[Peer, ...] = ()
-    zones: tuple[str, ...] = ()  # discovery's names for the places of its endpoints; empty: the site's name
+    zones: tuple[str, ...] = ()  # zones of its workers, as discovery names them; empty: the site's name
 
 
 class Gateway(Struct, frozen=True):
-    """This dispatcher's own side of all links."""
+    """This dispatcher's side of the links to other sites."""
 
     listen: tuple[str, int]
     name: str = ""  # empty: the dispatcher's name
     certificate: Path | None = None
     key: Path | None = None
     authority: Path | None = None
-    allow: tuple[str, ...] = ()  # names of peers; empty: those of the `site` sections
+    allow: tuple[str, ...] = ()  # names of peers that may connect; empty: those of the `site` sections
     plaintext: bool = False
-    lend: float = 0.8  # of the site's slots, for guests at most
-    reserve: float = 0.1  # of the site's slots, kept free of guests for own traffic
-    price: float = 0.13  # of a mean job's worth, for each crossing
-    enter: float = 0.95  # pressure at home from which jobs cross
-    leave: float = 0.85  # and below which they stop
-    max_jobs: int = 256  # out at one peer, and taken from one
-    max_bytes: int = 8 << 20  # in hand for one peer
+    lend: float = 0.8  # largest share of the site's slots that serves requests of other sites
+    reserve: float = 0.1  # share of the site's slots that is kept free for its own requests
+    price: float = 0.13  # price of forwarding a request, relative to the mean worth of a request
+    enter: float = 0.95  # load of the own site, relative to its slots, from which requests are forwarded
+    leave: float = 0.85  # load below which forwarding stops
+    max_jobs: int = 256  # forwarded to one peer, and accepted from one
+    max_bytes: int = 8 << 20  # buffered for one peer
     max_frame: int = 256 << 10
     lease: timedelta = timedelta(seconds=1)
     keepalive: timedelta = timedelta(milliseconds=100)
@@ -57,42 +57,42 @@
 
 
 class Store(Struct, frozen=True):
-    """Where keyed unsafe jobs are claimed. One of `redis`, `file`, `memory` and `peers`."""
+    """The store in which unsafe keyed requests are claimed: `redis`, `file`, `memory` or `peers`."""
 
     redis: tuple[str, int] | None = None
     file: Path | None = None
     memory: bool = False
-    peers: bool = False  # on the dispatchers of the site, over the links of `duties`
+    peers: bool = False  # replicated by the site's dispatchers over the links of `duties`
     user: str = ""
     password_file: Path | None = None
-    authority: Path | None = None  # with it, TLS
+    authority: Path | None = None  # if set, the connection uses TLS
     prefix: str = "rookwood"
     timeout: timedelta = timedelta(milliseconds=250)
-    replicas: int = 0  # that must have a claim before it counts
-    tier: int = 0  # dispatchers that share the store; 0: those of the platform's settings
+    replicas: int = 0  # number that must have a claim before it counts
+    tier: int = 0  # number of dispatchers that share the store; 0: as in the platform's settings
     lease: timedelta = timedelta(seconds=2)
     keep: timedelta = timedelta(minutes=10)
     retry_window: timedelta = timedelta(seconds=30)
 
 
 class Duties(Struct, frozen=True):
-    """Duties that one dispatcher of the site holds at a time, by a lease from a majority of the members."""
+    """Duties that one dispatcher of a site holds at a time, by a lease from a majority of members."""
 
     listen: tuple[str, int]
-    member: tuple[tuple[str, tuple[str, int]], ...]  # every dispatcher that votes, this one among them
+    member: tuple[tuple[str, tuple[str, int]], ...]  # every voting dispatcher, this one included
     lease: timedelta = timedelta(seconds=1)
-    drift: float = 0.01  # how much faster one machine's clock may run than another's
-    relay: tuple[str, int] | None = None  # what moves the service address; None: nobody holds that duty
-    address: tuple[str, int] | None = None  # what is told to it
-    list: int = 1  # the number of this list of members: one more at each change
-    places: int = 1  # dispatchers that may be down at once by a roll
-    patience: timedelta = timedelta(seconds=30)  # after which a roll goes on without one that is down
-    lending: bool = True  # one dispatcher alone lends what is spare to other sites
-    trial: bool = True  # one alone tries an endpoint that fails for all
+    drift: float = 0.01  # by which share one machine's clock may run faster than another's
+    relay: tuple[str, int] | None = None  # moves the service address; None: no dispatcher has this duty
+    address: tuple[str, int] | None = None  # the address that the relay is given
+    list: int = 1  # number of this list of members, raised by one at each change
+    places: int = 1  # dispatchers that a rolling restart may have down at once
+    patience: timedelta = timedelta(seconds=30)  # how long a rolling restart waits for a member that is down
+    lending: bool = True  # a single dispatcher offers spare slots to other sites
+    trial: bool = True  # a single dispatcher tries an endpoint that has failed for all
 
 
 class OperatorFile(Struct, frozen=True):
-    """The whole file."""
+    """The values of the whole file."""
 
     site: str = ""
     log_format: str = "plain"
@@ -105,16 +105,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Directive:
-    """`keyword value ...`: one parser a value; `many`: it may come again, or with more values."""
+    """`keyword value ...`, with one parser for each value."""
 
     parsers: tuple[Parser, ...]
-    right: str  # what would be right, for error messages and the documentation
-    many: bool = False
+    right: str  # describes a valid value, for error messages and the documentation
+    many: bool = False  # may be repeated, or have several groups of values
     required: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
+    """`keyword { ... }` or, if it is named, `keyword NAME { ... }`."""
+
     directives: dict[str, Directive]
     named: bool = False
     many: bool = False
@@ -125,7 +127,9 @@
     return Directive((parser,), right, **more)
 
 
-SPAN, SHARE, NUMBER = "a duration such as 250ms", "a share from 0 to 1", "a number such as 0.9"
+DURATION = "a duration such as 250ms"
+SHARE = "a share from 0 to 1"
+NUMBER = "a number such as 0.9"
 
 GATEWAY = Section(
     {
@@ -144,11 +148,11 @@
         "max-jobs": _one(units.count, "a whole number from 1"),
         "max-bytes": _one(units.size, "a size such as 8MB"),
         "max-frame": _one(units.size, "a size such as 256KiB"),
-        "lease": _one(units.duration, SPAN),
-        "keepalive": _one(units.duration, SPAN),
-        "retransmit": _one(units.duration, SPAN),
-        "connect-timeout": _one(units.duration, SPAN),
-        "reconnect": _one(units.duration, SPAN),
+        "lease": _one(units.duration, DURATION),
+        "keepalive": _one(units.duration, DURATION),
+        "retransmit": _one(units.duration, DURATION),
+        "connect-timeout": _one(units.duration, DURATION),
+        "reconnect": _one(units.duration, DURATION),
     },
     build=Gateway,
 )
@@ -171,12 +175,12 @@
         "password-file": _one(units.path, "a path"),
         "authority": _one(units.path, "a path of a PEM file"),
         "prefix": _one(units.name, "a name"),
-        "timeout": _one(units.duration, SPAN),
+        "timeout": _one(units.duration, DURATION),
         "replicas": _one(units.count, "a whole number from 1"),
         "tier": _one(units.count, "a whole number from 1"),
-        "lease": _one(units.duration, SPAN),
-        "keep": _one(units.duration, SPAN),
-        "retry-window": _one(units.duration, SPAN),
+        "lease": _one(units.duration, DURATION),
+        "keep": _one(units.duration, DURATION),
+        "retry-window": _one(units.duration, DURATION),
     },
     build=Store,
 )
@@ -184,13 +188,13 @@
     {
         "listen": _one(units.address, "host:port", required=True),
         "member": Directive((units.name, units.address), "a name and host:port", many=True, required=True),
-        "lease": _one(units.duration, SPAN),
+        "lease": _one(units.duration, DURATION),
         "drift": _one(units.share, SHARE),
         "relay": _one(units.address, "host:port"),
         "address": _one(units.address, "host:port"),
         "list": _one(units.count, "a whole number from 1"),
         "places": _one(units.count, "a whole number from 1"),
-        "patience": _one(units.duration, SPAN),
+        "patience": _one(units.duration, DURATION),
         "lending": _one(units.switch, "yes or no"),
         "trial": _one(units.switch, "yes or no"),
     },
--- a/rookwood/interface.py
+++ b/rookwood/interface.py
@@ -1,7 +1,7 @@
-"""Everything that passes between a dispatcher and ``rookwood.policy.Policy``: types alone.
+"""Events that a dispatcher passes to ``rookwood.policy.Policy``, actions that it gets back, and settings.
 
-Times are integer microseconds on one clock that only advances. An optional value that is
-absent is ``None``.
+Times are integer microseconds on one clock that never runs back. An optional value that is absent is
+``None``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,10 @@
 
 
 class RetrySafety(Enum):
-    """How far a request of a class may be sent again once an attempt may have run."""
+    """Whether a request of a class may be sent again once an attempt may have run.
+
+    SAFE: always. KEYED: while workers drop duplicates by the request's key. UNSAFE: never.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -20,7 +23,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which workers drop repeats of a keyed request."""
+    """Which workers drop duplicates of a keyed request that one of them has run."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,13 +31,15 @@
 
 
 class Health(Enum):
+    """The state of a worker, as discovery lists it."""
+
     SERVING = "SERVING"
     DRAINING = "DRAINING"
     DELETED = "DELETED"
 
 
 class WorkerListKind(Enum):
-    """What a worker list is: changes, the whole list, the list kept from before, or a failed call."""
+    """What a worker list is: changes, the full list, the list saved before a restart, or a failed call."""
 
     CHANGES = "incr"
     FULL = "total"
@@ -56,7 +61,7 @@
 
 
 NEVER_RAN = frozenset({Outcome.QUEUE_FULL, Outcome.CONNECT_FAILED, Outcome.IGNORED})
-"""Endings that prove the attempt had no effect."""
+"""Outcomes that prove that the attempt had no effect."""
 
 
 # ---- settings ----
@@ -64,51 +69,57 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
+    """A class of requests, with what a response is worth and when it may be sent again."""
+
     name: str
-    aim: int  # an answer within aim + stretch x work is in time
-    give_up: int
-    worth: float
+    aim: int  # a response within aim + stretch * service time is in time
+    give_up: int  # time after which clients stop waiting
+    worth: float  # of a response in time
     repeat: RetrySafety
     group: DeduplicationScope = DeduplicationScope.ALL
-    window: int = 0  # how long repeats of a keyed request are dropped
+    window: int = 0  # how long workers drop duplicates of a keyed request
     stretch: float = 0.0
-    kind: str | None = None  # the only kind of machine that runs it
+    kind: str | None = None  # the only kind of worker that runs it
     sequential: bool = False  # requests with one key run one at a time, in order of arrival
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and the rate of requests up to which they have their full worth."""
+
     name: str
-    allowance_per_s: float  # over all dispatchers
+    allowance_per_s: float  # at all dispatchers together
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """What a policy needs to know of its deployment."""
+
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
     dispatchers: int = 1
-    me: int = 0  # number of this one among them
+    me: int = 0  # the number of this dispatcher, from 0
     zone: str = ""
-    tick: int = 1000
-    subscribe: bool = False  # discovery speaks only after a Subscribe
+    tick: int = 1000  # resolution of the clock and of timers
+    subscribe: bool = False  # discovery sends lists only after a Subscribe
     max_attempts: int = 3
-    worth_by_work: bool = False
-    over_share_worth: float = 1.0
-    worst_class: float = 0.0  # what the class served worst counts for, as a multiple of all together
-    crossing: float = 1.0  # price of a request that crosses zones, as a part of a request; unsaid, it is dear
-    tells_start: bool = False
-    cold_share: float = 1.0  # part of its capacity that a worker starts with, at least
-    warm_up: int = 0
-    fall_multiple: float = 1.0
+    worth_by_work: bool = False  # the worth of a class counts for each unit of work, not for each request
+    over_share_worth: float = 1.0  # factor on the worth of requests above a tenant's allowance
+    worst_class: float = 0.0  # weight of the class served worst, as a multiple of all classes together
+    crossing: float = 1.0  # price of sending a request to another zone, in requests; dear where it is not set
+    tells_start: bool = False  # workers report the start of a job
+    cold_share: float = 1.0  # least part of its capacity with which a worker starts
+    warm_up: int = 0  # time until a started worker has its full capacity
+    fall_multiple: float = 1.0  # a worker fails if sent more than this multiple of its capacity in the window
     fall_window: int = 1_000_000
-    order_settle: int = 0  # a sequential key rests this long after an attempt that may still run
+    order_settle: int = 0  # a sequential key pauses this long after an attempt that may still run
     cancel: bool = False  # Cancel is permitted
-    marks_retry: bool = False  # clients mark their repeats
-    probes: bool = False  # Probe is permitted, and brings load reports
-    peers: bool = False  # SendHints is permitted, and brings `HintsReceived` to the others
+    marks_retry: bool = False  # clients mark their retries
+    probes: bool = False  # Probe is permitted, and workers respond with load reports
+    peers: bool = False  # SendHints is permitted, and the others get HintsReceived
 
     def __post_init__(self) -> None:
-        """A setting out of its range is an error at the start, not a wrong decision at night."""
+        """Reject a setting out of its range at the start, before it leads to wrong decisions."""
         names = [c.name for c in self.classes]
         if len(set(names)) < len(names):
             raise ValueError("settings: two classes have one name")
@@ -116,7 +127,7 @@
             if getattr(self, count) < 1:
                 raise ValueError(f"settings: {count} must be 1 or more")
         if not 0 <= self.me < self.dispatchers:
-            raise ValueError("settings: me is no number of a dispatcher")
+            raise ValueError("settings: me is not the number of a dispatcher")
         amounts: dict[str, float] = {"worst_class": self.worst_class, "crossing": self.crossing}
         amounts |= {"warm_up": self.warm_up, "order_settle": self.order_settle}
         amounts |= {"fall_window": self.fall_window, "fall_multiple": self.fall_multiple}
@@ -129,52 +140,55 @@
                 raise ValueError(f"settings: {name} is negative")
         for name, part in {"cold_share": self.cold_share, "over_share_worth": self.over_share_worth}.items():
             if not 0 <= part <= 1:
-                raise ValueError(f"settings: {name} is no fraction")
+                raise ValueError(f"settings: {name} is not between 0 and 1")
 
 
-# ---- what may be asked at any time ----
+# ---- state that can be read at any time ----
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterHealth:
-    """How the decisions see the list."""
+    """How many workers are listed, and how many of them the policy avoids."""
 
     listed: int
-    avoided: int  # of these: jobs do not go there now, or hardly
+    avoided: int  # workers that get no requests or hardly any
 
 
 @dataclass(frozen=True, slots=True)
 class SiteLoad:
-    """How full the workers are, by what is known here; for a front that may pass requests on."""
+    """How full the workers are, as far as the policy knows; for an extension that may forward requests."""
 
-    slots: float  # of the workers that take jobs, by warmth and trust
-    used_slots: float  # slots taken there, and waited for in their queues: own attempts and others'
-    held_slots: float  # slots that requests held here would take
-    mean_service_s: Mapping[str, float]  # seconds that a job of a class runs, on the mean
+    slots: float  # of the serving workers, weighted by warm-up and trust
+    used_slots: float  # slots of running and queued jobs there, of this dispatcher and others
+    held_slots: float  # slots that the requests held here need
+    mean_service_s: Mapping[str, float]  # by class
 
 
 # ---- between dispatchers ----
 
 
 class HintKind(Enum):
-    """What one dispatcher tells another of a worker."""
+    """What a hint says of a worker. The values are sent to other dispatchers."""
 
-    SENT = 1  # a job went there
-    ENDED = 2  # and is over
-    FAILED = 3  # and is over, by the worker's fault
-    SUSPECT = 4  # it is silent, or answers no probe
-    LOAD_QUERY = 5  # how full is it?
-    LOAD_REPORT = 6  # so full, but for the jobs of who asked
+    SENT = 1  # a job was sent there
+    ENDED = 2  # a job sent there has ended
+    FAILED = 3  # a job sent there has ended by the worker's fault
+    SUSPECT = 4  # the worker is unresponsive
+    LOAD_QUERY = 5  # asks for the worker's load
+    LOAD_REPORT = 6  # the worker's load without the jobs of the dispatcher that queried it
 
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """May come late, twice, or never; it can make a dispatcher more careful and breaks no rule."""
+    """What one dispatcher tells another about a worker's load.
+
+    It may arrive late, twice or never. It can make a dispatcher more careful, and no rule depends on it.
+    """
 
     worker: str
     kind: HintKind
     slots: float = 0.0
-    fault_rate: float = 0.0  # part of its jobs that lately ended by its fault; told with `LOAD`
+    fault_rate: float = 0.0  # fraction of its recent jobs that ended by its fault; sent with LOAD_REPORT
 
 
 # ---- events ----
@@ -182,6 +196,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
+    """An entry of the worker list."""
+
     id: str
     health: Health = Health.SERVING
     size: float = 1.0  # no unit; compare with other workers
@@ -193,31 +209,37 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkersChanged:
+    """Discovery sent a worker list, or lost its connection."""
+
     kind: WorkerListKind
     workers: tuple[Worker, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """A client sent a request."""
+
     id: int
     job_class: str
-    time_left: int
+    time_left: int  # until the client stops waiting
     slots: float = 1.0
     memory: float | None = None
-    work_hint: int | None = None
+    work_hint: int | None = None  # service time, estimated by the client
     key: int | None = None
     tenant: str | None = None
-    is_retry: bool = False  # told only where clients mark their repeats
+    is_retry: bool = False  # set only where clients mark their retries
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
+    """A timer set by SetTimer has elapsed."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """A sign of life of an attempt: its job started, made progress, or its stream began."""
+    """An attempt showed a sign of life: its job started, made progress, or began to stream its response."""
 
     request: int
     attempt: int
@@ -228,32 +250,36 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
+    """The client stopped waiting for a request."""
+
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt has an outcome."""
+
     request: int
     attempt: int
     worker: str
     outcome: Outcome
     latency: int
-    request_done: bool
-    load: Mapping[str, float] | None = None  # outstanding, backlog, x0 (free slots); others ignored
+    request_done: bool  # the client has its final response
+    load: Mapping[str, float] | None = None  # outstanding, backlog, x0 (free slots); others are ignored
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """What came of one Probe."""
+    """The outcome of a Probe."""
 
     worker: str
     outcome: Outcome
-    load: Mapping[str, float] | None = None  # as in Outcome
+    load: Mapping[str, float] | None = None  # as in AttemptEnded
 
 
 @dataclass(frozen=True, slots=True)
 class HintsReceived:
-    """Another dispatcher said this."""
+    """Another dispatcher sent hints."""
 
     sender: int
     hints: tuple[Hint, ...]
@@ -276,6 +302,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send an attempt of a request to a worker."""
+
     request: int
     worker: str
     timeout: int = 0  # 0: until the client stops waiting
@@ -283,22 +311,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: a new try does no harm."""
+    """Final response: the request was turned away, and a retry by the client does no harm."""
 
     request: int
-    retry_after: int = 0  # advice: how long to keep away; 0: none
+    retry_after: int = 0  # how long the client should wait before it; 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer that promises nothing about the effect."""
+    """Final response that promises nothing about the request's effect."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Give up on an attempt that is out, also after the request's end."""
+    """Cancel an open attempt; its request may have ended already."""
 
     request: int
     attempt: int
@@ -306,14 +334,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a worker for its load report."""
+    """Request a load report from a worker."""
 
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendHints:
-    """To these dispatchers, by their numbers."""
+    """Send hints to these dispatchers, by their numbers."""
 
     to: tuple[int, ...]
     hints: tuple[Hint, ...]
@@ -321,17 +349,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Request a Timer event after a delay."""
+
     token: int
     delay: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    pass
+    """Request worker lists from discovery."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/rookwood/logs.py
+++ b/rookwood/logs.py
@@ -1,6 +1,6 @@
-"""The one logger set-up: plain lines for the platform, structured ones where the operator's file says so.
+"""Configures logging: plain lines by default, structured ones where the operator file asks for them.
 
-structlog is imported only for the latter; records of the standard library's loggers go the same way out.
+structlog is imported only for the latter. Records of the standard library's loggers are formatted by it too.
 """
 
 from __future__ import annotations
@@ -12,27 +12,30 @@
 
 
 def configure_logging(form: str = "plain", level: str = "info", **fields: str) -> None:
-    """`form` is plain, console or json; `fields` stand on every structured line."""
+    """Configure the root logger for a format (plain, console or json) and a level.
+
+    `fields` are added to every structured line.
+    """
     if form == "plain":
         logging.basicConfig(level=level.upper(), format=PLAIN, force=True)
         return
     import structlog
 
-    def common(_: object, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
+    def add_fields(_: object, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
         return {**fields, **event}
 
     shared: list[structlog.typing.Processor] = [
         structlog.contextvars.merge_contextvars,
-        common,
+        add_fields,
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.stdlib.ExtraAdder(),
         structlog.processors.TimeStamper(fmt="iso", utc=True, key="at"),
     ]
-    last: structlog.typing.Processor = (
+    renderer: structlog.typing.Processor = (
         structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
     )
-    trace: structlog.typing.Processor = (
+    traceback_formatter: structlog.typing.Processor = (
         structlog.processors.dict_tracebacks
         if form == "json"
         else structlog.processors.ExceptionPrettyPrinter()
@@ -50,7 +53,11 @@
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
             foreign_pre_chain=shared,
-            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, trace, last],
+            processors=[
+                structlog.stdlib.ProcessorFormatter.remove_processors_meta,
+                traceback_formatter,
+                renderer,
+            ],
         )
     )
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/rookwood/mechanisms.py
+++ b/rookwood/mechanisms.py
@@ -1,8 +1,8 @@
-"""Names of the mechanisms that decide where requests and weights go, and those that a program runs without.
+"""The mechanisms that decide where requests and weights go, and that a program can run without.
 
-An operator who measures what a mechanism is worth starts the programs with `--without NAME`. One list of
-names serves both programs: each leaves out what the other one runs. What `docs/policy.md` lists and what is
-not here keeps a rule of the protocol, and can't be switched off.
+To measure what a mechanism is worth, an operator starts the programs with `--without NAME`. The same list of
+names is valid for both programs, and each ignores the mechanisms of the other one. A mechanism that
+`docs/policy.md` lists and that is missing here enforces a rule of the protocol: it can't be switched off.
 """
 
 from __future__ import annotations
@@ -12,33 +12,37 @@
 
 
 class Mechanism(StrEnum):
-    """A mechanism that can be switched off."""
+    """A mechanism that can be switched off, by the name that the command line uses."""
 
     # Choice of the worker, at a dispatcher.
-    TABLE_DRAWS = "table-draws"  # two draws over the placement table's fractions, beside two over all holders
-    SHARED_BACKLOG = "shared-backlog"  # dispatchers tell one another of the prompts that they send
-    CACHED_PREFIXES = "cached-prefixes"  # a prompt's parts that a worker has read need no second reading
-    READING_SPEED = "reading-speed"  # seconds for a prompt token are learned for each model
-    READING_COSTS = "reading-costs"  # long prompts and long streams part ways
-    TOLD_LOAD = "told-load"  # the load that workers add to their answers
-    PREFER_CONNECTED = "prefer-connected"  # a worker with a kept connection goes before an equal one without
-    AVOID_FAILED = "avoid-failed"  # a worker that failed is avoided, longer each time
-    LACKING_WEIGHTS = "lacking-weights"  # a worker that said 421 is not asked again for a moment
-    # What becomes of a request, at a dispatcher.
-    LEAVE_SILENT = "leave-silent"  # a request leaves a worker that fell silent
-    RETURN_TIMES = "return-times"  # a refusal at once that tells when the model should be there
-    WAIT_SHARE = "wait-share"  # a request waits for its weights for a share of its time only
-    ROUTE_RANK = "route-rank"  # workers are told the route's rank
-    SHORT_FIRST = "short-first"  # short prompts go first at a worker that has room
-    KEEP_ALIVE = "keep-alive"  # connections are kept for as long as workers tell
+    TABLE_DRAWS = (
+        "table-draws"  # draws two workers by the table's fractions, besides two of all that have the model
+    )
+    SHARED_BACKLOG = "shared-backlog"  # dispatchers tell one another about the prompts that they send
+    CACHED_PREFIXES = "cached-prefixes"  # prefixes that a worker has cached shorten its estimated prefill
+    READING_SPEED = "reading-speed"  # the prefill time of a token is learned for each model
+    READING_COSTS = "reading-costs"  # long prompts and long streams go to different workers
+    TOLD_LOAD = "told-load"  # the load that workers report with their responses
+    PREFER_CONNECTED = "prefer-connected"  # of equal workers, one with an idle connection is preferred
+    AVOID_FAILED = "avoid-failed"  # a worker that failed is avoided, for longer each time
+    LACKING_WEIGHTS = "lacking-weights"  # a worker that responded 421 is not tried again for a moment
+    # Handling of a request, at a dispatcher.
+    LEAVE_SILENT = "leave-silent"  # a request on an unresponsive worker is retried elsewhere
+    RETURN_TIMES = "return-times"  # an immediate rejection says when the model should be loaded
+    WAIT_SHARE = "wait-share"  # a request waits for weights for only a share of its time
+    ROUTE_RANK = "route-rank"  # workers receive the rank of the request's route
+    SHORT_FIRST = "short-first"  # a worker that has room gets short prompts first
+    KEEP_ALIVE = "keep-alive"  # idle connections are kept for as long as workers announce
     # Placement, at the control machines.
-    UNLOAD_NOTICE = "unload-notice"  # dispatchers hear of an unload before its order
-    ROOM_DURING_EVICTIONS = "room-during-evictions"  # room is made for loads that come while evictions last
+    UNLOAD_NOTICE = "unload-notice"  # dispatchers are notified of an unload before it is ordered
+    ROOM_DURING_EVICTIONS = (
+        "room-during-evictions"  # evictions begin for loads that the load rate will permit by their end
+    )
     MORE_COPIES = "more-copies"  # further copies of models in demand
-    UNPLACED_ADAPTERS = "unplaced-adapters"  # adapters that are asked for are placed before anyone waits
+    UNPLACED_ADAPTERS = "unplaced-adapters"  # requested adapters are placed before a request waits
     SPARE_ROOM = "spare-room"  # room is made ahead for loads that are expected
-    POPULARITY = "popularity"  # an eviction minds what was asked for over the last minute
-    BUSY_REPORTS = "busy-reports"  # busy workers are asked for their report more often
+    POPULARITY = "popularity"  # evictions spare what was requested in the last minute
+    BUSY_REPORTS = "busy-reports"  # busy workers are polled for reports more often
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +52,7 @@
     off: frozenset[Mechanism] = frozenset()
 
     def has(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is on."""
+        """Return whether a mechanism is on."""
         return mechanism not in self.off
 
 
@@ -56,11 +60,11 @@
 
 
 class UnknownMechanismError(ValueError):
-    """A name that no mechanism has; its text is one line."""
+    """No mechanism has this name. The message is one line."""
 
 
 def read_mechanisms(names: str) -> Mechanisms:
-    """Read the names of mechanisms to switch off, with commas between; raises UnknownMechanismError."""
+    """Parse the comma-separated names of mechanisms to switch off. Raises UnknownMechanismError."""
     known = {mechanism.value: mechanism for mechanism in Mechanism}
     off = set()
     for name in names.split(","):
--- a/rookwood/placement.py
+++ b/rookwood/placement.py
@@ -51,4 +51,4 @@
             share[w] = share.get(w, 0.0) + left
             load[w] += left
     sums = {row: sum(share.values()) for row, share in shares.items()}
-    return {row: [(w, amount / sums[row]) for w, amount in share.items()] for row, share in shares.items()}
+    return {row: [(w, portion / sums[row]) for w, portion in share.items()] for row, share in shares.items()}
--- a/rookwood/settings.py
+++ b/rookwood/settings.py
@@ -1,4 +1,4 @@
-"""The settings object, read in one place for the simulator's wire and for a real dispatcher's file."""
+"""Reads the settings object of the policy, for the simulator's wire protocol and for a dispatcher's file."""
 
 from __future__ import annotations
 
@@ -12,23 +12,30 @@
 
 
 class InvalidSettingError(ValueError):
-    """A value that is missing or unsound; the text names its key."""
+    """A setting is missing or invalid. The message names its key."""
 
-    def __init__(self, key: str, why: str) -> None:
-        super().__init__(f"{key}: {why}")
-        self.key, self.reason = key, why
+    def __init__(self, key: str, reason: str) -> None:
+        super().__init__(f"{key}: {reason}")
+        self.key = key
+        self.reason = reason
 
 
 class JsonReader:
-    """Parsed JSON, read by dotted paths, with complaints that name the whole path."""
+    """Reads values of parsed JSON by dotted paths. Errors name the path from the root."""
 
     def __init__(self, data: Any, at: str = "") -> None:
-        self.data, self.at = data, at
+        self.data = data
+        self.at = at  # the path of `data` itself
 
-    def error(self, path: str, why: str) -> InvalidSettingError:
-        return InvalidSettingError(f"{self.at}.{path}" if self.at else path, why)
+    def error(self, path: str, reason: str) -> InvalidSettingError:
+        """Return an error about the value at a path, to be raised."""
+        return InvalidSettingError(f"{self.at}.{path}" if self.at else path, reason)
 
     def get(self, path: str, kind: type, default: Any = None) -> Any:
+        """Return the value at a path, or the default if it is absent and there is one.
+
+        Raises InvalidSettingError if it is missing, of another type, negative, not finite or not Unicode.
+        """
         value = self.data
         for part in path.split("."):
             value = value.get(part) if isinstance(value, dict) else None
@@ -44,7 +51,7 @@
         if isinstance(value, str) and not value.isascii():
             try:
                 value.encode()
-            except UnicodeEncodeError:  # half of a pair, which JSON can name and nobody can pass on
+            except UnicodeEncodeError:  # an unpaired surrogate, which JSON can hold and UTF-8 cannot
                 raise self.error(path, "not Unicode") from None
         if isinstance(value, int | float) and value < 0:
             raise self.error(path, "negative")
@@ -53,6 +60,7 @@
         return value
 
     def enum_value(self, path: str, choices: type[E], default: str | None = None) -> E:
+        """Return the enum member whose value stands at a path."""
         value = self.get(path, str, default)
         try:
             return choices(value)
@@ -60,21 +68,24 @@
             raise self.error(path, f"unknown value {value!r}") from None
 
     def subtree(self, path: str) -> JsonReader:
+        """Return a reader of the object at a path."""
         return JsonReader(self.get(path, dict), f"{self.at}.{path}" if self.at else path)
 
     def items(self, path: str, default: list[Any] | None = None) -> list[JsonReader]:
+        """Return a reader of each item of the list at a path."""
         place = f"{self.at}.{path}" if self.at else path
         return [JsonReader(item, f"{place}[{n}]") for n, item in enumerate(self.get(path, list, default))]
 
 
 def parse_settings(tree: JsonReader) -> api.Settings:
-    for part in ("kept-promises", "borne-misses"):  # no decision hangs on them, but they must be sound
+    """Read the policy's settings. Raises InvalidSettingError or, from Settings itself, ValueError."""
+    for part in ("kept-promises", "borne-misses"):  # unused, but they must be valid
         tree.get(f"score-parts.{part}", float, 0.0)
     kinds = tree.get("kinds", list, [])
     bound = tree.get("family-info.class-kind", list, [])
     stretches = tree.get("family-info.class-stretch", list, [])
     classes = []
-    for index, lane in enumerate(tree.items("lanes")):
+    for index, entry in enumerate(tree.items("lanes")):
         kind = bound[index] if index < len(bound) else -1
         stretch = stretches[index] if index < len(stretches) else 0.0
         if type(kind) is not int or kind >= len(kinds):
@@ -83,19 +94,19 @@
             raise tree.error("family-info.class-stretch", "not of type float")
         classes.append(
             api.JobClass(
-                name=lane.get("name", str),
-                aim=lane.get("aim", int),
-                give_up=lane.get("give-up", int),
-                worth=lane.get("importance", float),
-                repeat=lane.enum_value("repeat", api.RetrySafety),
-                group=lane.enum_value("group", api.DeduplicationScope, "all"),
-                window=lane.get("window", int, 0),
-                stretch=lane.get("aim-stretch", float, float(stretch)),
+                name=entry.get("name", str),
+                aim=entry.get("aim", int),
+                give_up=entry.get("give-up", int),
+                worth=entry.get("importance", float),
+                repeat=entry.enum_value("repeat", api.RetrySafety),
+                group=entry.enum_value("group", api.DeduplicationScope, "all"),
+                window=entry.get("window", int, 0),
+                stretch=entry.get("aim-stretch", float, float(stretch)),
                 kind=str(kinds[kind]) if kind >= 0 else None,
-                sequential=lane.get("sequential", bool, False),
+                sequential=entry.get("sequential", bool, False),
             )
         )
-    goal = {name: tree.get(f"score-parts.{name}", float, 0.0) for name in ("whole", "worst-window")}
+    score_parts = {name: tree.get(f"score-parts.{name}", float, 0.0) for name in ("whole", "worst-window")}
     return api.Settings(
         classes=tuple(classes),
         tenants=tuple(
@@ -110,7 +121,7 @@
         max_attempts=tree.get("bounds.attempts-cap", int),
         worth_by_work=tree.get("counted-by", str, "request") == "work",
         over_share_worth=tree.get("over-share-worth", float, 1.0),
-        worst_class=tree.get("score-parts.worst-class", float, 0.0) / (sum(goal.values()) or 1.0),
+        worst_class=tree.get("score-parts.worst-class", float, 0.0) / (sum(score_parts.values()) or 1.0),
         crossing=tree.get("prices.cross-zone", float, 1.0),
         tells_start=tree.get("family-info.tells-start", bool, False),
         cold_share=tree.get("rules.start-capacity", float),
--- a/rookwood/wirehost.py
+++ b/rookwood/wirehost.py
@@ -1,6 +1,8 @@
-"""The simulator's wire on standard input and output: parsing and writing, no decision.
+"""Runs policies for a simulator over standard input and output.
 
-Each batch in is a ``FRAME`` line, events and ``OVER_TO_YOU``; each reply is actions and ``END``.
+Each batch of input is a ``FRAME`` line, lines of events and ``OVER_TO_YOU``. Each reply is lines of actions
+and ``END``. Several dispatchers share the streams: ``FOR`` and ``ON_BEHALF`` name the one to which the
+following lines belong. This module parses and writes lines and decides nothing.
 """
 
 from __future__ import annotations
@@ -23,63 +25,72 @@
 
 
 class WireError(Exception):
-    """Input that is not the wire; the text names the line and the field."""
+    """Input breaks the wire protocol. The text names the line and the field."""
 
 
 class Line:
-    """One line cut into fields, so that every complaint can name where it stands."""
+    """A line of input, cut into fields. Errors name the line's number and the field."""
 
     __slots__ = ("number", "place", "values")
 
     def __init__(self, number: int, text: str, place: dict[str, int]) -> None:
-        self.number, self.place = number, place
-        spare = 0 if "profile-data" in place else 1  # only JSON may hold spaces
+        self.number = number
+        self.place = place  # index of each field
+        spare = 0 if "profile-data" in place else 1  # JSON, the last field, may hold spaces
         self.values = text.split(" ", len(place) + spare)[1:]
         if len(self.values) != len(place):
             short = len(self.values) < len(place)
             field = list(place)[len(self.values)] if short else "end"
-            self.bad(field, f"expected {len(place)} fields, found {len(self.values)}")
+            self.fail(field, f"expected {len(place)} fields, found {len(self.values)}")
 
-    def bad(self, field: str, why: str) -> NoReturn:
-        raise WireError(f"line {self.number}, field {field}: {why}")
+    def fail(self, field: str, reason: str) -> NoReturn:
+        """Raise an error about a field."""
+        raise WireError(f"line {self.number}, field {field}: {reason}")
 
     def text(self, field: str) -> str:
+        """Return a field that must have a value."""
         value = self.values[self.place[field]]
         if not value or value == "-":
-            self.bad(field, "a value is required")
+            self.fail(field, "a value is required")
         return value
 
-    def opt(self, field: str) -> str | None:
+    def optional_text(self, field: str) -> str | None:
+        """Return a field, or None if it is absent, which the wire writes as ``-``."""
         value = self.values[self.place[field]]
         return None if value == "-" else value
 
-    def number_of(self, field: str) -> float:
+    def finite_number(self, field: str) -> float:
+        """Return a field that must be a finite number."""
         try:
             value = float(self.text(field))
         except ValueError:
-            self.bad(field, f"not a number: {self.values[self.place[field]]!r}")
-        return value if math.isfinite(value) else self.bad(field, "not a finite number")
+            self.fail(field, f"not a number: {self.values[self.place[field]]!r}")
+        return value if math.isfinite(value) else self.fail(field, "not a finite number")
 
-    def whole(self, field: str) -> int:
+    def integer(self, field: str) -> int:
+        """Return a field that must be an integer."""
         text = self.text(field)
         try:
             return int(text)
         except ValueError:
-            self.bad(field, f"not a whole number: {text!r}")
+            self.fail(field, f"not a whole number: {text!r}")
 
     def flag(self, field: str) -> bool:
+        """Return a field that must be 0 or 1."""
         if self.values[self.place[field]] not in ("0", "1"):
-            self.bad(field, f"not 0 or 1: {self.values[self.place[field]]!r}")
+            self.fail(field, f"not 0 or 1: {self.values[self.place[field]]!r}")
         return self.values[self.place[field]] == "1"
 
-    def one_of(self, field: str, choices: type[E]) -> E:
+    def enum_value(self, field: str, choices: type[E]) -> E:
+        """Return the enum member that a field names."""
         try:
             return choices(self.text(field))
         except ValueError:
-            self.bad(field, f"unknown value {self.values[self.place[field]]!r}")
+            self.fail(field, f"unknown value {self.values[self.place[field]]!r}")
 
     def load(self, field: str) -> dict[str, float] | None:
-        value = self.opt(field)
+        """Return a load report, written as ``name:value`` pairs with commas between them, or None."""
+        value = self.optional_text(field)
         if value is None:
             return None
         found: dict[str, float] = {}
@@ -88,9 +99,9 @@
             try:
                 found[name] = float(figure)
             except ValueError:
-                self.bad(field, f"not a name:value pair: {pair!r}")
+                self.fail(field, f"not a name:value pair: {pair!r}")
             if not colon or not math.isfinite(found[name]):
-                self.bad(field, f"not a name:value pair: {pair!r}")
+                self.fail(field, f"not a name:value pair: {pair!r}")
         return found
 
 
@@ -116,89 +127,95 @@
 }
 
 
-def settings_in(line: Line) -> api.Settings:
+def settings_of(line: Line) -> api.Settings:
+    """Parse the settings of a HELLO line."""
     try:
         return parse_settings(JsonReader(json.loads(line.text("profile-data"))))
     except InvalidSettingError as fault:
-        line.bad(f"profile-data.{fault.key}", fault.reason)
+        line.fail(f"profile-data.{fault.key}", fault.reason)
     except json.JSONDecodeError as error:
-        line.bad("profile-data", f"not JSON: {error}")
+        line.fail("profile-data", f"not JSON: {error}")
 
 
 HEALTH = {health.value: health for health in api.Health}
 
 
 def worker_of(line: Line) -> api.Worker:
+    """Parse a WORKER line."""
     size, cell, kind, name, health, started, zone = line.values
-    try:  # most lines are these: one a worker and a list, so the straight way is taken first
-        fine = math.isfinite(float(size)) and name not in ("", "-")
+    # Most lines of the input are of this kind, so the fast path takes all fields at once.
+    try:
+        is_valid = math.isfinite(float(size)) and name not in ("", "-")
         found = HEALTH[health], float(size), int(cell), None if started == "-" else int(started)
     except (ValueError, KeyError):
-        fine = False
-    if not fine:  # name the field
+        is_valid = False
+    if not is_valid:  # parse again field by field, to name the invalid one
         line.text("worker")
         found = (
-            line.one_of("health", api.Health),
-            line.number_of("nominal"),
-            line.whole("block"),
-            None if started == "-" else line.whole("started-at"),
+            line.enum_value("health", api.Health),
+            line.finite_number("nominal"),
+            line.integer("block"),
+            None if started == "-" else line.integer("started-at"),
         )
     kind, zone = ("" if kind == "-" else kind), ("" if zone == "-" else zone)
     return api.Worker(name, found[0], found[1], found[2], kind, zone, found[3])
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """A message of another instance, still to be decoded by the list of the one that gets it."""
+class PeerMessage:
+    """A message of another dispatcher, to be decoded with the worker list of the one that receives it."""
 
     author: int
     payload: bytes
 
 
-def event_of(tag: str, line: Line) -> api.Event | Said:
+def event_of(tag: str, line: Line) -> api.Event | PeerMessage:
+    """Parse a line that is one event."""
     if tag == "ASK":
         return api.Request(
-            id=line.whole("handle"),
+            id=line.integer("handle"),
             job_class=line.text("band"),
-            time_left=line.whole("ttl"),
-            slots=line.number_of("slots"),
-            memory=None if line.opt("ram-units") is None else line.number_of("ram-units"),
-            work_hint=None if line.opt("work-hint") is None else line.whole("work-hint"),
-            key=None if line.opt("key") is None else line.whole("key"),
-            tenant=None if line.opt("party") in (None, "0") else line.text("party"),
-            is_retry=line.opt("is-retry") is not None and line.flag("is-retry"),
+            time_left=line.integer("ttl"),
+            slots=line.finite_number("slots"),
+            memory=None if line.optional_text("ram-units") is None else line.finite_number("ram-units"),
+            work_hint=None if line.optional_text("work-hint") is None else line.integer("work-hint"),
+            key=None if line.optional_text("key") is None else line.integer("key"),
+            tenant=None if line.optional_text("party") in (None, "0") else line.text("party"),
+            is_retry=line.optional_text("is-retry") is not None and line.flag("is-retry"),
         )
     if tag == "ELAPSED":
-        return api.Timer(line.whole("label"))
+        return api.Timer(line.integer("label"))
     if tag == "HINT_UPDATE":
         return api.AttemptProgress(
-            line.whole("handle"), line.whole("n"), line.text("worker"), line.whole("what") == 1
+            line.integer("handle"), line.integer("n"), line.text("worker"), line.integer("what") == 1
         )
     if tag == "UNDER_WAY":
-        return api.AttemptProgress(line.whole("handle"), line.whole("n"), line.text("worker"), True, True)
+        return api.AttemptProgress(line.integer("handle"), line.integer("n"), line.text("worker"), True, True)
     if tag == "ABANDONED":
-        return api.RequestAbandoned(line.whole("handle"))
+        return api.RequestAbandoned(line.integer("handle"))
     if tag == "REPORT_BACK":
         return api.AttemptEnded(
-            request=line.whole("handle"),
-            attempt=line.whole("n"),
+            request=line.integer("handle"),
+            attempt=line.integer("n"),
             worker=line.text("worker"),
-            outcome=line.one_of("ending", api.Outcome),
-            latency=line.whole("latency"),
+            outcome=line.enum_value("ending", api.Outcome),
+            latency=line.integer("latency"),
             request_done=line.flag("done-flag"),
             load=line.load("usage"),
         )
     if tag == "SAMPLED":
-        return api.ProbeResult(line.text("worker"), line.one_of("ending", api.Outcome), line.load("usage"))
+        return api.ProbeResult(
+            line.text("worker"), line.enum_value("ending", api.Outcome), line.load("usage")
+        )
     try:
-        payload = bytes.fromhex(line.opt("payload") or "")
+        payload = bytes.fromhex(line.optional_text("payload") or "")
     except ValueError:
-        line.bad("payload", "not hex digits")
-    return Said(line.whole("author"), payload)
+        line.fail("payload", "not hex digits")
+    return PeerMessage(line.integer("author"), payload)
 
 
-def written(action: api.Action, codec: HintCodec) -> str:
-    """The wire's line for an action."""
+def format_action(action: api.Action, codec: HintCodec) -> str:
+    """Return the line, or the lines, that an action is written as."""
     match action:
         case api.Send(request, worker, timeout):
             return f"TRANSMIT {request} {timeout or '-'} {worker}"
@@ -222,40 +239,41 @@
 
 
 class Host:
-    """Instances by name, each with a ``Policy`` of its own."""
+    """Dispatchers by name, each with a policy and a hint codec of its own."""
 
     def __init__(self) -> None:
         self.policies: dict[str, Policy] = {}
         self.codecs: dict[str, HintCodec] = {}
-        self.number = 0
+        self.line_number = 0  # of the last line read
 
-    def next_line(self, lines: Iterator[str], wanted: str | None = None) -> tuple[str, Line] | None:
+    def next_line(self, lines: Iterator[str], expected: str | None = None) -> tuple[str, Line] | None:
+        """Read a line and its tag; None at the end of input, which is an error if a line is expected."""
         text = next(lines, None)
         if text is None:
-            if wanted is not None:
-                raise WireError(f"line {self.number + 1}, field {wanted}: input ends within a batch")
+            if expected is not None:
+                raise WireError(f"line {self.line_number + 1}, field {expected}: input ends within a batch")
             return None
-        self.number += 1
+        self.line_number += 1
         text = text.rstrip("\r\n")
         tag = text.split(" ", 1)[0]
         if tag not in FIELDS:
-            raise WireError(f"line {self.number}, field tag: unknown message {tag!r}")
-        line = Line(self.number, text, FIELDS[tag])
-        if wanted == "FRAME" and tag != wanted:
-            line.bad("tag", f"expected FRAME, found {tag}")
-        if wanted == "WORKER" and tag != wanted:
-            line.bad("tag", f"expected WORKER, found {tag}")
+            raise WireError(f"line {self.line_number}, field tag: unknown message {tag!r}")
+        line = Line(self.line_number, text, FIELDS[tag])
+        if expected == "FRAME" and tag != expected:
+            line.fail("tag", f"expected FRAME, found {tag}")
+        if expected == "WORKER" and tag != expected:
+            line.fail("tag", f"expected WORKER, found {tag}")
         return tag, line
 
     def batch(self, lines: Iterator[str]) -> list[str] | None:
-        """Read one batch and return the reply's lines, or ``None`` at the end of input."""
+        """Read one batch and return the lines of the reply, or ``None`` at the end of input."""
         first = self.next_line(lines)
         if first is None:
             return None
         if first[0] != "FRAME":
-            first[1].bad("tag", f"expected FRAME, found {first[0]}")
-        now = first[1].whole("now")
-        # The whole batch is parsed before anything acts: malformed input gets no half reply.
+            first[1].fail("tag", f"expected FRAME, found {first[0]}")
+        now = first[1].integer("now")
+        # The whole batch is parsed before any event is handled, so malformed input gets no partial reply.
         events: list[tuple[str, Line, Any]] = []
         name = ""
         while True:
@@ -265,32 +283,37 @@
             if tag == "OVER_TO_YOU":
                 break
             if tag in ("FRAME", "WORKER"):
-                line.bad("tag", f"{tag} out of place")
+                line.fail("tag", f"{tag} out of place")
             if tag == "FOR":
                 name = line.text("dispatcher")
                 continue
             if not name:
-                line.bad("tag", f"{tag} before any FOR")
-            events.append((name, line, self.parsed(tag, line, lines)))
-        return self.acted(now, events)
+                line.fail("tag", f"{tag} before any FOR")
+            events.append((name, line, self.parse_event(tag, line, lines)))
+        return self.handle_events(now, events)
+
+    def parse_event(self, tag: str, line: Line, lines: Iterator[str]) -> Any:
+        """Parse an event, with the lines that follow it if it has any.
 
-    def parsed(self, tag: str, line: Line, lines: Iterator[str]) -> Any:
+        HELLO gives a tuple of seed and settings, and CRASH_NOW its own tag.
+        """
         if tag == "HELLO":
-            return (line.whole("seed"), settings_in(line))
+            return (line.integer("seed"), settings_of(line))
         if tag == "CRASH_NOW":
             return tag
         if tag == "BACKENDS_CHANGED":
-            how = line.one_of("how", api.WorkerListKind)
-            line.whole("generation")
+            how = line.enum_value("how", api.WorkerListKind)
+            line.integer("generation")
             workers = []
-            for _ in range(line.whole("lines")):
+            for _ in range(line.integer("lines")):
                 entry = self.next_line(lines, "WORKER")
                 assert entry is not None
                 workers.append(worker_of(entry[1]))
             return api.WorkersChanged(how, tuple(workers))
         return event_of(tag, line)
 
-    def acted(self, now: int, events: list[tuple[str, Line, Any]]) -> list[str]:
+    def handle_events(self, now: int, events: list[tuple[str, Line, Any]]) -> list[str]:
+        """Handle the events of a batch in order and return the lines of the reply."""
         reply: list[str] = []
         current = ""
         for name, line, event in events:
@@ -302,21 +325,21 @@
                 if isinstance(event, tuple):
                     self.policies[name], self.codecs[name] = Policy(event[1], event[0]), HintCodec()
                 elif name not in self.policies:
-                    line.bad("dispatcher", f"{name} has had no HELLO")
+                    line.fail("dispatcher", f"{name} has had no HELLO")
                 else:
                     if isinstance(event, api.WorkersChanged):
-                        whole = event.kind in (api.WorkerListKind.FULL, api.WorkerListKind.CACHED)
-                        self.codecs[name].add_workers((w.id for w in event.workers), whole)
-                    if isinstance(event, Said):
+                        is_full = event.kind in (api.WorkerListKind.FULL, api.WorkerListKind.CACHED)
+                        self.codecs[name].add_workers((w.id for w in event.workers), is_full)
+                    if isinstance(event, PeerMessage):
                         try:
                             event = api.HintsReceived(event.author, self.codecs[name].decode(event.payload))
                         except InvalidHintError:
                             continue
                     actions = self.policies[name].handle(now, event)
-                out = [written(action, self.codecs[name]) for action in actions]
+                out = [format_action(action, self.codecs[name]) for action in actions]
             except WireError:
                 raise
-            except Exception as error:  # a defect of the policy ends the run, with its text
+            except Exception as error:  # a defect in the policy: FATAL ends the simulation
                 traceback.print_exc(file=sys.stderr)
                 out = [f"FATAL {type(error).__name__}: {' '.join(str(error).split())}"]
             if out and name != current:
@@ -327,6 +350,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
+    """Process batches until the end of input."""
     host = Host()
     lines = iter(source.readline, "")
     while (reply := host.batch(lines)) is not None:
@@ -335,6 +359,7 @@
 
 
 def main() -> int:
+    """Serve standard input and output. Returns 2 for malformed input."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -56,11 +56,11 @@
 @pytest.mark.parametrize(
     ("line", "told"),
     [
-        ("lend 120%", "5:6: lend: '120%' is no share"),
+        ("lend 120%", "5:6: lend: '120%' is not a share"),
         ("lease 10", "5:7: lease: '10' needs a unit"),
-        ("lease 1s 2s", "5:1: lease: takes 1 value(s); right would be a duration"),
-        ("leese 1s", "5:1: leese: no such directive in section 'gateway'; right would be lease"),
-        ("listen 127.0.0.1:1", "6:5: listen: is here for the second time, first at"),
+        ("lease 1s 2s", "5:1: lease: takes 1 value(s); expected a duration"),
+        ("leese 1s", "5:1: leese: no such directive in section 'gateway'; expected lease"),
+        ("listen 127.0.0.1:1", "6:5: listen: is given twice, first at"),
         ('name "z0', "5:6: a quoted word has no closing quote"),
         ("max-frame 100B", "max-frame: is under 2048 bytes"),
         ("keepalive 1s", "keepalive: is over a third of 'lease'"),
@@ -68,7 +68,7 @@
         ("leave 2", "leave: is not below 'enter'"),
         ("certificate a.pem", "plaintext: excludes certificate"),
         ("gateway {", "5:1: gateway: a section inside 'gateway'"),
-        ("plaintext maybe", "plaintext: is here for the second time"),
+        ("plaintext maybe", "plaintext: is given twice"),
     ],
 )
 def test_fault_names_place_and_what_would_be_right(tmp_path: Path, line: str, told: str) -> None:
@@ -94,7 +94,7 @@
         (SOUND.replace("site zagreb", "site rijeka"), MORE, "is the own site"),
         (SOUND.replace("plaintext yes", ""), MORE, "'certificate', 'key' and 'authority' are all needed"),
         ("include more.conf\n", MORE, "there is no section 'gateway'"),
-        ("gateway {\n}\n", "", "listen: is missing in section 'gateway'; right would be host:port"),
+        ("gateway {\n}\n", "", "listen: is missing in section 'gateway'; expected host:port"),
     ],
 )
 def test_faults_between_lines_and_files(tmp_path: Path, text: str, more: str, told: str) -> None:
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from rookwood import interface as api
-from rookwood.hints import SIZE, HintCodec, InvalidHintError, mark_of
+from rookwood.hints import HINT_BYTES, HintCodec, InvalidHintError, mark_of
 from rookwood.lab.free_ports import find_free_port
 from rookwood.net.clock import Clock
 from rookwood.net.destinations import Address, DestinationUpdate, Endpoint, State
@@ -28,7 +28,7 @@
 
 def codec(names: list[str] = NAMES) -> HintCodec:
     made = HintCodec()
-    made.add_workers(names, whole=True)
+    made.add_workers(names, is_full=True)
     return made
 
 
@@ -55,7 +55,7 @@
     for name in (first, f"w{n}"):
         with pytest.raises(InvalidHintError):
             both.decode(both.encode([api.Hint(name, api.HintKind.SENT, 1.0)]))
-    both.add_workers([first], whole=True)
+    both.add_workers([first], is_full=True)
     assert both.decode(both.encode([api.Hint(first, api.HintKind.SENT, 1.0)]))[0].worker == first
     with pytest.raises(InvalidHintError):
         both.decode(both.encode([api.Hint("other", api.HintKind.SENT, 1.0)]))
@@ -104,7 +104,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             bad = codec().encode([api.Hint("s-1", api.HintKind.FAILED, 1.0)])
             stranger.sendto(bad, (places[1].host, places[1].port))
-        for data in (b"", b"x" * 300, b"\xff" * SIZE, b"\x49" + b"??"):
+        for data in (b"", b"x" * 300, b"\xff" * HINT_BYTES, b"\x49" + b"??"):
             peers[1].datagram_received(data, (places[0].host, places[0].port))
         doors[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
         async with asyncio.timeout(5):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -196,7 +196,7 @@
         policy.handle(9, api.Timer(0))
     for change, match in (
         ({"order_settle": -1}, "order_settle is negative"),
-        ({"cold_share": 1.5}, "cold_share is no fraction"),
+        ({"cold_share": 1.5}, "cold_share is not between 0 and 1"),
         ({"classes": (api.JobClass("a", -1, 1, 1.0, api.RetrySafety.SAFE),)}, "a.aim is negative"),
         ({"classes": (api.JobClass("a", 1, 1, 1.0, api.RetrySafety.SAFE),) * 2}, "one name"),
     ):
