--- a/rookwood/__main__.py
+++ b/rookwood/__main__.py
@@ -95,8 +95,8 @@
     try:
         extensions = load_extensions(os.environ)
         config = load(os.environ)
-    except InvalidSettingError as error:
-        print(f"rookwood: {error}", file=sys.stderr)
+    except InvalidSettingError as invalid:
+        print(f"rookwood: {invalid}", file=sys.stderr)
         return 2
     try:
         asyncio.run(run(config, extensions))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""What every test process does first.
+"""Set-up of every test process.
 
-Hypothesis draws constants from whatever of this project is imported: all of it. Without that, what a lazy
-import had brought in by then would decide which examples are drawn.
+Hypothesis draws constants from all imported modules of the project, so all of them are imported here.
+Otherwise the examples that it draws would depend on which lazy imports had run before.
 
 Tests that measure time run programs in this process, whose heap holds the modules and tests of the whole
-suite. A full garbage collection of it stops the event loop for up to 0.45 s; so what stays is not collected
-again.
+suite. A full garbage collection of this heap would stop the event loop for up to 0.45 s, so it is frozen once
+all tests are known.
 """
 
 from __future__ import annotations
@@ -22,6 +22,6 @@
 
 
 def pytest_collection_finish() -> None:
-    """All tests are known: nothing that exists by now is garbage."""
+    """Exclude everything that exists once all tests are known from later garbage collections."""
     gc.collect()
     gc.freeze()
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -1,4 +1,4 @@
-"""Hints between dispatchers: as bytes, in datagrams, and on the simulator's wire. Odd ones are dropped."""
+"""Hints between dispatchers: as bytes, in datagrams and on the simulator's wire. Invalid ones are dropped."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 
 @profile(derandomize=True, max_examples=100, deadline=None)
 @given(st.sampled_from(NAMES), st.sampled_from(api.HintKind), st.sampled_from([1.0, 2.0, 4.0, 8.0]))
-def test_hint_comes_back_as_it_went(name: str, word: api.HintKind, slots: float) -> None:
+def test_hint_survives_encoding_and_decoding(name: str, word: api.HintKind, slots: float) -> None:
     hint = api.Hint(name, word, slots)
     assert codec().decode(codec().encode((hint, hint))) == (hint, hint)
 
 
 @profile(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=300))
-def test_any_bytes_are_a_hint_or_odd(data: bytes) -> None:
+def test_any_bytes_are_decoded_or_rejected(data: bytes) -> None:
     with contextlib.suppress(InvalidHintError):
         assert {hint.worker for hint in codec().decode(data)} <= set(NAMES)
 
 
-def test_workers_of_one_mark_and_those_no_longer_listed_are_not_spoken_of() -> None:
+def test_hints_about_workers_that_share_a_mark_or_are_not_listed_are_invalid() -> None:
     seen: dict[bytes, str] = {}
     for n in range(100_000):
         if (first := seen.setdefault(mark_of(f"w{n}"), f"w{n}")) != f"w{n}":
@@ -61,7 +61,7 @@
         both.decode(both.encode([api.Hint("other", api.HintKind.SENT, 1.0)]))
 
 
-def test_hints_pass_over_the_wire_and_odd_ones_change_nothing() -> None:
+def test_hints_pass_over_the_wire_and_invalid_ones_are_ignored() -> None:
     profile_ = PROFILE | {"balancers": 3, "bounds": {"attempts-cap": 3, "peers": True}}
     ask = "ASK 11 240000 1 0 - - read 0 0 - -\n"
     lines = serve(hello(profile_) + f"FRAME 1001000\nFOR dispatcher/3\n{ask}OVER_TO_YOU\n")
@@ -72,18 +72,18 @@
     assert lines.count("END") == 2 and not [line for line in lines if line.startswith("FATAL")]
 
 
-class Heard(PolicyDriver):
+class RecordingDriver(PolicyDriver):
     def __init__(self) -> None:
         super().__init__(settings(peers=True), 1, Clock())
         self.hints: list[tuple[int, api.Hint]] = []
-        self.some = asyncio.Event()
+        self.received = asyncio.Event()
 
     def heard(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
         self.hints += [(sender, hint) for hint in hints]
-        self.some.set()
+        self.received.set()
 
 
-def listed(*names: str) -> DestinationUpdate:
+def full_list(*names: str) -> DestinationUpdate:
     return DestinationUpdate(
         1, True, tuple(Endpoint(n, "h:1", State.UP, "", "", 0, 1.0, None) for n in names)
     )
@@ -93,53 +93,55 @@
     return Address(HOST, find_free_port(HOST, kind=socket.SOCK_DGRAM))
 
 
-def test_hints_between_two_dispatchers_and_odd_datagrams() -> None:
-    async def story() -> None:
-        places = [free_address(), free_address()]
-        doors = [Heard(), Heard()]
-        peers = [Peers(door, place, places) for door, place in zip(doors, places, strict=True)]
+def test_hints_pass_between_two_dispatchers_and_invalid_datagrams_are_dropped() -> None:
+    async def scenario() -> None:
+        addresses = [free_address(), free_address()]
+        drivers = [RecordingDriver(), RecordingDriver()]
+        peers = [
+            Peers(driver, address, addresses) for driver, address in zip(drivers, addresses, strict=True)
+        ]
         for one in peers:
             await one.start()
-            one.learn(listed(*NAMES), False)
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+            one.learn(full_list(*NAMES), False)
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
             bad = codec().encode([api.Hint("s-1", api.HintKind.FAILED, 1.0)])
-            stranger.sendto(bad, (places[1].host, places[1].port))
+            unknown_sender.sendto(bad, (addresses[1].host, addresses[1].port))
         for data in (b"", b"x" * 300, b"\xff" * HINT_BYTES, b"\x49" + b"??"):
-            peers[1].datagram_received(data, (places[0].host, places[0].port))
-        doors[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
+            peers[1].datagram_received(data, (addresses[0].host, addresses[0].port))
+        drivers[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
         async with asyncio.timeout(5):
-            await doors[1].some.wait()
+            await drivers[1].received.wait()
             while not peers[1].dropped["of a stranger"]:
                 await asyncio.sleep(0)
-        assert doors[1].hints == [(0, api.Hint("s-2", api.HintKind.SENT, 4.0))]
+        assert drivers[1].hints == [(0, api.Hint("s-2", api.HintKind.SENT, 4.0))]
         assert peers[1].dropped.total() == 5
-        assert not doors[0].hints  # what comes back to its sender is no news
+        assert not drivers[0].hints  # datagrams that come back to their sender are ignored
         for one in peers:
             await one.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_refused_address_costs_the_hints_alone_until_it_is_free() -> None:
-    """Amid an upgrade the old process has it."""
+def test_dispatcher_sends_hints_once_its_address_is_free() -> None:
+    """During an upgrade the old process still holds the address. Only hints are lost meanwhile."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind(("127.0.0.1", 0))
-            place, other = Address("127.0.0.1", taken.getsockname()[1]), free_address()
-            doors = [Heard(), Heard()]
-            late = Peers(doors[0], place, [place, other], pause=timedelta(milliseconds=1))
-            early = Peers(doors[1], other, [place, other])
+            address, other = Address("127.0.0.1", taken.getsockname()[1]), free_address()
+            drivers = [RecordingDriver(), RecordingDriver()]
+            late = Peers(drivers[0], address, [address, other], pause=timedelta(milliseconds=1))
+            early = Peers(drivers[1], other, [address, other])
             for one in (late, early):
                 await one.start()
-                one.learn(listed(*NAMES), False)
-            doors[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
+                one.learn(full_list(*NAMES), False)
+            drivers[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
         async with asyncio.timeout(5):
-            while not doors[1].hints:  # from here on the address is free
-                doors[0].tell((1,), [api.Hint("s-3", api.HintKind.SENT, 4.0)])
+            while not drivers[1].hints:  # the address is free from here on
+                drivers[0].tell((1,), [api.Hint("s-3", api.HintKind.SENT, 4.0)])
                 await asyncio.sleep(0)
-        assert doors[1].hints[0] == (0, api.Hint("s-3", api.HintKind.SENT, 4.0))
+        assert drivers[1].hints[0] == (0, api.Hint("s-3", api.HintKind.SENT, 4.0))
         for one in (late, early):
             await one.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,8 +12,8 @@
 
 LOGGING = """
 import logging
-from rookwood.logs import set_up
-set_up("json", "info", site="zagreb")
+from rookwood.logs import configure_logging
+configure_logging("json", "info", site="zagreb")
 import structlog
 structlog.stdlib.get_logger("a").info("job lost", request_id="r1")
 logging.getLogger("b").info("old %s", "style")
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Switching mechanisms off: names, arguments of both programs, what a program does without a mechanism."""
+"""Switching mechanisms off: names, arguments of both programs, and the planner without some of them."""
 
 from __future__ import annotations
 
@@ -28,40 +28,40 @@
 
 
 class NameTests(unittest.TestCase):
-    def test_names_are_read_with_commas_between(self) -> None:
+    def test_comma_separated_names_are_parsed(self) -> None:
         self.assertEqual(
             without(Mechanism.SPARE_ROOM, Mechanism.TOLD_LOAD), read_mechanisms("spare-room,told-load")
         )
 
-    def test_every_mechanism_is_asked_for_by_the_code(self) -> None:
+    def test_every_mechanism_is_used_in_the_code(self) -> None:
         sources = [path for path in (ROOT / "rookwood").rglob("*.py") if path.name != "mechanisms.py"]
         text = "\n".join(path.read_text() for path in sources)
         self.assertEqual([], [m.name for m in Mechanism if f"has(Mechanism.{m.name})" not in text])
 
-    def test_every_mechanism_is_on_the_page_of_the_policy(self) -> None:
+    def test_every_mechanism_is_documented(self) -> None:
         page = (ROOT / "docs" / "policy.md").read_text()
         self.assertEqual([], [m.value for m in Mechanism if f"`{m.value}`" not in page])
 
 
 class ArgumentTests(unittest.TestCase):
-    def test_both_programs_take_the_names(self) -> None:
+    def test_both_programs_accept_the_names(self) -> None:
         expected = Options(mechanisms=without(Mechanism.SPARE_ROOM))
         for reader in (DATA_PLANE_ARGUMENTS, CONTROL_PLANE_ARGUMENTS):
             self.assertEqual(expected, reader.read(["--without", "spare-room"]))
 
-    def test_both_arguments_of_the_data_plane_go_together(self) -> None:
+    def test_both_arguments_of_the_data_plane_can_be_combined(self) -> None:
         options = DATA_PLANE_ARGUMENTS.read(["--without", "told-load", "--log-losses"])
         self.assertEqual(Options(True, without(Mechanism.TOLD_LOAD)), options)
 
-    def test_nothing_is_off_without_the_argument(self) -> None:
+    def test_all_mechanisms_are_on_without_the_argument(self) -> None:
         self.assertEqual(ALL_MECHANISMS, CONTROL_PLANE_ARGUMENTS.read([]).mechanisms)
 
-    def test_wrong_arguments_are_told(self) -> None:
+    def test_invalid_arguments_raise(self) -> None:
         for arguments in (["--without"], ["--without", "spare"], ["--without", ""], ["--log-losses"]):
             with self.subTest(arguments), self.assertRaises(OptionsError):
                 CONTROL_PLANE_ARGUMENTS.read(arguments)
 
-    def test_a_wrong_name_ends_each_program_with_one_line(self) -> None:
+    def test_unknown_name_ends_each_program_with_one_line(self) -> None:
         for program in PROGRAMS:
             command = [sys.executable, program, "--without", "spare-room,spare"]
             with self.subTest(program):
@@ -72,13 +72,13 @@
 
 
 class PlannerTests(unittest.TestCase):
-    """The planner with a busy model on one of two workers, and one adapter that is asked for."""
+    """The planner with a busy model on one of two workers, and requests for one adapter."""
 
     MODELS = {"m": ModelSpec("m", size_mb=10, load_s=1.0, adapters=4, adapter_mb=1)}
     KEY = WeightsKey("m", "a")
 
-    def orders(self, mechanisms: Mechanisms) -> list[WeightsKey]:
-        """What is ordered to be placed in two seconds."""
+    def planned_keys(self, mechanisms: Mechanisms) -> list[WeightsKey]:
+        """Return the keys whose loads are ordered within two seconds."""
         planner = LoadPlanner(self.MODELS, 4.0, mechanisms=mechanisms)
         demand = {WeightsKey("m"): Demand(9.0, 0, 0.0, 9.0), self.KEY: Demand(3.0, 0, 0.0, 1.0)}
         planner.plan(0.0, [], {}, {})
@@ -87,7 +87,7 @@
 
     @staticmethod
     def workers() -> list[WorkerWeights]:
-        """A holder of the model and an empty worker."""
+        """Return a worker with the model and an empty one."""
         return [
             WorkerWeights(
                 worker=name,
@@ -108,13 +108,13 @@
         ]
 
     def test_all_mechanisms_place_a_copy_and_the_adapter(self) -> None:
-        self.assertCountEqual([WeightsKey("m"), self.KEY], self.orders(ALL_MECHANISMS))
+        self.assertCountEqual([WeightsKey("m"), self.KEY], self.planned_keys(ALL_MECHANISMS))
 
-    def test_no_copy_that_nobody_waits_for(self) -> None:
-        self.assertEqual([self.KEY], self.orders(without(Mechanism.MORE_COPIES)))
+    def test_without_more_copies_no_copy_is_placed(self) -> None:
+        self.assertEqual([self.KEY], self.planned_keys(without(Mechanism.MORE_COPIES)))
 
-    def test_no_adapter_that_nobody_waits_for(self) -> None:
-        self.assertEqual([WeightsKey("m")], self.orders(without(Mechanism.UNPLACED_ADAPTERS)))
+    def test_without_unplaced_adapters_the_adapter_is_not_placed(self) -> None:
+        self.assertEqual([WeightsKey("m")], self.planned_keys(without(Mechanism.UNPLACED_ADAPTERS)))
 
 
 if __name__ == "__main__":
--- a/tests/test_no_fitting.py
+++ b/tests/test_no_fitting.py
@@ -1,4 +1,4 @@
-"""What the whole system decides goes by nothing that names a deployment, a kind of request or the bench."""
+"""No decision of the system depends on the name of a deployment, a kind of request or the benchmark."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 class NoFittingTest(unittest.TestCase):
-    def test_the_names_are_found_where_they_stand(self) -> None:
-        """The search itself: pages that tell of deployments have them."""
+    def test_search_finds_the_names_in_a_page_that_has_them(self) -> None:
+        """This checks the search itself: the roadmap names deployments."""
         self.assertIsNotNone(NAMES.search((ROOT / "docs" / "ROADMAP.md").read_text(encoding="utf-8")))
 
     def test_no_serving_code_names_a_deployment_a_kind_of_request_or_a_day(self) -> None:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands."""
+"""The example in the README runs unchanged."""
 
 from __future__ import annotations
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules: under random legal event streams, and pointed cases for each."""
+"""The rules that a policy must keep: under random legal events, and in single cases of each rule."""
 
 from __future__ import annotations
 
@@ -19,24 +19,25 @@
         {"x0": st.floats(-5, 1e6), "backlog": st.floats(0, 1e6), "outstanding": st.floats(0, 1e6)}
     ),
 )
-LATER_ENDINGS = [e for e in api.Outcome if e is not api.Outcome.IGNORED]
+ATTEMPT_OUTCOMES = [e for e in api.Outcome if e is not api.Outcome.IGNORED]
 
 
-def drive(world: World, data: st.DataObject) -> None:
-    """Any legal events in any order; the world judges each action, and at the end all must be answered."""
+def play_random_events(world: World, data: st.DataObject) -> None:
+    """Feed random legal events. Each action is checked, and in the end all requests must be answered."""
     world.list_workers(
-        *(worker(n) for n in range(data.draw(st.integers(0, 5)))), how=api.WorkerListKind.CACHED
+        *(worker(n) for n in range(data.draw(st.integers(0, 5)))), kind=api.WorkerListKind.CACHED
     )
-    world.judge_cold = False  # here sizes, hints and answers contradict each other: see the pointed test
+    # The random sizes, hints and responses contradict each other: rule 4 has tests of its own.
+    world.checks_cold_workers = False
     tenants = [None, *(tenant.name for tenant in world.conf.tenants), "unlisted"]
-    happens = ["ask", "ask", "end", "end", "start", "list", "gone", "heard", "wait"]
+    events = ["request", "request", "end", "end", "start", "list", "abandon", "hint", "wait"]
     for _ in range(data.draw(st.integers(5, 60))):
-        match data.draw(st.sampled_from(happens)):
-            case "ask":
+        match data.draw(st.sampled_from(events)):
+            case "request":
                 cls = data.draw(st.sampled_from(world.conf.classes))
-                world.ask(
+                world.send_request(
                     cls.name,
-                    left=data.draw(st.sampled_from([0, 1, 5 * MS, cls.give_up // 3, cls.give_up])),
+                    time_left=data.draw(st.sampled_from([0, 1, 5 * MS, cls.give_up // 3, cls.give_up])),
                     slots=data.draw(st.sampled_from([0.0, 1.0, 2.0, 4.0, 8.0, 1e6])),
                     memory=data.draw(st.sampled_from([None, 0.0, 0.5, 3.0])),
                     work_hint=data.draw(st.sampled_from([None, 0, 1, 200 * MS, 10**9])),
@@ -44,15 +45,15 @@
                     tenant=data.draw(st.sampled_from(tenants)),
                     is_retry=data.draw(st.booleans()),
                 )
-            case "end" if world.out():
-                number = data.draw(st.sampled_from(world.out()))
-                world.end(number, data.draw(st.sampled_from(LATER_ENDINGS)), load=data.draw(LOAD))
-            case "start" if world.out():
-                world.start(data.draw(st.sampled_from(world.out())))
-            case "heard" if world.conf.peers and world.listed:
-                said = data.draw(st.sampled_from(api.HintKind))
+            case "end" if world.open_requests():
+                number = data.draw(st.sampled_from(world.open_requests()))
+                world.end_attempt(number, data.draw(st.sampled_from(ATTEMPT_OUTCOMES)), load=data.draw(LOAD))
+            case "start" if world.open_requests():
+                world.report_start(data.draw(st.sampled_from(world.open_requests())))
+            case "hint" if world.conf.peers and world.listed:
+                kind = data.draw(st.sampled_from(api.HintKind))
                 uid = data.draw(st.sampled_from(sorted(world.listed)))
-                hint = api.Hint(uid, said, data.draw(st.sampled_from([0.0, 1.0, 255.0])), 0.1)
+                hint = api.Hint(uid, kind, data.draw(st.sampled_from([0.0, 1.0, 255.0])), 0.1)
                 world.feed(api.HintsReceived(data.draw(st.integers(0, world.conf.dispatchers - 1)), (hint,)))
             case "list":
                 info = worker(
@@ -62,16 +63,16 @@
                     size=data.draw(st.sampled_from([0.0, 0.5, 4.0])),
                     started_at=data.draw(st.sampled_from([None, 0, world.now - 100 * MS, world.now])),
                 )
-                hows = [api.WorkerListKind.CHANGES, api.WorkerListKind.FULL]
-                world.list_workers(info, how=data.draw(st.sampled_from(hows)))
-            case "gone" if world.asked:
-                number = data.draw(st.sampled_from(sorted(world.asked)))
-                world.asked[number].answered = True
+                kinds = [api.WorkerListKind.CHANGES, api.WorkerListKind.FULL]
+                world.list_workers(info, kind=data.draw(st.sampled_from(kinds)))
+            case "abandon" if world.requests:
+                number = data.draw(st.sampled_from(sorted(world.requests)))
+                world.requests[number].answered = True
                 world.feed(api.RequestAbandoned(number))
             case _:
                 world.advance(data.draw(st.sampled_from([1, 20 * MS, 300 * MS, 2_500 * MS])))
     world.advance(30_000 * MS)
-    assert all(a.answered for a in world.asked.values())
+    assert all(r.answered for r in world.requests.values())
 
 
 @pytest.mark.parametrize("dispatchers", [1, 4])
@@ -91,100 +92,100 @@
         cancel=data.draw(st.booleans()),
         marks_retry=data.draw(st.booleans()),
     )
-    drive(World(conf), data)
+    play_random_events(World(conf), data)
 
 
 def test_every_request_is_answered_when_no_worker_is_listed() -> None:
     world = World(settings())
     world.list_workers()
-    number = world.ask("fee")
+    number = world.send_request("fee")
     world.advance(6_000 * MS)
-    assert world.asked[number].answered
+    assert world.requests[number].answered
 
 
-def test_silent_attempt_of_an_unsafe_request_ends_failed_not_refused() -> None:
+def test_timed_out_unsafe_request_is_failed_and_not_rejected() -> None:
     world = World(settings())
     world.list_workers(worker(0))
-    number = world.ask("fee")
+    number = world.send_request("fee")
     world.advance(6_000 * MS)
-    assert api.Fail(number) in [a for _, a in world.trace]
+    assert api.Fail(number) in [a for _, a in world.actions]
 
 
-def test_unsafe_request_goes_on_after_a_proof_that_it_never_ran() -> None:
+def test_unsafe_request_is_retried_after_an_outcome_that_proves_it_never_ran() -> None:
     world = World(settings())
     world.list_workers(worker(0), worker(2))
-    number = world.ask("fee")
-    world.end(number, api.Outcome.CONNECT_FAILED)
-    first, second = world.asked[number].tries
+    number = world.send_request("fee")
+    world.end_attempt(number, api.Outcome.CONNECT_FAILED)
+    first, second = world.requests[number].attempts
     assert first.worker != second.worker
 
 
 def test_unsafe_request_is_not_sent_again_after_an_error() -> None:
     world = World(settings())
     world.list_workers(worker(0), worker(2))
-    number = world.ask("fee")
-    world.end(number, api.Outcome.FAILED)
-    assert len(world.asked[number].tries) == 1
-    assert world.asked[number].answered
+    number = world.send_request("fee")
+    world.end_attempt(number, api.Outcome.FAILED)
+    assert len(world.requests[number].attempts) == 1
+    assert world.requests[number].answered
 
 
 def test_keyed_request_stays_in_its_cell_after_an_error() -> None:
     world = World(settings())
     world.list_workers(worker(0), worker(1), worker(4), worker(5))
     for _ in range(6):
-        number = world.ask("vent", key=3)
-        world.end(number, api.Outcome.FAILED)
-        if len(world.asked[number].tries) > 1:
-            world.end(number, api.Outcome.OK)
+        number = world.send_request("vent", key=3)
+        world.end_attempt(number, api.Outcome.FAILED)
+        if len(world.requests[number].attempts) > 1:
+            world.end_attempt(number, api.Outcome.OK)
 
 
-def test_nothing_goes_to_a_draining_worker() -> None:
+def test_nothing_is_sent_to_a_draining_worker() -> None:
     world = World(settings())
     world.list_workers(worker(0), worker(1))
-    world.list_workers(worker(0, health=api.Health.DRAINING), how=api.WorkerListKind.CHANGES)
+    world.list_workers(worker(0, health=api.Health.DRAINING), kind=api.WorkerListKind.CHANGES)
     for key in range(8):
-        world.ask("fee", key=key)
-    sent = {a.worker for _, a in world.trace if isinstance(a, api.Send)}
+        world.send_request("fee", key=key)
+    sent = {a.worker for _, a in world.actions if isinstance(a, api.Send)}
     assert sent == {worker(1).id}
 
 
-def test_retries_cannot_outrun_their_budget() -> None:
-    """A fleet that fails everything gets little more than one attempt for each request."""
+def test_retries_stay_within_their_budget() -> None:
+    """Workers that fail every attempt get little more than one attempt for each request."""
     world = World(settings(max_attempts=6))
     world.list_workers(*(worker(n) for n in range(4)))
     for key in range(200):
-        world.ask("read", key=key)
-        for number in list(world.out()):
-            world.end(number, api.Outcome.FAILED)
+        world.send_request("read", key=key)
+        for number in list(world.open_requests()):
+            world.end_attempt(number, api.Outcome.FAILED)
         world.advance(100 * MS)
-    tries = sum(len(a.tries) for a in world.asked.values())
+    tries = sum(len(r.attempts) for r in world.requests.values())
     assert tries <= 200 * 1.1 + 12
 
 
-def test_late_outcome_of_an_ended_request_is_quiet() -> None:
+def test_late_outcome_of_an_ended_request_has_no_effect() -> None:
     world = World(settings())
     world.list_workers(worker(0))
-    number = world.ask("fee")
-    world.asked[number].answered = True
+    number = world.send_request("fee")
+    world.requests[number].answered = True
     world.feed(api.RequestAbandoned(number))
-    world.end(number, api.Outcome.FAILED)
-    assert len(world.asked[number].tries) == 1
+    world.end_attempt(number, api.Outcome.FAILED)
+    assert len(world.requests[number].attempts) == 1
 
 
-def test_cold_worker_is_not_pushed_over() -> None:
-    """Rule 4, by an oracle that counts every send to a worker just started."""
+def test_cold_worker_is_not_overloaded() -> None:
+    """Rule 4: the world counts every send to a worker that has just started."""
     world = World(settings(dispatchers=2))
     world.list_workers(worker(0, started_at=world.now))
     for key in range(300):
-        world.ask("read", key=key, work_hint=300 * MS)
+        world.send_request("read", key=key, work_hint=300 * MS)
         world.advance(10 * MS)
-        for number in world.out()[:2]:
-            if world.now - world.asked[number].tries[0].sent >= 300 * MS:
-                world.end(number, api.Outcome.OK, load={"x0": 2.0, "backlog": 0.0})
-    assert 3 < len(world.sends_to_cold[worker(0).id]) < 100
+        for number in world.open_requests()[:2]:
+            if world.now - world.requests[number].attempts[0].sent_at >= 300 * MS:
+                world.end_attempt(number, api.Outcome.OK, load={"x0": 2.0, "backlog": 0.0})
+    assert 3 < len(world.sends_to_cold_workers[worker(0).id]) < 100
 
 
-def test_wrong_use_is_named() -> None:
+def test_invalid_calls_and_settings_raise() -> None:
     policy = Policy(settings(), 1)
     policy.handle(10, api.WorkersChanged(api.WorkerListKind.CACHED))
     policy.handle(10, api.Request(1, "fee", 1_000_000))
@@ -206,19 +207,22 @@
         Policy(settings(dispatchers=0), 1)
 
 
-def test_many_dispatchers_together_push_no_cold_worker_over() -> None:
-    """A share below one job: rounded up by all, 60 dispatchers sent 60 jobs at once; rounded down, none."""
+def test_many_dispatchers_together_overload_no_cold_worker() -> None:
+    """The share of a dispatcher in the budget is below one job.
+
+    When all 60 dispatchers rounded it up, they sent 60 jobs at once; when they rounded it down, none.
+    """
     sent: list[int] = []
     for seed in range(60):
         world = World(settings(dispatchers=60, me=seed), seed)
-        world.policy.slot_time = 300.0 * MS  # as learned long since
-        world.judge_cold = False  # the share of one dispatcher is less than any job: judged in sum, below
+        world.policy.slot_time = 300.0 * MS  # learned earlier
+        world.checks_cold_workers = False  # one dispatcher's share is below one job: checked in sum below
         world.list_workers(worker(0, started_at=world.now))
         for key in range(300):
-            number = world.ask("read", key=key, work_hint=300 * MS)
-            if world.asked[number].tries:
+            number = world.send_request("read", key=key, work_hint=300 * MS)
+            if world.requests[number].attempts:
                 sent.append(world.now)
-                world.end(number, api.Outcome.OK)
+                world.end_attempt(number, api.Outcome.OK)
             world.advance(25 * MS)
     window, slots, conf = 2_000 * MS, 4.0, settings()
     for at in sent:
@@ -228,9 +232,9 @@
     assert len(sent) > 60
 
 
-def started(conf: api.Settings, seed: int, now: int, *listed: api.Worker) -> World:
+def start_dispatcher(conf: api.Settings, seed: int, now: int, *listed: api.Worker) -> World:
     world = World(conf, seed)
-    world.judge_cold = False  # of one dispatcher: judged in sum
+    world.checks_cold_workers = False  # checked in sum over all dispatchers
     world.advance(now - world.now)
     world.list_workers(*listed)
     return world
@@ -240,52 +244,58 @@
 @pytest.mark.parametrize("dispatchers", [3, 12, 30])
 @pytest.mark.parametrize(("aim", "work"), [(300, 300), (80, 300), (10, 100)])
 @pytest.mark.parametrize("restarted", [False, True])
-def test_fleet_that_knows_no_history_pushes_no_cold_worker_over(
+def test_dispatchers_without_history_overload_no_cold_worker(
     age: int, dispatchers: int, aim: int, work: int, restarted: bool
 ) -> None:
-    """Without messages and probes: who has just started, or is told late, has saved up no budget, and takes
-    classes of which nothing is known yet for no shorter than the mean. Beyond N only chance may come: twice
-    the root of N, and 2. All are started anew amid it, or none."""
+    """Without hints and probes, a dispatcher that has just started or got its list late has saved no budget.
+
+    It takes a class without a response so far to be no shorter than the mean. By chance, a budget of N jobs
+    may be exceeded by 2 * sqrt(N) + 2. All dispatchers are restarted in the middle, or none.
+    """
     short = api.JobClass("short", aim * MS, 5_000 * MS, 3.0, api.RetrySafety.SAFE)
-    long = api.JobClass("long", 300 * MS, 5_000 * MS, 3.0, api.RetrySafety.SAFE)  # none of it comes
-    conf, born = replace(settings(dispatchers=dispatchers), classes=(short, long), tenants=()), 1_000_000
+    # No request of this class is sent.
+    long = api.JobClass("long", 300 * MS, 5_000 * MS, 3.0, api.RetrySafety.SAFE)
+    conf = replace(settings(dispatchers=dispatchers), classes=(short, long), tenants=())
+    started_at = 1_000_000
     sent = list[tuple[int, str]]()
-    listed = [worker(n, kind="even", started_at=born) for n in range(2)]
+    listed = [worker(n, kind="even", started_at=started_at) for n in range(2)]
     for me in range(dispatchers):
-        world, out = started(replace(conf, me=me), me, born + age, *listed), list[World]()
+        world, earlier = start_dispatcher(replace(conf, me=me), me, started_at + age, *listed), list[World]()
         for key in range(100):
             if restarted and key == 50:
-                out.append(world)
-                world = started(replace(conf, me=me), me, world.now, *listed)
-            world.ask("short", key=key)
+                earlier.append(world)
+                world = start_dispatcher(replace(conf, me=me), me, world.now, *listed)
+            world.send_request("short", key=key)
             world.advance(20 * MS)
-            for number in world.out():
-                if world.now - world.asked[number].tries[-1].sent >= work * MS:
-                    world.end(number, api.Outcome.OK)
-        sent += [(t.sent, t.worker) for w in (*out, world) for a in w.asked.values() for t in a.tries]
+            for number in world.open_requests():
+                if world.now - world.requests[number].attempts[-1].sent_at >= work * MS:
+                    world.end_attempt(number, api.Outcome.OK)
+        sent += [
+            (t.sent_at, t.worker) for w in (*earlier, world) for r in w.requests.values() for t in r.attempts
+        ]
     assert len(sent) >= 20
     for at, name in sent:
-        share = conf.cold_share + (1 - conf.cold_share) * (at - born) / conf.warm_up
+        share = conf.cold_share + (1 - conf.cold_share) * (at - started_at) / conf.warm_up
         budget = conf.fall_multiple * share * 4 * conf.fall_window / (work * MS)
-        mine = sum(at - conf.fall_window < t <= at and w == name for t, w in sent)
-        assert mine <= budget + 2 * budget**0.5 + 2
+        recent = sum(at - conf.fall_window < t <= at and w == name for t, w in sent)
+        assert recent <= budget + 2 * budget**0.5 + 2
 
 
-def test_empty_fleet_that_comes_back_all_at_once() -> None:
+def test_requests_are_answered_when_an_empty_list_is_followed_by_cold_workers() -> None:
     world = World(settings(dispatchers=20))
     world.list_workers()
     for key in range(30):
-        world.ask("read", key=key, work_hint=300 * MS)
+        world.send_request("read", key=key, work_hint=300 * MS)
     world.list_workers(*(worker(n, started_at=world.now) for n in range(6)))
     world.advance(6_000 * MS)
-    assert all(a.answered for a in world.asked.values())
+    assert all(r.answered for r in world.requests.values())
 
 
-def test_time_left_of_zero_short_or_whole_is_legal() -> None:
+def test_requests_of_any_time_left_are_answered() -> None:
     world = World(settings(dispatchers=30, tenants=(api.Tenant("a", 1.0),), marks_retry=True))
     world.list_workers(worker(0), worker(1))
     for left in (0, 1, 100 * MS, 750 * MS, 5_000 * MS):
         for again in (False, True):
-            world.ask("fee", left=left, tenant="a", is_retry=again, key=1)
+            world.send_request("fee", time_left=left, tenant="a", is_retry=again, key=1)
     world.advance(6_000 * MS)
-    assert all(a.answered for a in world.asked.values())
+    assert all(r.answered for r in world.requests.values())
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The deployments in deploy/sites, which nobody has: their classes, effects and limits, without a bench."""
+"""The invented deployments in deploy/sites: their classes, effects and limits, without the benchmark."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from hypothesis import strategies as st
 
 from rookwood.settings import JsonReader, parse_settings
-from tests.test_any_settings import PLAYED, SECOND, answers_each_and_repeats_none, any_number
-from tests.test_rules import drive
+from tests.test_any_settings import SCRIPT_NAMES, SECOND, check_responses_and_effects, random_examples
+from tests.test_rules import play_random_events
 from tests.world import World
 
 SITES = sorted((Path(__file__).parent.parent / "deploy" / "sites").glob("*.toml"))
 MS = SECOND // 1000
 
 
-def told(site: Path) -> dict[str, Any]:
-    """The settings object of such a deployment, as far as the file names it."""
+def settings_of_site(site: Path) -> dict[str, Any]:
+    """Return the settings object of a deployment, as far as its file defines it."""
     file = tomllib.loads(site.read_text())
     allow, rules, kinds = file["allow"], file["rules"], [kind for t in file["tier"] for kind in t["kind"]]
     conn = file["tier"][0]["conn"]
@@ -52,31 +52,33 @@
     }
 
 
-def test_they_differ_where_the_known_ones_are_alike() -> None:
-    """Discovery is asked in one and pushes in the other; windows are short, and every group is there."""
-    found = [told(site) for site in SITES]
-    assert {t["discovery"] for t in found} == {"subscribe", "automatic"}
-    keyed = [lane for t in found for lane in t["lanes"] if lane["repeat"] == "keyed"]
+def test_sites_cover_settings_that_the_known_deployments_lack() -> None:
+    """One subscribes to discovery and the other doesn't; windows are short, and every scope occurs."""
+    documents = [settings_of_site(site) for site in SITES]
+    assert {d["discovery"] for d in documents} == {"subscribe", "automatic"}
+    keyed = [lane for d in documents for lane in d["lanes"] if lane["repeat"] == "keyed"]
     assert {lane["group"] for lane in keyed} == {"all", "zone", "cell"}
     assert any(lane["window"] < lane["give-up"] / 2 for lane in keyed)
-    assert {lane["repeat"] for t in found for lane in t["lanes"]} == {"safe", "keyed", "unsafe"}
+    assert {lane["repeat"] for d in documents for lane in d["lanes"]} == {"safe", "keyed", "unsafe"}
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.stem)
-def test_rules_hold_with_the_classes_of_a_deployment_that_nobody_has(site: Path) -> None:
-    @any_number(40)
+def test_rules_hold_with_the_classes_of_each_site(site: Path) -> None:
+    @random_examples(40)
     @given(data=st.data())
     def played(data: st.DataObject) -> None:
-        drive(World(parse_settings(JsonReader(told(site))), seed=data.draw(st.integers(0, 3))), data)
+        play_random_events(
+            World(parse_settings(JsonReader(settings_of_site(site))), seed=data.draw(st.integers(0, 3))), data
+        )
 
     played()
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.stem)
-def test_dispatcher_keeps_the_effects_of_a_deployment_that_nobody_has(site: Path) -> None:
-    @any_number(8)
-    @given(names=PLAYED)
+def test_dispatcher_responds_to_each_request_of_each_site_and_runs_no_unsafe_one_twice(site: Path) -> None:
+    @random_examples(8)
+    @given(names=SCRIPT_NAMES)
     def played(names: list[str]) -> None:
-        answers_each_and_repeats_none(told(site), names)
+        check_responses_and_effects(settings_of_site(site), names)
 
     played()
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -1,4 +1,4 @@
-"""Words between dispatchers: who hears, who is asked, and what trouble with them costs at most."""
+"""Hints between dispatchers: who gets them, who is queried, and what their loss costs at most."""
 
 from __future__ import annotations
 
@@ -17,163 +17,168 @@
 )
 from rookwood.policy import MAX_CANDIDATES
 from rookwood.state import WorkerState
-from tests.tier import SECOND, Tier
+from tests.tier import SECOND, DispatcherGroup
 from tests.world import MS, World, settings, worker
 
 
-def state(number: int) -> WorkerState:
+def worker_state(number: int) -> WorkerState:
     return WorkerState(worker(number), [], 0)
 
 
 @pytest.mark.parametrize("dispatchers", [1, 3, 4, 40, 200])
-def test_every_dispatcher_names_the_same_few_keepers(dispatchers: int) -> None:
+def test_every_dispatcher_draws_the_same_few_trackers(dispatchers: int) -> None:
     some = [Trackers(me, dispatchers) for me in range(min(dispatchers, 7))]
-    named = [{n: one.of(state(n)) for n in range(50)} for one in some]
-    assert all(one == named[0] for one in named)
-    assert all(len(set(of)) == len(of) == min(TRACKERS_PER_WORKER, dispatchers) for of in named[0].values())
-    kept = Counter(n for of in named[0].values() for n in of)
-    assert (
-        max(kept.values()) <= 50 * TRACKERS_PER_WORKER / dispatchers + 12
-    )  # and no dispatcher keeps most of the books
-
-
-def test_silent_keeper_is_passed_over_and_asked_again_later() -> None:
-    keepers, w = Trackers(199, 200), state(0)
-    first, second = keepers.others_of(w)[:2]
-    assert keepers.choose_peer(w, 0) == first
-    keepers.record_silence(first, 0)
-    assert keepers.choose_peer(w, 1) == second
-    keepers.record_reply(first)
-    assert keepers.choose_peer(w, 2) == first
-    keepers.record_silence(first, 2)
-    assert keepers.choose_peer(w, 2 + SILENT_PEER_PAUSE) == first
-
-
-def test_where_nobody_answers_nobody_is_waited_for_but_one_tries_at_times() -> None:
-    keepers = Trackers(199, 200)
+    drawn = [{n: trackers.of(worker_state(n)) for n in range(50)} for trackers in some]
+    assert all(draw == drawn[0] for draw in drawn)
+    count = min(TRACKERS_PER_WORKER, dispatchers)
+    assert all(len(set(peers)) == len(peers) == count for peers in drawn[0].values())
+    tracked = Counter(n for peers in drawn[0].values() for n in peers)
+    # No dispatcher tracks most of the workers.
+    assert max(tracked.values()) <= 50 * TRACKERS_PER_WORKER / dispatchers + 12
+
+
+def test_tracker_without_a_reply_is_skipped_and_queried_again_later() -> None:
+    trackers, w = Trackers(199, 200), worker_state(0)
+    first, second = trackers.others_of(w)[:2]
+    assert trackers.choose_peer(w, 0) == first
+    trackers.record_silence(first, 0)
+    assert trackers.choose_peer(w, 1) == second
+    trackers.record_reply(first)
+    assert trackers.choose_peer(w, 2) == first
+    trackers.record_silence(first, 2)
+    assert trackers.choose_peer(w, 2 + SILENT_PEER_PAUSE) == first
+
+
+def test_without_any_replies_only_single_queries_are_sent() -> None:
+    trackers = Trackers(199, 200)
     for n in range(MAX_MISSED_REPLIES):
-        keepers.record_silence(n, 0)
-    asked = [keepers.choose_peer(state(7), at) for at in range(0, SECOND, 10 * MS)]
-    assert 0 < sum(peer is not None for peer in asked) <= 3
+        trackers.record_silence(n, 0)
+    peers = [trackers.choose_peer(worker_state(7), at) for at in range(0, SECOND, 10 * MS)]
+    assert 0 < sum(peer is not None for peer in peers) <= 3
 
 
-def messages(tier: Tier) -> int:
-    return sum(len(a.to) for _, _, a in tier.done if isinstance(a, api.SendHints))
+def count_messages(group: DispatcherGroup) -> int:
+    return sum(len(a.to) for _, _, a in group.actions if isinstance(a, api.SendHints))
 
 
-def test_messages_a_job_do_not_grow_with_the_fleet() -> None:
-    """Word of each job went to all the others: 390 messages a job at two hundred, 78 at forty."""
+def test_messages_per_job_do_not_grow_with_the_fleet() -> None:
+    """When hints of each job went to all others, a job took 78 messages at 40 dispatchers and 390 at 200."""
     for dispatchers in (10, 40, 160):
-        tier = Tier(dispatchers, boxes=40, probes=True, peers=True)
-        tier.tell()
-        tier.load(150, 3 * SECOND)
-        tier.run(7 * SECOND)
-        # Two words to each keeper; a question and its answer for each worker of the own zone in question.
-        assert messages(tier) / tier.ended[api.Outcome.OK] < 2 * TRACKERS_PER_WORKER + 2 * MAX_CANDIDATES
-
-
-@pytest.mark.parametrize("lost", [0.3, 1.0])
-def test_lost_words_cost_waits_of_a_few_jobs(lost: float) -> None:
-    """With no word at all, each took its workers for idle and sent to the fastest: a quarter waited long."""
-    tier = Tier(80, boxes=40, lost=lost, probes=True, peers=True)
-    tier.tell()
-    tier.load(180, 5 * SECOND)  # 90 of 160 slots
-    tier.run(10 * SECOND)
-    assert sum(wait > 700 * MS for wait in tier.started) < 0.03 * len(tier.started)
-    assert tier.count(api.Reject) < 0.06 * len(tier.started)
-
-
-def asking(dispatchers: int = 200) -> tuple[World, int, int]:
-    """A request that hangs on one worker's load, its number, and the keeper who is asked."""
-    me = next(n for n in range(dispatchers) if not Trackers(n, dispatchers).includes_me(state(0)))
+        group = DispatcherGroup(dispatchers, workers=40, probes=True, peers=True)
+        group.list_workers()
+        group.schedule_load(150, 3 * SECOND)
+        group.run(7 * SECOND)
+        # Two hints to each tracker, and a query and its reply for each candidate of the own zone.
+        assert (
+            count_messages(group) / group.outcomes[api.Outcome.OK]
+            < 2 * TRACKERS_PER_WORKER + 2 * MAX_CANDIDATES
+        )
+
+
+@pytest.mark.parametrize("loss_rate", [0.3, 1.0])
+def test_lost_hints_make_few_jobs_wait(loss_rate: float) -> None:
+    """Without hints each dispatcher took workers for idle and used the fastest, and a quarter waited long."""
+    group = DispatcherGroup(80, workers=40, loss_rate=loss_rate, probes=True, peers=True)
+    group.list_workers()
+    group.schedule_load(180, 5 * SECOND)  # 90 of 160 slots
+    group.run(10 * SECOND)
+    assert sum(wait > 700 * MS for wait in group.waits) < 0.03 * len(group.waits)
+    assert group.count(api.Reject) < 0.06 * len(group.waits)
+
+
+def start_load_query(dispatchers: int = 200) -> tuple[World, int, int]:
+    """Send a request that waits for one worker's load. Return its number and the queried tracker, too."""
+    me = next(n for n in range(dispatchers) if not Trackers(n, dispatchers).includes_me(worker_state(0)))
     world = World(settings(peers=True, dispatchers=dispatchers, me=me))
     world.list_workers(worker(0))
-    number = world.ask("fee", key=1)
-    told = [a for _, a in world.trace if isinstance(a, api.SendHints)]
-    assert [(len(a.to), [h.kind for h in a.hints]) for a in told] == [(1, [HintKind.LOAD_QUERY])]
-    return world, number, told[0].to[0]
+    number = world.send_request("fee", key=1)
+    sent = [a for _, a in world.actions if isinstance(a, api.SendHints)]
+    assert [(len(a.to), [h.kind for h in a.hints]) for a in sent] == [(1, [HintKind.LOAD_QUERY])]
+    return world, number, sent[0].to[0]
 
 
-def test_request_waits_for_the_answer_and_goes() -> None:
-    world, number, keeper = asking()
-    assert not world.asked[number].tries
-    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, HintKind.LOAD_REPORT, 1.0),)))
-    assert world.asked[number].tries
+def test_request_is_sent_when_the_load_report_arrives() -> None:
+    world, number, tracker = start_load_query()
+    assert not world.requests[number].attempts
+    world.feed(api.HintsReceived(tracker, (Hint(worker(0).id, HintKind.LOAD_REPORT, 1.0),)))
+    assert world.requests[number].attempts
 
 
-def test_request_does_not_wait_for_a_dead_keeper_longer_than_its_limit() -> None:
-    world, number, _ = asking()
+def test_request_waits_for_a_dead_tracker_only_until_the_timeout() -> None:
+    world, number, _ = start_load_query()
     world.advance(2 * QUERY_TIMEOUT)
-    assert world.asked[number].tries
+    assert world.requests[number].attempts
 
 
-def test_worker_told_to_be_full_gets_nothing_while_that_is_fresh() -> None:
-    world, number, keeper = asking()
-    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, HintKind.LOAD_REPORT, 9.0),)))
-    assert not world.asked[number].tries
+def test_worker_reported_full_gets_nothing_while_the_report_is_fresh() -> None:
+    world, number, tracker = start_load_query()
+    world.feed(api.HintsReceived(tracker, (Hint(worker(0).id, HintKind.LOAD_REPORT, 9.0),)))
+    assert not world.requests[number].attempts
 
 
-def test_request_that_was_sent_meanwhile_is_not_sent_again_with_the_answer() -> None:
-    """A sequential request had its turn while load was asked for, and the answer placed it once more."""
-    me = next(n for n in range(200) if not Trackers(n, 200).includes_me(state(0)))
+def test_request_sent_during_a_query_is_not_sent_again_with_the_reply() -> None:
+    """The turn of a sequential request came during a load query, and the reply sent it a second time."""
+    me = next(n for n in range(200) if not Trackers(n, 200).includes_me(worker_state(0)))
     world = World(settings(peers=True, dispatchers=200, me=me, sequential=("vent",)))
     world.list_workers(worker(0))
-    number = world.ask("vent", key=1)
-    (keeper,) = (a.to[0] for _, a in world.trace if isinstance(a, api.SendHints))
+    number = world.send_request("vent", key=1)
+    (tracker,) = (a.to[0] for _, a in world.actions if isinstance(a, api.SendHints))
     found = world.policy.workers[worker(0).id]
-    found.reported_at = world.now  # known by other means
+    found.reported_at = world.now  # the load became known otherwise
     world.policy._start_next_of_key(1)
-    world.policy.workers[worker(0).id].queried_peer = keeper
-    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, HintKind.LOAD_REPORT, 0.0),)))
+    world.policy.workers[worker(0).id].queried_peer = tracker
+    world.feed(api.HintsReceived(tracker, (Hint(worker(0).id, HintKind.LOAD_REPORT, 0.0),)))
     world.advance(2 * QUERY_TIMEOUT)
-    assert len([a for _, a in world.trace if isinstance(a, api.Send) and a.request == number]) == 1
+    assert len([a for _, a in world.actions if isinstance(a, api.Send) and a.request == number]) == 1
 
 
-def test_load_that_nobody_asked_for_is_dropped() -> None:
-    """A liar says of every worker that it is full, or bad."""
-    world, number, keeper = asking()
-    for sender in (n for n in range(200) if n != keeper):
+def test_load_report_that_was_not_queried_is_dropped() -> None:
+    """A faulty dispatcher may report every worker as full or failing."""
+    world, number, tracker = start_load_query()
+    for sender in (n for n in range(200) if n != tracker):
         world.feed(api.HintsReceived(sender, (Hint(worker(0).id, HintKind.LOAD_REPORT, 99.0, 0.35),)))
     found = world.policy.workers[worker(0).id]
     assert found.others_slots == 0 and found.peer_fault_rate == 0
-    world.feed(api.HintsReceived(keeper, (Hint(worker(0).id, HintKind.LOAD_REPORT, 0.0),)))
-    assert world.asked[number].tries
+    world.feed(api.HintsReceived(tracker, (Hint(worker(0).id, HintKind.LOAD_REPORT, 0.0),)))
+    assert world.requests[number].attempts
 
 
-def test_who_is_new_does_not_answer_for_books_that_it_has_not_kept() -> None:
-    me = next(n for n in range(200) if Trackers(n, 200).includes_me(state(0)))
+def test_dispatcher_that_has_just_started_does_not_reply_to_queries() -> None:
+    me = next(n for n in range(200) if Trackers(n, 200).includes_me(worker_state(0)))
     world = World(settings(peers=True, dispatchers=200, me=me))
     world.list_workers(worker(0))
-    ask = api.HintsReceived((me + 1) % 200, (Hint(worker(0).id, HintKind.LOAD_QUERY),))
-    assert not world.feed(ask)
+    query = api.HintsReceived((me + 1) % 200, (Hint(worker(0).id, HintKind.LOAD_QUERY),))
+    assert not world.feed(query)
     world.advance(3 * SECOND)
     world.feed(api.HintsReceived((me + 2) % 200, (Hint(worker(0).id, HintKind.SENT, 4.0),)))
-    answers = [a for a in world.feed(ask) if isinstance(a, api.SendHints)]
-    assert answers == [
+    replies = [a for a in world.feed(query) if isinstance(a, api.SendHints)]
+    assert replies == [
         api.SendHints(((me + 1) % 200,), (Hint(worker(0).id, HintKind.LOAD_REPORT, 4.0, 0.0),))
     ]
 
 
-def test_each_held_request_has_its_own_workers_asked_again() -> None:
-    """Only the newest of a lane had: the others were refused beside workers that had become free."""
-    me = next(n for n in range(200) if not any(Trackers(n, 200).includes_me(state(w)) for w in range(60)))
+def test_load_is_queried_again_for_the_candidates_of_each_held_request() -> None:
+    """Once only the newest was queried for again, and others were rejected although workers were free."""
+    me = next(
+        n for n in range(200) if not any(Trackers(n, 200).includes_me(worker_state(w)) for w in range(60))
+    )
     world = World(settings(peers=True, dispatchers=200, me=me))
     world.list_workers(*(worker(n) for n in range(60)))
 
-    def asked(since: int) -> dict[str, int]:
-        tells = [a for t, a in world.trace if isinstance(a, api.SendHints) and t >= since]
-        return {hint.worker: a.to[0] for a in tells for hint in a.hints if hint.kind is HintKind.LOAD_QUERY}
+    def queried(since: int) -> dict[str, int]:
+        sent = [a for t, a in world.actions if isinstance(a, api.SendHints) and t >= since]
+        return {hint.worker: a.to[0] for a in sent for hint in a.hints if hint.kind is HintKind.LOAD_QUERY}
 
     first: list[set[str]] = []
-    for key in range(4):  # each key has workers of its own
+    for key in range(4):  # each key has its own candidates
         since = world.now
-        world.ask("fee", key=key)
+        world.send_request("fee", key=key)
         for _ in range(3):
-            for name, keeper in asked(since).items():
-                world.feed(api.HintsReceived(keeper, (Hint(name, HintKind.LOAD_REPORT, 9.0),)))
-        first.append(set(asked(since)))
+            for name, tracker in queried(since).items():
+                world.feed(api.HintsReceived(tracker, (Hint(name, HintKind.LOAD_REPORT, 9.0),)))
+        first.append(set(queried(since)))
         world.advance(1)
     assert len(world.policy.held_jobs) == 1 and sum(map(len, world.policy.held_jobs.values())) == 4
     since = world.now + 200 * MS
     world.advance(500 * MS)
-    assert all(names & set(asked(since)) for names in first)
+    assert all(names & set(queried(since)) for names in first)
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -1,4 +1,4 @@
-"""What the decisions believe of workers and clients in trouble."""
+"""What a policy infers of unhealthy workers and impatient clients, and that it survives a restart."""
 
 from __future__ import annotations
 
@@ -11,47 +11,47 @@
 from tests.world import MS, World, settings, worker
 
 
-def hurried(world: World, count: int) -> None:
-    """So many requests of clients that all wait for 700 ms only, of the usual 5 s."""
+def send_impatient_requests(world: World, count: int) -> None:
+    """Send requests of clients that wait only 700 ms instead of the usual 5 s."""
     for _ in range(count):
-        number = world.ask("fee", key=1, left=700 * MS)
-        if world.asked[number].tries:
-            world.end(number, api.Outcome.OK)
+        number = world.send_request("fee", key=1, time_left=700 * MS)
+        if world.requests[number].attempts:
+            world.end_attempt(number, api.Outcome.OK)
         world.advance(10 * MS)
 
 
 @pytest.mark.parametrize(("before", "held"), [(0, False), (20, True)])
-def test_impatient_clients_are_not_taken_for_repeats(before: int, held: bool) -> None:
-    """One short request is a repeat, and late; where all are short, they have just been asked."""
+def test_requests_of_impatient_clients_do_not_count_as_retries(before: int, held: bool) -> None:
+    """A request with little time left counts as a late retry, but not if all of them have little."""
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0))
-    world.end(world.ask("fee", key=1), api.Outcome.OK)
-    hurried(world, before)
+    world.end_attempt(world.send_request("fee", key=1), api.Outcome.OK)
+    send_impatient_requests(world, before)
     for _ in range(5):
-        world.ask("fee", key=1, left=700 * MS)  # now the worker is busy
-    last = world.ask("fee", key=1, left=700 * MS)
-    assert not world.asked[last].tries
-    assert world.asked[last].answered is not held
+        world.send_request("fee", key=1, time_left=700 * MS)  # they fill the worker
+    last = world.send_request("fee", key=1, time_left=700 * MS)
+    assert not world.requests[last].attempts
+    assert world.requests[last].answered is not held
 
 
 @pytest.mark.parametrize(("left", "trusted"), [(100 * MS, True), (4_900 * MS, False)])
-def test_time_out_costs_trust_only_where_there_was_time(left: int, trusted: bool) -> None:
+def test_timeout_lowers_trust_only_if_the_job_ran_long(left: int, trusted: bool) -> None:
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0))
-    number = world.ask("fee", key=1, left=left)
-    world.start(number)
+    number = world.send_request("fee", key=1, time_left=left)
+    world.report_start(number)
     world.advance(left - 20 * MS)
-    world.end(number, api.Outcome.TIMED_OUT)
+    world.end_attempt(number, api.Outcome.TIMED_OUT)
     assert (world.policy.workers[worker(0).id].trust == 1.0) is trusted
 
 
-def test_slot_of_a_job_that_was_given_up_stays_taken_while_it_is_expected_to_run() -> None:
+def test_slot_of_a_timed_out_job_stays_taken_for_its_expected_time() -> None:
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0))
-    number = world.ask("fee", key=1, left=100 * MS)
-    world.start(number)
+    number = world.send_request("fee", key=1, time_left=100 * MS)
+    world.report_start(number)
     world.advance(50 * MS)
-    world.end(number, api.Outcome.TIMED_OUT)
+    world.end_attempt(number, api.Outcome.TIMED_OUT)
     state = world.policy.workers[worker(0).id]
     assert state.used_slots == 1.0
     world.advance(2_000 * MS)
@@ -62,71 +62,73 @@
     ("ending", "trusted"),
     [(api.Outcome.CONNECT_FAILED, False), (api.Outcome.TIMED_OUT, False), (api.Outcome.IGNORED, True)],
 )
-def test_worker_that_no_probe_reaches_loses_trust(ending: api.Outcome, trusted: bool) -> None:
+def test_worker_that_fails_to_respond_to_a_probe_loses_trust(ending: api.Outcome, trusted: bool) -> None:
     world = World(settings(dispatchers=1, probes=True))
     world.list_workers(worker(0), worker(2))
     world.feed(api.ProbeResult(worker(0).id, ending))
     assert (world.policy.workers[worker(0).id].trust == 1.0) is trusted
 
 
-def test_jobs_wait_here_rather_than_at_a_worker() -> None:
-    """Held, a job may still go anywhere; queued, it keeps its place at a worker that may turn slow."""
+def test_requests_are_held_rather_than_queued_at_a_worker() -> None:
+    """A held request may still go to any worker; a queued one is bound to a worker that may become slow."""
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0), worker(2))
     for _ in range(20):
-        world.ask("fee", key=1)
-    assert len(world.out()) == 8  # one for each slot
+        world.send_request("fee", key=1)
+    assert len(world.open_requests()) == 8  # one for each slot
 
 
 @pytest.mark.parametrize("started", [False, True])
-def test_worker_that_fails_at_once_is_avoided_though_its_jobs_start(started: bool) -> None:
-    """Always idle, it drew job after job: each start brought back the trust that its failure cost."""
+def test_worker_that_fails_jobs_at_once_is_avoided_even_if_it_reports_their_start(started: bool) -> None:
+    """Such a worker is always idle. It got job after job while each start restored the trust it had lost."""
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0), worker(2))
     bad, failed = worker(0).id, 0
     for n in range(60):
-        number = world.ask("fee", key=n)
-        if world.asked[number].tries[-1].worker == bad:
+        number = world.send_request("fee", key=n)
+        if world.requests[number].attempts[-1].worker == bad:
             failed += 1
             if started:
-                world.start(number)
-            world.end(number, api.Outcome.FAILED)
+                world.report_start(number)
+            world.end_attempt(number, api.Outcome.FAILED)
         else:
-            world.end(number, api.Outcome.OK)
+            world.end_attempt(number, api.Outcome.OK)
         world.advance(100 * MS)
     assert failed <= 5
     world.advance(10_000 * MS)
-    for n in range(60):  # it is well again, and has its trials
-        world.end(world.ask("fee", key=n), api.Outcome.OK)
+    for n in range(60):  # it has recovered, and gets some requests again
+        world.end_attempt(world.send_request("fee", key=n), api.Outcome.OK)
         world.advance(200 * MS)
     assert world.policy._health(world.policy.workers[bad]) > 0.5
 
 
-def test_process_that_follows_knows_what_was_learned() -> None:
-    """Above all whom to avoid, and what of a cold worker's budget is spent."""
+def test_learned_state_is_restored_in_the_next_process() -> None:
+    """This holds above all for unhealthy workers and for the spent part of a cold worker's budget."""
     old, new = World(settings(dispatchers=1)), World(settings(dispatchers=1))
     old.list_workers(worker(0), worker(2), worker(4, started_at=old.now), worker(6))
     for key in range(80):
-        number = old.ask("fee", key=key % 5)
-        bad = old.asked[number].tries and old.asked[number].tries[-1].worker == worker(0).id
-        old.end(number, api.Outcome.FAILED if bad else api.Outcome.OK) if old.asked[number].tries else None
+        number = old.send_request("fee", key=key % 5)
+        bad = old.requests[number].attempts and old.requests[number].attempts[-1].worker == worker(0).id
+        old.end_attempt(number, api.Outcome.FAILED if bad else api.Outcome.OK) if old.requests[
+            number
+        ].attempts else None
         old.advance(50 * MS)
-    waiting = old.ask("fee", key=1)
-    assert old.asked[waiting].tries
+    waiting = old.send_request("fee", key=1)
+    assert old.requests[waiting].attempts
     text = json.dumps(save_learned_state(old.policy))
     new.list_workers(worker(0), worker(2), worker(4, started_at=old.now), worker(8))
     new.advance(old.now - new.now)
     restore_learned_state(new.policy, json.loads(text), new.now)
-    mine, theirs = old.policy.workers, new.policy.workers
+    before, after = old.policy.workers, new.policy.workers
     same = [worker(n).id for n in (0, 2)]
-    assert [(theirs[uid].trust, theirs[uid].fault_rate) for uid in same] == [
-        (mine[uid].trust, mine[uid].fault_rate) for uid in same
+    assert [(after[uid].trust, after[uid].fault_rate) for uid in same] == [
+        (before[uid].trust, before[uid].fault_rate) for uid in same
     ]
-    assert sum(theirs[uid].others_slots for uid in same) == sum(
-        mine[uid].others_slots + mine[uid].used_slots for uid in same
+    assert sum(after[uid].others_slots for uid in same) == sum(
+        before[uid].others_slots + before[uid].used_slots for uid in same
     )
-    assert theirs[worker(8).id].trust == 1.0
+    assert after[worker(8).id].trust == 1.0
     assert (new.policy.table, new.policy.demand) == (old.policy.table, old.policy.demand)
     assert new.policy.log_factor == old.policy.log_factor and old.policy.table
-    number = new.ask("fee", key=2)
-    assert new.asked[number].tries[-1].worker != worker(0).id
+    number = new.send_request("fee", key=2)
+    assert new.requests[number].attempts[-1].worker != worker(0).id
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: round trips, malformed input, one instance apart from another."""
+"""The simulator's wire: valid batches, malformed input and invalid settings."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return HELLO.format(json.dumps(profile or PROFILE)) + WORKER + "OVER_TO_YOU\n"
 
 
-def test_request_is_sent_answered_and_forgotten() -> None:
+def test_request_is_sent_and_ends() -> None:
     lines = serve(
         hello()
         + f"FRAME 1001000\nFOR dispatcher/3\n{ASK}OVER_TO_YOU\n"
@@ -93,7 +93,7 @@
         ("CRASH_NOW 1", "end"),
     ],
 )
-def test_malformed_line_is_named(
+def test_error_names_the_malformed_line_and_field(
     line: str, field: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     text = hello() + f"FRAME 1001000\nFOR dispatcher/3\n{line}\nOVER_TO_YOU\n"
@@ -106,19 +106,19 @@
 
 
 @pytest.mark.parametrize("missing", ["balancers", "tick", "lanes", "rules", "bounds", "discovery"])
-def test_missing_setting_is_named(missing: str) -> None:
+def test_error_names_the_missing_setting(missing: str) -> None:
     profile = {name: value for name, value in PROFILE.items() if name != missing}
     with pytest.raises(wirehost.WireError, match=f"line 3, field profile-data.{missing}"):
         serve(hello(profile))
 
 
-def test_setting_of_wrong_type_is_named() -> None:
+def test_error_names_the_setting_of_wrong_type() -> None:
     with pytest.raises(wirehost.WireError, match="profile-data.tick: not of type int"):
         serve(hello({**PROFILE, "tick": "4"}))
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "why"),
+    ("path", "value", "reason"),
     [
         ("rules.order-settle", -1, "negative"),
         ("rules.order-settle", "soon", "not of type int"),
@@ -129,16 +129,16 @@
         ("bounds.cancel", "yes", "not of type bool"),
     ],
 )
-def test_unsound_setting_is_named(path: str, value: object, why: str) -> None:
+def test_error_names_the_invalid_setting(path: str, value: object, reason: str) -> None:
     profile = json.loads(json.dumps(PROFILE))
     part, name = path.split(".")
-    place = profile["lanes"][0] if part == "lanes" else profile.setdefault(part, {})
-    place[name] = value
-    with pytest.raises(wirehost.WireError, match=rf"line 3, field profile-data\..*{name}: {why}"):
+    section = profile["lanes"][0] if part == "lanes" else profile.setdefault(part, {})
+    section[name] = value
+    with pytest.raises(wirehost.WireError, match=rf"line 3, field profile-data\..*{name}: {reason}"):
         serve(hello(profile))
 
 
-def test_sequential_requests_take_turns_on_the_wire_and_keyless_ones_are_free() -> None:
+def test_requests_of_a_sequential_key_run_one_at_a_time_and_those_without_a_key_at_once() -> None:
     profile = json.loads(json.dumps(PROFILE))
     profile["lanes"][0]["sequential"] = True
     asks = "".join(f"ASK {n} 240000 1 0 - - read 0 0 {key} -\n" for n, key in ((11, 7), (12, 7), (13, "-")))
@@ -146,7 +146,7 @@
     assert [line.split()[1] for line in lines if line.startswith("TRANSMIT")] == ["11", "13"]
 
 
-def test_abandoned_attempt_is_aborted_where_that_is_allowed() -> None:
+def test_attempt_of_an_abandoned_request_is_aborted_if_permitted() -> None:
     profile = {**PROFILE, "bounds": {"attempts-cap": 3, "cancel": True}}
     text = f"FRAME 1001000\nFOR dispatcher/3\n{ASK}ABANDONED 11\nOVER_TO_YOU\n"
     assert "ABORT_ATTEMPT 11 0" in serve(hello(profile) + text)
@@ -158,7 +158,7 @@
         serve("FRAME 1\n")
 
 
-def test_exception_of_the_policy_becomes_fatal(capsys: pytest.CaptureFixture[str]) -> None:
+def test_exception_of_the_policy_is_reported_as_fatal(capsys: pytest.CaptureFixture[str]) -> None:
     lines = serve(hello() + f"FRAME 1001000\nFOR dispatcher/3\n{ASK}{ASK}OVER_TO_YOU\n")
     assert "FATAL ValueError: request 11 came twice" in lines
     assert "Traceback" in capsys.readouterr().err
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,6 @@
-"""A legal counterpart for a policy, and an oracle of the four rules with its own bookkeeping.
+"""Feeds a policy with legal events and checks each of its actions against the rules, with records of its own.
 
-It is no simulator: nothing takes time or has capacity. Tests (or hypothesis) say what happens
-next, and every action is judged against what the rules' text says.
+This is not a simulator: nothing takes time or has capacity. A test, or hypothesis, decides what happens next.
 """
 
 from __future__ import annotations
@@ -12,8 +11,8 @@
 from rookwood import interface as api
 
 MS = 1_000
-SLACK = 16 * MS
-GRACE = 500 * MS
+SLACK = 16 * MS  # by which a final response may come after the deadline
+GRACE = 500 * MS  # for which requests may still go to a worker that started to drain
 
 CLASSES = (
     api.JobClass("read", 500 * MS, 5_000 * MS, 5.0, api.RetrySafety.SAFE, stretch=2.0),
@@ -60,191 +59,202 @@
 
 
 @dataclass
-class Try:
+class SentAttempt:
+    """An attempt that the policy has sent."""
+
     worker: str
-    sent: int
-    ending: api.Outcome | None = None
-    ended: int = 0
+    sent_at: int
+    outcome: api.Outcome | None = None
+    ended_at: int = 0
 
 
 @dataclass
-class Asked:
+class RequestRecord:
+    """A request and the attempts of it."""
+
     cls: api.JobClass
     key: int | None
     deadline: int
-    work: float
-    tries: list[Try] = field(default_factory=list)
-    answered: bool = False
+    work_hint: float
+    attempts: list[SentAttempt] = field(default_factory=list)
+    answered: bool = False  # the client has its final response or has left
 
 
 class World:
-    """Feeds one policy and asserts the rules on each of its actions."""
+    """One policy, with the rules asserted on each of its actions."""
 
     def __init__(self, conf: api.Settings, seed: int = 1) -> None:
         self.conf = conf
         self.policy = Policy(conf, seed)
         self.now = 1_000_000
-        self.listed: dict[str, api.Worker] = {}
-        self.told_stop: dict[str, int] = {}
-        self.asked: dict[int, Asked] = {}
-        self.timers: list[tuple[int, int]] = []
-        self.trace: list[tuple[int, api.Action]] = []
-        self.sends_to_cold: dict[str, list[tuple[int, float]]] = {}
+        self.listed: dict[str, api.Worker] = {}  # also those that are no longer listed
+        self.stopped_at: dict[str, int] = {}  # since when a worker is draining, deleted or not listed
+        self.requests: dict[int, RequestRecord] = {}
+        self.timers: list[tuple[int, int]] = []  # time and token
+        self.actions: list[tuple[int, api.Action]] = []
+        self.sends_to_cold_workers: dict[str, list[tuple[int, float]]] = {}  # time and work hint
         self.next_id = 1
-        self.judge_cold = True
+        self.checks_cold_workers = True  # whether rule 4 is checked
 
-    # ---- what happens ----
+    # ---- events ----
 
     def feed(self, event: api.Event) -> list[api.Action]:
         actions = self.policy.handle(self.now, event)
         for action in actions:
-            self.trace.append((self.now, action))
-            self.judge(action)
+            self.actions.append((self.now, action))
+            self.check_action(action)
         return actions
 
     def list_workers(
-        self, *workers: api.Worker, how: api.WorkerListKind = api.WorkerListKind.FULL
+        self, *workers: api.Worker, kind: api.WorkerListKind = api.WorkerListKind.FULL
     ) -> list[api.Action]:
-        if how in (api.WorkerListKind.FULL, api.WorkerListKind.CACHED):
+        if kind in (api.WorkerListKind.FULL, api.WorkerListKind.CACHED):
             for name in set(self.listed) - {w.id for w in workers}:
-                self.told_stop.setdefault(name, self.now)
+                self.stopped_at.setdefault(name, self.now)
         for info in workers:
             if info.health is api.Health.SERVING:
-                self.told_stop.pop(info.id, None)
+                self.stopped_at.pop(info.id, None)
             else:
-                self.told_stop.setdefault(info.id, self.now)
+                self.stopped_at.setdefault(info.id, self.now)
             self.listed[info.id] = info
-        return self.feed(api.WorkersChanged(how, workers))
+        return self.feed(api.WorkersChanged(kind, workers))
 
-    def ask(self, name: str, left: int | None = None, **more: object) -> int:
+    def send_request(self, name: str, time_left: int | None = None, **more: object) -> int:
         cls = next(c for c in self.conf.classes if c.name == name)
-        left = cls.give_up if left is None else left
+        time_left = cls.give_up if time_left is None else time_left
         number = self.next_id
         self.next_id += 1
         hint = more.get("work_hint")
         key = more.get("key")
         work = float(hint) if isinstance(hint, int) else 0.0
-        self.asked[number] = Asked(cls, key if isinstance(key, int) else None, self.now + left, work)
-        self.feed(api.Request(number, name, left, **more))  # type: ignore[arg-type]
+        self.requests[number] = RequestRecord(
+            cls, key if isinstance(key, int) else None, self.now + time_left, work
+        )
+        self.feed(api.Request(number, name, time_left, **more))  # type: ignore[arg-type]
         return number
 
-    def end(self, number: int, ending: api.Outcome, load: dict[str, float] | None = None) -> None:
-        asked = self.asked[number]
-        attempt = len(asked.tries) - 1
-        one = asked.tries[attempt]
-        assert one.ending is None
-        one.ending, one.ended = ending, self.now
-        if ending is api.Outcome.OK:
-            asked.answered = True
+    def end_attempt(self, number: int, outcome: api.Outcome, load: dict[str, float] | None = None) -> None:
+        request = self.requests[number]
+        index = len(request.attempts) - 1
+        attempt = request.attempts[index]
+        assert attempt.outcome is None
+        attempt.outcome, attempt.ended_at = outcome, self.now
+        if outcome is api.Outcome.OK:
+            request.answered = True
         event = api.AttemptEnded(
-            number, attempt, one.worker, ending, self.now - one.sent, asked.answered, load
+            number, index, attempt.worker, outcome, self.now - attempt.sent_at, request.answered, load
         )
         self.feed(event)
 
-    def start(self, number: int) -> None:
-        tries = self.asked[number].tries
-        self.feed(api.AttemptProgress(number, len(tries) - 1, tries[-1].worker, True))
+    def report_start(self, number: int) -> None:
+        attempts = self.requests[number].attempts
+        self.feed(api.AttemptProgress(number, len(attempts) - 1, attempts[-1].worker, True))
 
     def advance(self, span: int) -> None:
-        """Let time pass: due timers fire, attempts still out at the deadline time out."""
+        """Let time pass: due timers elapse, and attempts that are open at their deadline time out."""
         until = self.now + span
         while True:
             due = [(t, 0, k) for t, k in self.timers if t <= until]
             due += [
-                (a.deadline, 1, n)
-                for n, a in self.asked.items()
-                if a.deadline <= until and a.tries and a.tries[-1].ending is None
+                (r.deadline, 1, n)
+                for n, r in self.requests.items()
+                if r.deadline <= until and r.attempts and r.attempts[-1].outcome is None
             ]
             if not due:
                 break
-            when, what, which = min(due)
+            when, order, number = min(due)
             self.now = max(self.now, when)
-            if what == 0:
-                self.timers.remove((when, which))
-                self.feed(api.Timer(which))
+            if order == 0:
+                self.timers.remove((when, number))
+                self.feed(api.Timer(number))
             else:
-                self.end(which, api.Outcome.TIMED_OUT)
-            self.overdue()
+                self.end_attempt(number, api.Outcome.TIMED_OUT)
+            self.check_deadlines()
         self.now = until
-        self.overdue()
+        self.check_deadlines()
 
     def stall(self, span: int) -> None:
-        """No turn for this long, then all at once: timers first, then starts of what is out."""
+        """Let this dispatcher stall, then feed all at once: due timers, then starts of the open attempts."""
         self.now += span
         due = [t for t in self.timers if t[0] <= self.now]
         for timer in due:
             self.timers.remove(timer)
             self.feed(api.Timer(timer[1]))
-        for number in self.out():
-            self.start(number)
+        for number in self.open_requests():
+            self.report_start(number)
 
-    def out(self) -> list[int]:
-        return [n for n, a in self.asked.items() if a.tries and a.tries[-1].ending is None]
+    def open_requests(self) -> list[int]:
+        """Return the requests whose last attempt has no outcome yet."""
+        return [n for n, r in self.requests.items() if r.attempts and r.attempts[-1].outcome is None]
 
     # ---- the rules ----
 
-    def overdue(self) -> None:
-        late = [n for n, a in self.asked.items() if not a.answered and self.now > a.deadline + SLACK]
-        assert not late, f"rule 1: no answer to {late}"
+    def check_deadlines(self) -> None:
+        late = [n for n, r in self.requests.items() if not r.answered and self.now > r.deadline + SLACK]
+        assert not late, f"rule 1: no final response to {late}"
 
-    def judge(self, action: api.Action) -> None:
+    def check_action(self, action: api.Action) -> None:
         match action:
             case api.Send(number, name, _):
-                self.judge_send(self.asked[number], number, name)
+                self.check_send(self.requests[number], number, name)
             case api.Reject(number):
-                asked = self.asked[number]
-                assert not asked.answered, "rule 1: answered twice"
-                asked.answered = True
-                harmless = asked.cls.repeat is api.RetrySafety.SAFE or not self.maybe_ran(asked)
+                request = self.requests[number]
+                assert not request.answered, "rule 1: a second final response"
+                request.answered = True
+                harmless = request.cls.repeat is api.RetrySafety.SAFE or not self.attempts_that_may_have_run(
+                    request
+                )
                 keyed_all = (
-                    asked.cls.repeat is api.RetrySafety.KEYED
-                    and asked.cls.group is api.DeduplicationScope.ALL
+                    request.cls.repeat is api.RetrySafety.KEYED
+                    and request.cls.group is api.DeduplicationScope.ALL
                 )
-                assert harmless or keyed_all, "rule 2: refused though it may have run"
+                assert harmless or keyed_all, "rule 2: rejected though it may have run"
             case api.Fail(number):
-                assert not self.asked[number].answered, "rule 1: answered twice"
-                self.asked[number].answered = True
+                assert not self.requests[number].answered, "rule 1: a second final response"
+                self.requests[number].answered = True
             case api.SetTimer(token, delay):
                 assert 0 <= delay <= 71 * 60 * 1_000_000
                 self.timers.append((self.now + max(delay, 1), token))
 
-    def judge_turn(self, asked: Asked) -> None:
-        for earlier in self.asked.values():
-            if earlier is asked:
+    def check_key_order(self, request: RequestRecord) -> None:
+        for earlier in self.requests.values():
+            if earlier is request:
                 break
-            if earlier.cls.sequential and earlier.key == asked.key:
-                assert earlier.answered, "rule 5: an earlier one is not over"
-                for one in earlier.tries:
-                    assert one.ending is not None, "rule 5: an earlier one has an attempt out"
-                    if one.ending in (api.Outcome.TIMED_OUT, api.Outcome.RESET, api.Outcome.CANCELLED):
-                        assert self.now >= one.ended + self.conf.order_settle, "rule 5: the key rests"
-
-    def maybe_ran(self, asked: Asked) -> list[Try]:
-        return [t for t in asked.tries if t.ending not in api.NEVER_RAN]
-
-    def judge_send(self, asked: Asked, number: int, name: str) -> None:
-        assert name in self.listed, "a worker no list has named"
-        assert not asked.answered, "rule 1: sent after the final answer"
-        assert len(asked.tries) < self.conf.max_attempts
-        assert all(t.ending is not None for t in asked.tries), "two attempts out"
-        ran = self.maybe_ran(asked)
-        if ran and asked.cls.repeat is not api.RetrySafety.SAFE:
-            assert asked.cls.repeat is api.RetrySafety.KEYED, "rule 2: unsafe request sent again"
-            assert self.now <= ran[0].sent + asked.cls.window, "rule 2: sent after the window"
-            if asked.cls.group is api.DeduplicationScope.CELL:
+            if earlier.cls.sequential and earlier.key == request.key:
+                assert earlier.answered, "rule 5: an earlier request has not ended"
+                for attempt in earlier.attempts:
+                    assert attempt.outcome is not None, "rule 5: an earlier request has an open attempt"
+                    if attempt.outcome in (api.Outcome.TIMED_OUT, api.Outcome.RESET, api.Outcome.CANCELLED):
+                        assert self.now >= attempt.ended_at + self.conf.order_settle, (
+                            "rule 5: the key is paused"
+                        )
+
+    def attempts_that_may_have_run(self, request: RequestRecord) -> list[SentAttempt]:
+        return [a for a in request.attempts if a.outcome not in api.NEVER_RAN]
+
+    def check_send(self, request: RequestRecord, number: int, name: str) -> None:
+        assert name in self.listed, "sent to a worker in no list"
+        assert not request.answered, "rule 1: sent after the final response"
+        assert len(request.attempts) < self.conf.max_attempts
+        assert all(a.outcome is not None for a in request.attempts), "two open attempts"
+        ran = self.attempts_that_may_have_run(request)
+        if ran and request.cls.repeat is not api.RetrySafety.SAFE:
+            assert request.cls.repeat is api.RetrySafety.KEYED, "rule 2: unsafe request sent again"
+            assert self.now <= ran[0].sent_at + request.cls.window, "rule 2: sent after the window"
+            if request.cls.group is api.DeduplicationScope.CELL:
                 assert self.listed[name].cell == self.listed[ran[0].worker].cell, "rule 2: other cell"
-            if asked.cls.group is api.DeduplicationScope.ZONE:
+            if request.cls.group is api.DeduplicationScope.ZONE:
                 assert self.listed[name].zone == self.listed[ran[0].worker].zone, "rule 2: other zone"
-        if asked.cls.sequential and asked.key is not None:
-            self.judge_turn(asked)
-        assert self.now <= self.told_stop.get(name, self.now) + GRACE, "rule 3: sent to a draining worker"
-        asked.tries.append(Try(name, self.now))
+        if request.cls.sequential and request.key is not None:
+            self.check_key_order(request)
+        assert self.now <= self.stopped_at.get(name, self.now) + GRACE, "rule 3: sent to a draining worker"
+        request.attempts.append(SentAttempt(name, self.now))
         info = self.listed[name]
         age = self.now - info.started_at if info.started_at else self.conf.warm_up
-        if self.judge_cold and age < self.conf.warm_up:
-            sent = self.sends_to_cold.setdefault(name, [])
-            sent.append((self.now, asked.work))
+        if self.checks_cold_workers and age < self.conf.warm_up:
+            sent = self.sends_to_cold_workers.setdefault(name, [])
+            sent.append((self.now, request.work_hint))
             share = self.conf.cold_share + (1 - self.conf.cold_share) * age / self.conf.warm_up
             recent = sum(w for t, w in sent if t > self.now - self.conf.fall_window)
             limit = self.conf.fall_multiple * share * info.size * self.conf.fall_window
-            assert recent <= limit / self.conf.dispatchers, "rule 4: a cold worker is pushed over"
+            assert recent <= limit / self.conf.dispatchers, "rule 4: a cold worker is overloaded"
