--- a/rookwood/policy.py
+++ b/rookwood/policy.py
@@ -28,7 +28,7 @@
 WORKERS_PER_CANDIDATE = 8  # within these limits, one candidate for so many listed workers
 LEARNING_RATE = 0.02  # weight of a response in learned service times
 FAULT_WEIGHT = 0.1  # weight of an outcome in a fault rate
-MAX_FAULTS = 0.25  # fault rate from which on a worker has the least health
+MAX_FAULT_RATE = 0.25  # fault rate from which on a worker has the least health
 MIN_HEALTH = 0.02
 DECAY = 0.8  # part of the fault rates and of the offered and earned worth that a placement step keeps
 NO_WAIT = 0.1  # mean jobs; shorter waits are neglected. Also the price up to which crossing zones is cheap
@@ -41,7 +41,7 @@
 COLD_BUDGET_SHARE = 0.5  # part of the rule-4 budget that is used
 GOLDEN_RATIO = 0.618034  # spreads the dispatchers' turns at a cold worker evenly
 RETRY_AFTER = SECOND  # mean time after which a rejected client may come back
-RETRY_RATIO = 0.1  # retries won by each request
+RETRY_RATIO = 0.1  # retries earned by each request
 RETRY_BURST = 10.0  # most retries that are saved up
 MIN_FIRST_TRIES = 0.25  # part of the requests that are first tries even under overload
 SLOW_FACTOR = 3  # a timeout counts as the worker's fault after this many times the expected service time
@@ -70,7 +70,7 @@
         if self.now < 0:
             self.step_at = now
             self._call_at(now + STEP_INTERVAL // 4 + self.rng.randrange(STEP_INTERVAL // 4), self._step)
-            self._call_at(now + self.rng.randrange(SILENCE), self._refresh)
+            self._call_at(now + self.rng.randrange(SILENCE), self._refresh_candidates)
             self.actions += [api.Subscribe()] * self.conf.subscribe
             self.loads.start(self.rng.randrange(SECOND // 2))
         # A late timer shows that this dispatcher itself stalled: silence meanwhile is not the workers' fault.
@@ -132,11 +132,11 @@
 
     def _time_since_first_try(self, req: api.Request) -> int:
         """A short time left shows a retry, unless clients mark their retries."""
-        who = (req.job_class, req.tenant if self.conf.marks_retry else None)
+        key = (req.job_class, req.tenant if self.conf.marks_retry else None)
         first = self.conf.marks_retry and not req.is_retry
-        wait = self.waits[who] = req.time_left if first else max(self.waits.get(who, 0), req.time_left)
+        wait = self.waits[key] = req.time_left if first else max(self.waits.get(key, 0), req.time_left)
         # Where hardly any request brings the full time, clients have become impatient: these are no retries.
-        ratio = self.firsts[who] = 0.85 * self.firsts.get(who, 1.0) + 0.15 * (req.time_left > 0.98 * wait)
+        ratio = self.firsts[key] = 0.85 * self.firsts.get(key, 1.0) + 0.15 * (req.time_left > 0.98 * wait)
         return 0 if ratio < MIN_FIRST_TRIES else wait - req.time_left
 
     def _tenant_worth(self, req: api.Request) -> float:  # over-share requests wait longer and are shed first
@@ -200,7 +200,7 @@
 
     def _send_or_hold(self, job: Job) -> None:
         """While a request is held, it may still go to any worker or be rejected."""
-        while not (w := self._choose(job)) and job.queries < MAX_QUERIES:
+        while not (w := self._choose_worker(job)) and job.queries < MAX_QUERIES:
             job.queries += 1
             if self.loads.wait_for_load(job, self._candidates(job)):
                 return None
@@ -209,7 +209,7 @@
         job.is_held = True
         return self.held_jobs[job.queue].append(job)
 
-    def _send_held(self) -> None:
+    def _send_held_jobs(self) -> None:
         """Most worth first, then newest first: under overload the oldest would all just miss their time."""
         tries = HELD_TRIES
         for key in sorted(self.held_jobs, key=lambda q: (-q[1] * self._class_worth(q[0]) / q[2], q)):
@@ -217,14 +217,14 @@
             while queue and tries > 0:
                 tries -= 2  # the newest, and any other, as the newest may fit nowhere
                 pair = (queue[-1], queue[self.rng.randrange(len(queue))])
-                job, w = next(((j, w) for j in pair if (w := self._choose(j))), (None, None))
+                job, w = next(((j, w) for j in pair if (w := self._choose_worker(j))), (None, None))
                 if not (job and w):
                     break
                 queue.remove(job)
                 job.is_held = False
                 self._send(job, w)
 
-    def _choose(self, job: Job) -> WorkerState | None:
+    def _choose_worker(self, job: Job) -> WorkerState | None:
         """The first candidate of known load that has room. None: query loads, or hold the request."""
         near = self._candidates(job)
         known = [w for w in near if self.loads.is_load_known(w)]
@@ -282,7 +282,7 @@
         age = (self.now - w.info.started_at) / self.conf.warm_up
         return min(1.0, self.conf.cold_share + (1 - self.conf.cold_share) * max(0.0, age))
 
-    def _has_room(self, job: Job, w: WorkerState) -> bool:  # starts soon, within a cold budget
+    def _has_room(self, job: Job, w: WorkerState) -> bool:  # it starts soon and keeps a cold budget
         if self._capacity(w) < 1.0 and (self._credit(w) < 0 or job.slot_time * w.slowness > self._budget(w)):
             return False
         usual = 1.25 * (self.used_slots + job.need) * self.sizes[w.info.kind] / max(self.total_size, MIN_PHI)
@@ -309,9 +309,9 @@
         w.credit -= whole * max(0, math.ceil((w.credit - rate * self.conf.fall_window) / whole))
         return w.credit
 
-    def _refresh(self, _: object) -> None:
-        """Query loads for held requests, and list cold workers with credit; a key's own hardly ever are."""
-        self._call_at(self.now + SILENCE, self._refresh)
+    def _refresh_candidates(self, _: object) -> None:
+        """Query loads for held requests, and list cold workers with credit: hardly ever a key's own."""
+        self._call_at(self.now + SILENCE, self._refresh_candidates)
         for job in (job for queue in self.held_jobs.values() for job in queue[-HELD_QUERIES:]):
             self.loads.query_load(self._candidates(job))
         self.cold = [w for w in self.workers.values() if self._capacity(w) < 1.0 and self._credit(w) >= 0]
@@ -322,7 +322,7 @@
 
     def _health(self, w: WorkerState) -> float:  # part of its usual requests that it gets
         over = max(0.0, max(w.fault_rate, w.peer_fault_rate) - FAULT_WEIGHT)  # a single fault is free
-        return w.trust * max(MIN_HEALTH, 1 - over / (MAX_FAULTS - FAULT_WEIGHT))
+        return w.trust * max(MIN_HEALTH, 1 - over / (MAX_FAULT_RATE - FAULT_WEIGHT))
 
     def _send(self, job: Job, w: WorkerState) -> None:
         key = (job.request.id, len(job.attempts))
@@ -337,7 +337,7 @@
         self._call_at(self.now + SILENCE, self._check_silence, (key, w))
 
     def _check_silence(self, about: tuple[tuple[int, int], WorkerState]) -> None:
-        # No start or outcome: the worker hangs, is cut off, stalled or dead. One very long job could harm it.
+        # No start or outcome: the worker hangs, is cut off, stalled or dead. A very long job looks the same.
         key, w = about
         if (attempt := w.attempts.get(key)) is None or (self.conf.tells_start and attempt.started_at):
             return
@@ -352,7 +352,7 @@
         """Hints can cost a worker requests, but never restore the trust that own observation took away."""
         for w, faults in (news := list(self.loads.receive_hints(event))):
             w.peer_fault_rate += FAULT_WEIGHT * (faults - w.peer_fault_rate)
-        return self._send_held() if news else None
+        return self._send_held_jobs() if news else None
 
     def _lower_trust(self, w: WorkerState) -> None:
         self.loads.send_hint(w, api.HintKind.SUSPECT)
@@ -393,7 +393,7 @@
                 self._record_life_sign(w)
                 self.won[job.cls.name] += job.worth * (self.now <= job.shed_at + job.service)
                 if not self.stalled:  # else the measured time would include this dispatcher's own stall
-                    self._learn(job, attempt, w)
+                    self._learn_service_time(job, attempt, w)
             elif event.outcome not in (Outcome.CANCELLED, Outcome.IGNORED):
                 slow = attempt.run_time(self.now) > SILENCE + SLOW_FACTOR * job.service * max(1.0, w.slowness)
                 if slow if event.outcome is Outcome.TIMED_OUT else event.outcome is not Outcome.FAILED:
@@ -405,20 +405,20 @@
                 self._start_next_of_key(job.request.key)
         if event.request in self.jobs:
             self._remove_job(job) if event.request_done else self._retry(job, attempt)
-        self._send_held()
+        self._send_held_jobs()
 
     def _retry(self, job: Job, attempt: Attempt) -> None:
         """An attempt that may have run costs retry budget, since retries must not feed an overload."""
         job.failed_on = attempt.worker.id if len(self.workers) > 1 else ""
         free = not attempt.may_have_run
-        able = len(job.attempts) < self.conf.max_attempts and self.now < job.shed_at
-        if not (able and self._may_run_again(job, attempt.worker) and (free or self.retry_tokens >= 1)):
+        may_retry = len(job.attempts) < self.conf.max_attempts and self.now < job.shed_at
+        if not (may_retry and self._may_run_again(job, attempt.worker) and (free or self.retry_tokens >= 1)):
             return self._reject_or_fail(job)
         self.retry_tokens -= not free
         self._call_at(job.shed_at, self._shed_expired, job)
         return self._send_or_hold(job)
 
-    def _learn(self, job: Job, attempt: Attempt, w: WorkerState) -> None:
+    def _learn_service_time(self, job: Job, attempt: Attempt, w: WorkerState) -> None:
         name = job.cls.name
         service = max(1, attempt.run_time(self.now)) / w.slowness
         over = math.log(service / self._prior_service_time(job.request)) - self.log_factor[name]
@@ -430,7 +430,7 @@
     def _on_probe_result(self, event: api.ProbeResult) -> None:
         w = self.workers.get(event.worker)
         if w and self.loads.record_report(w, event.load):
-            self._send_held()
+            self._send_held_jobs()
         elif w and event.outcome in (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT):  # dead or cut off
             self._lower_trust(w)
 
@@ -462,7 +462,7 @@
         if gone or new:
             self.ring.sort()
             self.total_size = sum(self.sizes[w.info.kind] for w in self.workers.values()) or MIN_PHI
-        self._send_held()
+        self._send_held_jobs()
 
     def _step(self, _: object) -> None:
         """Steps 1 and 6 of Algorithm 1: from extrapolated demand to a new table. Without demand it stays."""
@@ -479,7 +479,7 @@
         # Where over 3/4 look bad, the fault is likelier here and ejecting does harm. A lost zone is half.
         bad = sum(self._health(w) < 0.5 for w in self.workers.values())
         self.ejecting = 4 * bad <= 3 * len(self.workers)
-        self._send_held()
+        self._send_held_jobs()
         if not self.slot_seconds:
             return
         wanted: dict[Row, float] = {}
@@ -492,11 +492,12 @@
                 self.demand[row] = (new, trend)
                 wanted[row] = max(new + trend, new / 2)
         self.slot_seconds.clear()
-        # What may be chance, or has no key (all of it would herd to one row), follows the ring as `rest`.
+        # What may be chance, by its standard error, or has no key (one row would herd) follows the ring.
         total = sum(wanted.values())
         error = {row: (total / rate / self.request_count) ** 0.5 for row, rate in wanted.items()}
         sure = {r: rate * (1 - error[r]) for r, rate in wanted.items() if error[r] < 0.5 and r[2] != -1}
         self.request_count *= 1 - DEMAND_WEIGHT
+        # Sorted by ring points, the same order at every dispatcher.
         fit = sorted((w for w in self.workers.values() if sure and w.is_serving), key=lambda w: w.ring_points)
         size = [self.sizes[w.info.kind] * self._capacity(w) * self._health(w) for w in fit]
         fleet = {w.info.id: (c, w.info.kind, self.loads.slots_of(w)) for w, c in zip(fit, size, strict=True)}
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -30,8 +30,9 @@
     some = [Trackers(me, dispatchers) for me in range(min(dispatchers, 7))]
     drawn = [{n: trackers.of(worker_state(n)) for n in range(50)} for trackers in some]
     assert all(draw == drawn[0] for draw in drawn)
-    count = min(TRACKERS_PER_WORKER, dispatchers)
-    assert all(len(set(peers)) == len(peers) == count for peers in drawn[0].values())
+    assert all(
+        len(set(peers)) == len(peers) == min(TRACKERS_PER_WORKER, dispatchers) for peers in drawn[0].values()
+    )
     tracked = Counter(n for peers in drawn[0].values() for n in peers)
     # No dispatcher tracks most of the workers.
     assert max(tracked.values()) <= 50 * TRACKERS_PER_WORKER / dispatchers + 12
--- a/tests/tier.py
+++ b/tests/tier.py
@@ -103,7 +103,7 @@
                 for other in to:
                     if self.rng.random() >= self.loss_rate:
                         event = api.HintsReceived(n, hints)
-                        self.schedule(3 * MS, lambda to=other, event=event: self.feed(to, event))  # type: ignore[misc]
+                        self.schedule(3 * MS, lambda to=other, received=event: self.feed(to, received))  # type: ignore[misc]
             case api.Send(number, name):
                 slots, time = self.jobs[n, number]
                 self.workers[name].queue.append((n, number, slots, time))
