--- a/rookwood/interface.py
+++ b/rookwood/interface.py
@@ -168,7 +168,7 @@
 
 
 class HintKind(Enum):
-    """What a hint says of a worker. The values are sent to other dispatchers."""
+    """What a hint says about a worker. The values are sent to other dispatchers."""
 
     SENT = 1  # a job was sent there
     ENDED = 2  # a job sent there has ended
--- a/rookwood/load_exchange.py
+++ b/rookwood/load_exchange.py
@@ -4,7 +4,7 @@
 Instead each worker has a few trackers: dispatchers drawn by a hash of its id, the same at every dispatcher.
 Only they receive hints of its jobs, and a dispatcher that has to place a request queries one of them about
 each worker that it considers. The cost of this does not grow with the fleet. With a handful of dispatchers,
-all of them track all workers and nobody has to ask. If a tracker is dead, cut off or new, another one is
+all of them track all workers and none sends queries. If a tracker is dead, cut off or new, another one is
 queried, and in the end the worker itself is probed. Hints are advice: the policy decides which worker gets a
 request, and no rule depends on a hint. This module does no I/O and reads no clock; times are integer
 microseconds.
--- a/rookwood/policy.py
+++ b/rookwood/policy.py
@@ -300,13 +300,13 @@
         """Own part of a cold worker's budget. All machines read one clock, so parts of less than a job fall
         due in turn. Unused parts expire within the window, or all could spend their savings at once."""
         rate = COLD_BUDGET_SHARE * self._budget(w) / self.conf.fall_window / self.conf.dispatchers
-        whole = max(1.0, self.slot_time * w.slowness)
+        one_job = max(1.0, self.slot_time * w.slowness)
         if w.credit == math.inf and w.info.started_at:
-            turn = rate * (self.now - w.info.started_at) / whole
+            turn = rate * (self.now - w.info.started_at) / one_job
             turn -= self.conf.me * GOLDEN_RATIO + stable_hashes(w.info.id)[0] / 2**64
-            w.credit, w.credit_at = (turn % 1.0 - 1) * whole, self.now  # no savings: past sends are unknown
+            w.credit, w.credit_at = (turn % 1.0 - 1) * one_job, self.now  # no savings: past sends are unknown
         w.credit, w.credit_at = w.credit + rate * (self.now - w.credit_at), self.now
-        w.credit -= whole * max(0, math.ceil((w.credit - rate * self.conf.fall_window) / whole))
+        w.credit -= one_job * max(0, math.ceil((w.credit - rate * self.conf.fall_window) / one_job))
         return w.credit
 
     def _refresh_candidates(self, _: object) -> None:
@@ -336,15 +336,15 @@
         self.loads.send_hint(w, api.HintKind.SENT, job.need)
         self._call_at(self.now + SILENCE, self._check_silence, (key, w))
 
-    def _check_silence(self, about: tuple[tuple[int, int], WorkerState]) -> None:
+    def _check_silence(self, watched: tuple[tuple[int, int], WorkerState]) -> None:
         # No start or outcome: the worker hangs, is cut off, stalled or dead. A very long job looks the same.
-        key, w = about
+        key, w = watched
         if (attempt := w.attempts.get(key)) is None or (self.conf.tells_start and attempt.started_at):
             return
         jobs = 1.0 if self.conf.tells_start else SILENT_JOBS
         limit = max(w.alive_at, attempt.sent_at) + SILENCE + int(jobs * self.job_time * max(1.0, w.slowness))
         if self.stalled or self.now < limit:
-            self._call_at(max(self.now + SILENCE, limit), self._check_silence, about)
+            self._call_at(max(self.now + SILENCE, limit), self._check_silence, watched)
         else:
             self._lower_trust(w)
 
--- a/rookwood/settings.py
+++ b/rookwood/settings.py
@@ -60,7 +60,7 @@
         return value
 
     def enum_value(self, path: str, choices: type[E], default: str | None = None) -> E:
-        """Return the enum member whose value stands at a path."""
+        """Return the enum member with the value at a path."""
         value = self.get(path, str, default)
         try:
             return choices(value)
@@ -73,8 +73,8 @@
 
     def items(self, path: str, default: list[Any] | None = None) -> list[JsonReader]:
         """Return a reader of each item of the list at a path."""
-        place = f"{self.at}.{path}" if self.at else path
-        return [JsonReader(item, f"{place}[{n}]") for n, item in enumerate(self.get(path, list, default))]
+        list_path = f"{self.at}.{path}" if self.at else path
+        return [JsonReader(item, f"{list_path}[{n}]") for n, item in enumerate(self.get(path, list, default))]
 
 
 def parse_settings(tree: JsonReader) -> api.Settings:
--- a/rookwood/state.py
+++ b/rookwood/state.py
@@ -1,4 +1,4 @@
-"""The data that a dispatcher's policy keeps. No decision is taken here.
+"""The data that a dispatcher's policy keeps. It makes no decisions.
 
 Only policy.py, load_exchange.py and memory.py change it. Times are in microseconds unless said otherwise.
 """
@@ -56,10 +56,10 @@
     row: Row
     queue: HoldQueue
     need: float  # slots, or memory units if these are more
-    service: float  # expected on a worker of mean speed
-    slot_time: float  # mean slot-time it is expected to take
+    service: float  # typical service time on a worker of mean speed
+    slot_time: float  # slots times the mean service time, long tails included
     worth: float  # of a response in time
-    cutoff: float  # drawn once from [0, 1): workers less reliable than this do not get the request
+    cutoff: float  # drawn once from [0, 1): workers of less health than this do not get the request
     shed_at: int = 0  # a job that starts later than this ends too late
     attempts: list[Attempt] = field(default_factory=list)
     is_held: bool = False
@@ -73,7 +73,7 @@
 
     info: api.Worker
     ring_points: list[tuple[int, str]]
-    alive_at: int
+    alive_at: int  # when it last gave a sign of life
     slowness: float = 1.0  # time that a job takes here, by size and slots, relative to the fleet's mean
     fault_rate: float = 0.0  # fraction of this dispatcher's recent attempts that ended by the worker's fault
     peer_fault_rate: float = 0.0  # the same for the attempts of other dispatchers, from their hints
@@ -87,7 +87,7 @@
     probed_at: int = 0
     attempts: dict[tuple[int, int], Attempt] = field(default_factory=dict)  # own ones, oldest first
     credit: float = math.inf  # slot-time that this dispatcher may send while the worker is cold
-    credit_at: int = 0
+    credit_at: int = 0  # when the credit was last updated
 
     @property
     def is_serving(self) -> bool:
--- a/rookwood/wirehost.py
+++ b/rookwood/wirehost.py
@@ -31,17 +31,17 @@
 class Line:
     """A line of input, cut into fields. Errors name the line's number and the field."""
 
-    __slots__ = ("number", "place", "values")
+    __slots__ = ("number", "positions", "values")
 
-    def __init__(self, number: int, text: str, place: dict[str, int]) -> None:
+    def __init__(self, number: int, text: str, positions: dict[str, int]) -> None:
         self.number = number
-        self.place = place  # index of each field
-        spare = 0 if "profile-data" in place else 1  # JSON, the last field, may hold spaces
-        self.values = text.split(" ", len(place) + spare)[1:]
-        if len(self.values) != len(place):
-            short = len(self.values) < len(place)
-            field = list(place)[len(self.values)] if short else "end"
-            self.fail(field, f"expected {len(place)} fields, found {len(self.values)}")
+        self.positions = positions  # of each field in `values`
+        remainder = 0 if "profile-data" in positions else 1  # JSON, the last field, may hold spaces
+        self.values = text.split(" ", len(positions) + remainder)[1:]
+        if len(self.values) != len(positions):
+            short = len(self.values) < len(positions)
+            field = list(positions)[len(self.values)] if short else "end"
+            self.fail(field, f"expected {len(positions)} fields, found {len(self.values)}")
 
     def fail(self, field: str, reason: str) -> NoReturn:
         """Raise an error about a field."""
@@ -49,14 +49,14 @@
 
     def text(self, field: str) -> str:
         """Return a field that must have a value."""
-        value = self.values[self.place[field]]
+        value = self.values[self.positions[field]]
         if not value or value == "-":
             self.fail(field, "a value is required")
         return value
 
     def optional_text(self, field: str) -> str | None:
         """Return a field, or None if it is absent, which the wire writes as ``-``."""
-        value = self.values[self.place[field]]
+        value = self.values[self.positions[field]]
         return None if value == "-" else value
 
     def finite_number(self, field: str) -> float:
@@ -64,7 +64,7 @@
         try:
             value = float(self.text(field))
         except ValueError:
-            self.fail(field, f"not a number: {self.values[self.place[field]]!r}")
+            self.fail(field, f"not a number: {self.values[self.positions[field]]!r}")
         return value if math.isfinite(value) else self.fail(field, "not a finite number")
 
     def integer(self, field: str) -> int:
@@ -77,16 +77,16 @@
 
     def flag(self, field: str) -> bool:
         """Return a field that must be 0 or 1."""
-        if self.values[self.place[field]] not in ("0", "1"):
-            self.fail(field, f"not 0 or 1: {self.values[self.place[field]]!r}")
-        return self.values[self.place[field]] == "1"
+        if self.values[self.positions[field]] not in ("0", "1"):
+            self.fail(field, f"not 0 or 1: {self.values[self.positions[field]]!r}")
+        return self.values[self.positions[field]] == "1"
 
     def enum_value(self, field: str, choices: type[E]) -> E:
         """Return the enum member that a field names."""
         try:
             return choices(self.text(field))
         except ValueError:
-            self.fail(field, f"unknown value {self.values[self.place[field]]!r}")
+            self.fail(field, f"unknown value {self.values[self.positions[field]]!r}")
 
     def load(self, field: str) -> dict[str, float] | None:
         """Return a load report, written as ``name:value`` pairs with commas between them, or None."""
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -153,12 +153,12 @@
 
 
 def test_check_and_show_accept_the_platforms_file(tmp_path: Path) -> None:
-    sound = stage.environment(tmp_path, [], "127.0.0.1:9")["PROXY_CONFIG"]
-    result = CliRunner().invoke(main, ["check", sound])
+    platform_file = stage.environment(tmp_path, [], "127.0.0.1:9")["PROXY_CONFIG"]
+    result = CliRunner().invoke(main, ["check", platform_file])
     assert result.exit_code == 0 and "sound" in result.output
-    result = CliRunner().invoke(main, ["show", sound])
+    result = CliRunner().invoke(main, ["show", platform_file])
     assert result.exit_code == 0 and "unsafe" in result.output and "class unlock repeat" in result.output
     stage.environment(tmp_path, [], "127.0.0.1:9", settings=stage.SETTINGS | {"tick": 0})
     for command in ("check", "show"):
-        result = CliRunner().invoke(main, [command, sound])
+        result = CliRunner().invoke(main, [command, platform_file])
         assert result.exit_code == 2 and "settings.tick" in result.output
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -27,15 +27,16 @@
 
 
 def codec(names: list[str] = NAMES) -> HintCodec:
-    made = HintCodec()
-    made.add_workers(names, is_full=True)
-    return made
+    """Return a codec that knows these workers."""
+    result = HintCodec()
+    result.add_workers(names, is_full=True)
+    return result
 
 
 @profile(derandomize=True, max_examples=100, deadline=None)
 @given(st.sampled_from(NAMES), st.sampled_from(api.HintKind), st.sampled_from([1.0, 2.0, 4.0, 8.0]))
-def test_hint_survives_encoding_and_decoding(name: str, word: api.HintKind, slots: float) -> None:
-    hint = api.Hint(name, word, slots)
+def test_hint_survives_encoding_and_decoding(name: str, kind: api.HintKind, slots: float) -> None:
+    hint = api.Hint(name, kind, slots)
     assert codec().decode(codec().encode((hint, hint))) == (hint, hint)
 
 
@@ -62,17 +63,19 @@
 
 
 def test_hints_pass_over_the_wire_and_invalid_ones_are_ignored() -> None:
-    profile_ = PROFILE | {"balancers": 3, "bounds": {"attempts-cap": 3, "peers": True}}
-    ask = "ASK 11 240000 1 0 - - read 0 0 - -\n"
-    lines = serve(hello(profile_) + f"FRAME 1001000\nFOR dispatcher/3\n{ask}OVER_TO_YOU\n")
-    told = codec(["10.0.0.1:80"]).encode([api.Hint("10.0.0.1:80", api.HintKind.SENT, 1.0)]).hex()
-    assert any(line.startswith("NOTIFY ") and line.endswith(f" {told}") for line in lines)
-    notes = "".join(f"NOTE_FROM 2 {payload}\n" for payload in (told, "00", "-", "ff" * 256))
-    lines = serve(hello(profile_) + f"FRAME 1001000\nFOR dispatcher/3\n{notes}OVER_TO_YOU\n")
+    settings_object = PROFILE | {"balancers": 3, "bounds": {"attempts-cap": 3, "peers": True}}
+    request = "ASK 11 240000 1 0 - - read 0 0 - -\n"
+    lines = serve(hello(settings_object) + f"FRAME 1001000\nFOR dispatcher/3\n{request}OVER_TO_YOU\n")
+    payload = codec(["10.0.0.1:80"]).encode([api.Hint("10.0.0.1:80", api.HintKind.SENT, 1.0)]).hex()
+    assert any(line.startswith("NOTIFY ") and line.endswith(f" {payload}") for line in lines)
+    messages = "".join(f"NOTE_FROM 2 {data}\n" for data in (payload, "00", "-", "ff" * 256))
+    lines = serve(hello(settings_object) + f"FRAME 1001000\nFOR dispatcher/3\n{messages}OVER_TO_YOU\n")
     assert lines.count("END") == 2 and not [line for line in lines if line.startswith("FATAL")]
 
 
 class RecordingDriver(PolicyDriver):
+    """A driver that records the hints it receives."""
+
     def __init__(self) -> None:
         super().__init__(settings(peers=True), 1, Clock())
         self.hints: list[tuple[int, api.Hint]] = []
@@ -100,9 +103,9 @@
         peers = [
             Peers(driver, address, addresses) for driver, address in zip(drivers, addresses, strict=True)
         ]
-        for one in peers:
-            await one.start()
-            one.learn(full_list(*NAMES), False)
+        for exchange in peers:
+            await exchange.start()
+            exchange.learn(full_list(*NAMES), False)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
             bad = codec().encode([api.Hint("s-1", api.HintKind.FAILED, 1.0)])
             unknown_sender.sendto(bad, (addresses[1].host, addresses[1].port))
@@ -116,8 +119,8 @@
         assert drivers[1].hints == [(0, api.Hint("s-2", api.HintKind.SENT, 4.0))]
         assert peers[1].dropped.total() == 5
         assert not drivers[0].hints  # datagrams that come back to their sender are ignored
-        for one in peers:
-            await one.close()
+        for exchange in peers:
+            await exchange.close()
 
     asyncio.run(scenario())
 
@@ -132,16 +135,16 @@
             drivers = [RecordingDriver(), RecordingDriver()]
             late = Peers(drivers[0], address, [address, other], pause=timedelta(milliseconds=1))
             early = Peers(drivers[1], other, [address, other])
-            for one in (late, early):
-                await one.start()
-                one.learn(full_list(*NAMES), False)
+            for exchange in (late, early):
+                await exchange.start()
+                exchange.learn(full_list(*NAMES), False)
             drivers[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
         async with asyncio.timeout(5):
             while not drivers[1].hints:  # the address is free from here on
                 drivers[0].tell((1,), [api.Hint("s-3", api.HintKind.SENT, 4.0)])
                 await asyncio.sleep(0)
         assert drivers[1].hints[0] == (0, api.Hint("s-3", api.HintKind.SENT, 4.0))
-        for one in (late, early):
-            await one.close()
+        for exchange in (late, early):
+            await exchange.close()
 
     asyncio.run(scenario())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -158,8 +158,8 @@
         for number in list(world.open_requests()):
             world.end_attempt(number, api.Outcome.FAILED)
         world.advance(100 * MS)
-    tries = sum(len(r.attempts) for r in world.requests.values())
-    assert tries <= 200 * 1.1 + 12
+    attempts = sum(len(r.attempts) for r in world.requests.values())
+    assert attempts <= 200 * 1.1 + 12
 
 
 def test_late_outcome_of_an_ended_request_has_no_effect() -> None:
@@ -294,8 +294,8 @@
 def test_requests_of_any_time_left_are_answered() -> None:
     world = World(settings(dispatchers=30, tenants=(api.Tenant("a", 1.0),), marks_retry=True))
     world.list_workers(worker(0), worker(1))
-    for left in (0, 1, 100 * MS, 750 * MS, 5_000 * MS):
-        for again in (False, True):
-            world.send_request("fee", time_left=left, tenant="a", is_retry=again, key=1)
+    for time_left in (0, 1, 100 * MS, 750 * MS, 5_000 * MS):
+        for is_retry in (False, True):
+            world.send_request("fee", time_left=time_left, tenant="a", is_retry=is_retry, key=1)
     world.advance(6_000 * MS)
     assert all(r.answered for r in world.requests.values())
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -88,7 +88,7 @@
 
 
 def start_load_query(dispatchers: int = 200) -> tuple[World, int, int]:
-    """Send a request that waits for one worker's load. Return its number and the queried tracker, too."""
+    """Send a request that waits for a worker's load. Return the world, its number and the queried tracker."""
     me = next(n for n in range(dispatchers) if not Trackers(n, dispatchers).includes_me(worker_state(0)))
     world = World(settings(peers=True, dispatchers=dispatchers, me=me))
     world.list_workers(worker(0))
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize(("before", "held"), [(0, False), (20, True)])
 def test_requests_of_impatient_clients_do_not_count_as_retries(before: int, held: bool) -> None:
-    """A request with little time left counts as a late retry, but not if all of them have little."""
+    """A request with little time time_left counts as a late retry, but not if all of them have little."""
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0))
     world.end_attempt(world.send_request("fee", key=1), api.Outcome.OK)
@@ -34,13 +34,13 @@
     assert world.requests[last].answered is not held
 
 
-@pytest.mark.parametrize(("left", "trusted"), [(100 * MS, True), (4_900 * MS, False)])
-def test_timeout_lowers_trust_only_if_the_job_ran_long(left: int, trusted: bool) -> None:
+@pytest.mark.parametrize(("time_left", "trusted"), [(100 * MS, True), (4_900 * MS, False)])
+def test_timeout_lowers_trust_only_if_the_job_ran_long(time_left: int, trusted: bool) -> None:
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0))
-    number = world.send_request("fee", key=1, time_left=left)
+    number = world.send_request("fee", key=1, time_left=time_left)
     world.report_start(number)
-    world.advance(left - 20 * MS)
+    world.advance(time_left - 20 * MS)
     world.end_attempt(number, api.Outcome.TIMED_OUT)
     assert (world.policy.workers[worker(0).id].trust == 1.0) is trusted
 
--- a/tests/tier.py
+++ b/tests/tier.py
@@ -85,8 +85,8 @@
     def send_request(self, n: int, name: str, time: int, slots: int = 1, key: int | None = None) -> None:
         number = next(self.numbers)
         self.jobs[n, number] = slots, time
-        left = next(c.give_up for c in self.policies[n].conf.classes if c.name == name)
-        self.feed(n, api.Request(number, name, left, slots=slots, key=key))
+        time_left = next(c.give_up for c in self.policies[n].conf.classes if c.name == name)
+        self.feed(n, api.Request(number, name, time_left, slots=slots, key=key))
 
     def feed(self, n: int, event: api.Event) -> None:
         for action in self.policies[n].handle(self.now, event):
