--- a/rookwood/load_exchange.py
+++ b/rookwood/load_exchange.py
@@ -1,11 +1,13 @@
-"""What others put on workers, and how it is learned: words between dispatchers, and probes. No clock, no I/O.
-
-Word of each job to every dispatcher is paid for by each that hears it. So each worker has a few keepers, the
-same at every dispatcher by a hash of its id: they alone hear of its jobs, and whoever has to decide asks one
-of them about the workers that come into question. What that costs does not grow with the fleet; with a
-handful of dispatchers all are keepers of all, and nobody asks. A keeper that is dead, cut off or new is not
-waited for: there is another, and in the end the worker itself, by a probe. All of it is hints: which worker
-gets a job is the policy's to say, and no rule hangs on a word. Times are integer microseconds.
+"""The load that other dispatchers put on workers, learned from hints between dispatchers and from probes.
+
+If each dispatcher sent hints of every job to all others, the cost of a job would grow with their number.
+Instead each worker has a few trackers: dispatchers drawn by a hash of its id, the same at every dispatcher.
+Only they receive hints of its jobs, and a dispatcher that has to place a request queries one of them about
+each worker that it considers. The cost of this does not grow with the fleet. With a handful of dispatchers,
+all of them track all workers and none sends queries. If a tracker is dead, cut off or new, another one is
+queried, and in the end the worker itself is probed. Hints are advice: the policy decides which worker gets a
+request, and no rule depends on a hint. This module does no I/O and reads no clock; times are integer
+microseconds.
 """
 
 from __future__ import annotations
@@ -16,236 +18,294 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from rookwood import interface as api
-from rookwood.interface import Hint, Word
-from rookwood.state import Attempt, Job, State
-
-KEEPERS = 4  # of a worker: its books outlive three dead, or a cut
-MOST_TOLD = 99  # jobs of others remembered at one worker
-LAPSE = 4  # mean jobs after which word of another one's end may have been lost
-LOOK = 25_000  # an answer is waited for so long: two messages take 14 ms
-QUIET, MISSED = 2_000_000, 2 * KEEPERS  # so long no one asks who was silent; so many in a row: nobody does
-FRESH = 0.1  # mean jobs: a figure of this age is as good as new
-PROBED = 4  # workers probed for the sake of one job
-SHARE, SLOTS = 0.02, 4.0  # weight of a figure in the mean over workers; slots of a worker, before any report
-PROBE, REPORT_AGE = 250_000, 2_000_000  # so often all together probe a worker; oldest report
-
-
-class Keepers:
-    """Who keeps the books of which worker, and which of them answer."""
+from rookwood.interface import Hint, HintKind
+from rookwood.state import Attempt, Job, WorkerState
+
+TRACKERS_PER_WORKER = 4  # what they know outlives the death of three, or a partition
+MAX_TRACKED_JOBS = 99  # jobs of other dispatchers remembered at one worker
+HINT_LIFETIME = (
+    4  # mean jobs; after this time the hint of a job's end may have been lost, and the job is dropped
+)
+QUERY_TIMEOUT = 25_000  # microseconds; two messages take 14 ms
+SILENT_PEER_PAUSE = 2_000_000  # microseconds for which a peer that did not reply is not queried again
+MAX_MISSED_REPLIES = (
+    2 * TRACKERS_PER_WORKER
+)  # after so many in a row no peer is queried, but one now and then
+FRESH_AGE = 0.1  # mean jobs; a reported load of this age is as good as new
+MAX_PROBES_PER_JOB = 4  # workers probed to place one request
+LOAD_SMOOTHING = 0.02  # weight of a reported load in the mean over workers
+INITIAL_SLOTS = 4.0  # slots that a worker is assumed to have before any report
+PROBE_INTERVAL = 250_000  # microseconds between two probes of a worker, by all dispatchers together
+MAX_REPORT_AGE = 2_000_000  # microseconds; reports include every attempt sent before that
+
+
+class Trackers:
+    """Which dispatchers track the jobs of which worker, and which of them reply."""
 
     def __init__(self, me: int, dispatchers: int) -> None:
         self._me, self._dispatchers = me, dispatchers
-        self._quiet: dict[int, int] = {}  # until when a dispatcher is not asked
-        self._missed, self._deaf_until = 0, 0
-
-    def of(self, w: State) -> tuple[int, ...]:
-        """In the order in which they are asked."""
-        serial, many = 0, min(KEEPERS, self._dispatchers)
-        drawn: dict[int, None] = dict.fromkeys(w.keepers)
-        while len(drawn) < many:
+        self._paused_until: dict[int, int] = {}  # by dispatcher: it is not queried before this time
+        self._missed_replies = 0  # in a row
+        self._next_trial_at = 0  # when, after too many missed replies, one query is sent again
+
+    def of(self, w: WorkerState) -> tuple[int, ...]:
+        """Return the worker's trackers, in the order in which they are queried."""
+        serial, count = 0, min(TRACKERS_PER_WORKER, self._dispatchers)
+        drawn: dict[int, None] = dict.fromkeys(w.trackers)
+        while len(drawn) < count:
             digest = hashlib.blake2b(f"{serial} {w.info.id}".encode(), digest_size=32).digest()
             for at in range(0, 32, 4):
                 drawn[int.from_bytes(digest[at : at + 4], "big") % self._dispatchers] = None
             serial += 1
-        if not w.keepers:
-            w.keepers = tuple(drawn)[:many]
-        return w.keepers
+        if not w.trackers:
+            w.trackers = tuple(drawn)[:count]
+        return w.trackers
 
-    def others(self, w: State) -> tuple[int, ...]:
+    def others_of(self, w: WorkerState) -> tuple[int, ...]:
+        """Return the worker's trackers without this dispatcher."""
         return tuple(n for n in self.of(w) if n != self._me)
 
-    def mine(self, w: State) -> bool:
+    def includes_me(self, w: WorkerState) -> bool:
+        """Whether this dispatcher tracks the worker."""
         return self._me in self.of(w)
 
-    def whom(self, w: State, now: int) -> int | None:
-        """Who is asked; None where nobody is expected to answer."""
-        if self._missed >= MISSED:
-            if now < self._deaf_until:
+    def choose_peer(self, w: WorkerState, now: int) -> int | None:
+        """Return the dispatcher to query about a worker, or None if no reply is expected."""
+        if self._missed_replies >= MAX_MISSED_REPLIES:
+            if now < self._next_trial_at:
                 return None
-            self._deaf_until = now + QUIET // 4  # one tries
-        return next((n for n in self.others(w) if self._quiet.get(n, 0) <= now), None)
+            self._next_trial_at = now + SILENT_PEER_PAUSE // 4  # this query is the trial
+        return next((n for n in self.others_of(w) if self._paused_until.get(n, 0) <= now), None)
 
-    def sign(self, sender: int) -> None:
-        self._missed = 0
-        self._quiet.pop(sender, None)
+    def record_reply(self, peer: int) -> None:
+        """Note that a dispatcher is alive: any message of it counts."""
+        self._missed_replies = 0
+        self._paused_until.pop(peer, None)
 
-    def silent(self, peer: int, now: int) -> None:
-        self._missed += 1
-        self._quiet[peer] = now + QUIET
+    def record_silence(self, peer: int, now: int) -> None:
+        """Note that a dispatcher did not reply in time."""
+        self._missed_replies += 1
+        self._paused_until[peer] = now + SILENT_PEER_PAUSE
 
 
-class Talk:
-    """Sole owner of the words, the books kept here and the questions that are out."""
+class LoadExchange:
+    """Sends and receives hints, tracks the jobs of others, and has requests wait until a load is known."""
 
     def __init__(
         self,
         settings: api.Settings,
-        workers: Mapping[str, State],
-        at: Callable[[int, Callable[..., None], object], None],
-        do: Callable[[api.Action], None],
+        workers: Mapping[str, WorkerState],
+        schedule: Callable[[int, Callable[..., None], object], None],
+        emit: Callable[[api.Action], None],
         place: Callable[[Job], None],
     ) -> None:
-        self._set, self._workers, self._at, self._do, self._place = settings, workers, at, do, place
-        self._keepers = Keepers(settings.me, settings.dispatchers)
-        self._waiting: dict[int, tuple[Job, set[str]]] = {}  # for the load of these workers
-        self._mean = 0.0  # part of a worker's slots that others hold
-        self.by_kind: dict[str, float] = {}  # slots of a worker of this kind, by reports
-        self._born, self._now, self._job_time, self._need = 0, 0, 1.0, 1.0
-
-    def start(self, soon: int) -> None:
-        self._born = self._now
-        if self._set.probes:
-            self._at(self._now + soon, self._probe, None)
-
-    def tick(self, now: int, job_time: float, need: float) -> None:
-        """What the time is, how long a job runs on the mean, and how many slots own ones have now."""
-        self._now, self._job_time, self._need = now, job_time, need
-
-    # ---- what is known ----
-
-    def known(self, w: State, age: float = FRESH) -> bool:
-        """Worth a decision: own books, a figure at most `age` mean jobs old, or where none can be had."""
-        if not (self._set.peers or self._set.probes) or self._mine(w):
+        self._settings = settings
+        self._workers = workers
+        self._schedule = schedule
+        self._emit = emit
+        self._place = place
+        self._trackers = Trackers(settings.me, settings.dispatchers)
+        self._waiting: dict[
+            int, tuple[Job, set[str]]
+        ] = {}  # by request: the job and the workers it waits for
+        self._mean_others_share = 0.0  # mean fraction of a worker's slots that other dispatchers use
+        self.slots_by_kind: dict[str, float] = {}  # slots of a worker of each kind, estimated from reports
+        self._started_at = 0
+        self._now = 0
+        self._mean_job_time = 1.0
+        self._mean_job_slots = 1.0
+
+    def start(self, delay: int) -> None:
+        """Note the start of this dispatcher, and send the first probe after `delay`."""
+        self._started_at = self._now
+        if self._settings.probes:
+            self._schedule(self._now + delay, self._probe_next, None)
+
+    def advance(self, now: int, mean_job_time: float, mean_job_slots: float) -> None:
+        """Set the time, the mean service time of a job, and the mean number of slots of an own attempt."""
+        self._now = now
+        self._mean_job_time = mean_job_time
+        self._mean_job_slots = mean_job_slots
+
+    # ---- load ----
+
+    def is_load_known(self, w: WorkerState, max_age: float = FRESH_AGE) -> bool:
+        """Whether the load of a worker is known well enough to place a request there.
+
+        It is if it is tracked here, was reported at most `max_age` mean jobs ago, or can't be had at all.
+        """
+        if not (self._settings.peers or self._settings.probes) or self._is_tracked_here(w):
             return True
-        return bool(w.report_at) and self._now - w.report_at <= age * self._job_time
-
-    def others(self, w: State) -> float:
-        """Slots of others there: by own books, else as last told, of which less is true as time passes."""
-        if self._mine(w):
-            return self._held(w)
-        if not (self._set.peers or self._set.probes):  # reports come late to all alike, and all would herd
-            return min(w.others, self.slots_of(w) * (1 - 1 / self._set.dispatchers))
-        part = math.exp((w.report_at - self._now) / self._job_time) if w.report_at else 0.0
-        return w.others * part + self._mean * self.slots_of(w) * (1 - part)
-
-    def books(self, w: State, own: Iterable[tuple[Attempt, Job]]) -> list[tuple[int, int, float]]:
-        """Of others' jobs, and of own ones that are out, for the process that follows: it hears of no end of
-        these, so each is there for as long as it is expected to run."""
-        mine = ((a.sent + int(job.service * w.slowness), self._set.me, job.need) for a, job in own)
-        return [job for job in (*w.told, *mine) if job[0] > self._now]
-
-    def found(self, w: State, others: float) -> None:
-        """Load was told or reported; who has waited for the last of it is placed."""
-        w.others, w.report_at, w.asked = others, self._now, None
-        self._mean += SHARE * (others / self.slots_of(w) - self._mean)
+        return bool(w.reported_at) and self._now - w.reported_at <= max_age * self._mean_job_time
+
+    def slots_of_others(self, w: WorkerState) -> float:
+        """Estimate the slots that other dispatchers use at a worker.
+
+        Where it isn't tracked here, the last report counts less as it ages, and the mean over workers more.
+        """
+        if self._is_tracked_here(w):
+            return self._tracked_slots(w)
+        # Without hints and probes, late reports reach all dispatchers alike, and all would herd.
+        if not (self._settings.peers or self._settings.probes):
+            return min(w.others_slots, self.slots_of(w) * (1 - 1 / self._settings.dispatchers))
+        weight = math.exp((w.reported_at - self._now) / self._mean_job_time) if w.reported_at else 0.0
+        return w.others_slots * weight + self._mean_others_share * self.slots_of(w) * (1 - weight)
+
+    def jobs_to_save(
+        self, w: WorkerState, own: Iterable[tuple[Attempt, Job]]
+    ) -> list[tuple[int, int, float]]:
+        """Return the tracked jobs of others and the own open attempts, for the process that follows.
+
+        That process receives no outcome of the own attempts, so each counts for its expected running time.
+        """
+        own_jobs = (
+            (a.sent_at + int(job.service * w.slowness), self._settings.me, job.need) for a, job in own
+        )
+        return [job for job in (*w.tracked_jobs, *own_jobs) if job[0] > self._now]
+
+    def record_load(self, w: WorkerState, others: float) -> None:
+        """Record the reported slots of others, and place the requests that waited for this report last."""
+        w.others_slots, w.reported_at, w.queried_peer = others, self._now, None
+        self._mean_others_share += LOAD_SMOOTHING * (others / self.slots_of(w) - self._mean_others_share)
         for job, awaited in list(self._waiting.values()):
             awaited.discard(w.info.id)
             if not awaited and job.request.id in self._waiting:
-                self._end(job)
+                self._end_wait(job)
 
-    def slots_of(self, w: State) -> float:
-        return max(1.0, round(self.by_kind.get(w.info.kind, SLOTS)))
+    def slots_of(self, w: WorkerState) -> float:
+        """Return the estimated number of slots of a worker."""
+        return max(1.0, round(self.slots_by_kind.get(w.info.kind, INITIAL_SLOTS)))
 
-    def fits(self, need: float, w: State) -> bool:  # or at least as well as anywhere
-        return need <= self.slots_of(w) or self.slots_of(w) >= max(self.by_kind.values(), default=0.0)
+    def fits(self, slots: float, w: WorkerState) -> bool:
+        """Whether a worker has that many slots, or at least as many as any other."""
+        return slots <= self.slots_of(w) or self.slots_of(w) >= max(self.slots_by_kind.values(), default=0.0)
 
-    def reported(self, w: State, load: Mapping[str, float] | None) -> bool:
-        """By the worker itself, noisy and of a while ago."""
+    def record_report(self, w: WorkerState, load: Mapping[str, float] | None) -> bool:
+        """Learn from a worker's own load report, which is noisy and dated. Return whether it has a load."""
         if not load or "x0" not in load:
             return False
         free, queue, held = load["x0"], load.get("backlog", 0.0), load.get("outstanding")
-        old_ones = sum(self._now - attempt.sent > REPORT_AGE for attempt in w.out.values())
-        kind, most = w.info.kind, free + max(0.0, held - queue if held else old_ones)
-        old = self.by_kind.get(kind, most if held else max(SLOTS, most))  # rises fast, falls slowly
-        # Where reports do not say what is held there, jobs of others are missing: a lower bound, close
-        # only at a worker that is mostly idle. One that is busy tells of nothing to take back.
+        old_attempts = sum(self._now - attempt.sent_at > MAX_REPORT_AGE for attempt in w.attempts.values())
+        kind, most = w.info.kind, free + max(0.0, held - queue if held else old_attempts)
+        old = self.slots_by_kind.get(kind, most if held else max(INITIAL_SLOTS, most))
+        # The estimate rises fast and falls slowly. Reports without `outstanding` leave out the jobs of other
+        # dispatchers, so they give a lower bound, which is close only at a worker that is mostly idle. From a
+        # busy worker such a report does not lower the estimate.
         fall = 0.005 if held or 2 * free >= old else 0.0
-        self.by_kind[kind] = max(1.0, old + (0.2 if most > old else fall) * (most - old))
-        self.found(w, max(0.0, self.by_kind[kind] - free + queue * self._need - w.used_slots))
+        self.slots_by_kind[kind] = max(1.0, old + (0.2 if most > old else fall) * (most - old))
+        self.record_load(
+            w, max(0.0, self.slots_by_kind[kind] - free + queue * self._mean_job_slots - w.used_slots)
+        )
         return True
 
-    def _mine(self, w: State) -> bool:
-        return self._set.peers and self._keepers.mine(w)
+    def _is_tracked_here(self, w: WorkerState) -> bool:
+        return self._settings.peers and self._trackers.includes_me(w)
 
-    def _held(self, w: State, but: int | None = None) -> float:
-        w.told = [job for job in w.told if job[0] > self._now]
-        return sum(slots for _, sender, slots in w.told if sender != but)
+    def _tracked_slots(self, w: WorkerState, but: int | None = None) -> float:
+        """Drop expired jobs and return the slots of the others, those of dispatcher `but` left out."""
+        w.tracked_jobs = [job for job in w.tracked_jobs if job[0] > self._now]
+        return sum(slots for _, sender, slots in w.tracked_jobs if sender != but)
 
-    # ---- questions ----
+    # ---- queries ----
 
-    def look(self, job: Job, near: Iterable[State]) -> bool:
-        """Asks what is not known of these workers. The job is placed once it is, or after `LOOK`."""
-        if awaited := self.ask(near):
+    def wait_for_load(self, job: Job, workers: Iterable[WorkerState]) -> bool:
+        """Query the unknown loads of these workers, and place the job after the last reply or a timeout.
+
+        Returns False if all of them are known, so there is nothing to wait for.
+        """
+        if awaited := self.query_load(workers):
             self._waiting[job.request.id] = (job, awaited)
-            self._at(self._now + LOOK, self._late, (job, awaited))
+            self._schedule(self._now + QUERY_TIMEOUT, self._on_wait_timeout, (job, awaited))
         return bool(awaited)
 
-    def ask(self, near: Iterable[State]) -> set[str]:
-        letters: dict[int, list[Hint]] = defaultdict(list)
-        unknown, probed = [w for w in near if not self.known(w)], 0
-        for w in (w for w in unknown if w.asked is None):
-            peer = self._keepers.whom(w, self._now) if self._set.peers else None
+    def query_load(self, workers: Iterable[WorkerState]) -> set[str]:
+        """Query a tracker about each worker of unknown load, or probe the worker. Return their ids."""
+        messages: dict[int, list[Hint]] = defaultdict(list)
+        unknown, probed = [w for w in workers if not self.is_load_known(w)], 0
+        for w in (w for w in unknown if w.queried_peer is None):
+            peer = self._trackers.choose_peer(w, self._now) if self._settings.peers else None
             if peer is not None:
-                w.asked = peer
-                letters[peer].append(Hint(w.info.id, Word.ASK))
-                self._at(self._now + LOOK, self._unanswered, (w, peer))
-            elif self._set.probes and probed < PROBED:
+                w.queried_peer = peer
+                messages[peer].append(Hint(w.info.id, HintKind.LOAD_QUERY))
+                self._schedule(self._now + QUERY_TIMEOUT, self._on_query_timeout, (w, peer))
+            elif self._settings.probes and probed < MAX_PROBES_PER_JOB:
                 probed += 1
-                self._do(api.Probe(w.info.id))
-        for peer, hints in letters.items():
-            self._do(api.SendHints((peer,), tuple(hints)))
+                self._emit(api.Probe(w.info.id))
+        for peer, hints in messages.items():
+            self._emit(api.SendHints((peer,), tuple(hints)))
         return {w.info.id for w in unknown}
 
-    def drop(self, job: Job) -> None:
+    def forget(self, job: Job) -> None:
+        """Stop waiting for a load on behalf of a request that has ended."""
         self._waiting.pop(job.request.id, None)
 
-    def _unanswered(self, about: tuple[State, int]) -> None:
-        w, peer = about
-        if w.asked == peer:
-            self._keepers.silent(peer, self._now)
-            w.asked = None
+    def _on_query_timeout(self, query: tuple[WorkerState, int]) -> None:
+        w, peer = query
+        if w.queried_peer == peer:
+            self._trackers.record_silence(peer, self._now)
+            w.queried_peer = None
 
-    def _late(self, about: tuple[Job, set[str]]) -> None:
-        job, awaited = about
+    def _on_wait_timeout(self, wait: tuple[Job, set[str]]) -> None:
+        job, awaited = wait
         if (entry := self._waiting.get(job.request.id)) and entry[1] is awaited:
-            self._end(job)
+            self._end_wait(job)
 
-    def _end(self, job: Job) -> None:
-        """A sequential request may have had its turn, and so been sent or held, while load was asked for."""
+    def _end_wait(self, job: Job) -> None:
+        """Place a request, unless its key's turn came meanwhile and it has been sent or held already."""
         del self._waiting[job.request.id]
-        if not job.held and all(attempt.ending for attempt in job.attempts):
+        if not job.is_held and all(attempt.outcome for attempt in job.attempts):
             self._place(job)
 
-    # ---- words ----
+    # ---- hints ----
 
-    def tell(self, w: State, word: Word, slots: float = 0.0) -> None:
-        to = self._keepers.others(w) if self._set.peers else ()
+    def send_hint(self, w: WorkerState, kind: HintKind, slots: float = 0.0) -> None:
+        """Send a hint about a worker to its trackers."""
+        to = self._trackers.others_of(w) if self._settings.peers else ()
         if to:
-            self._do(api.SendHints(to, (Hint(w.info.id, word, slots),)))
+            self._emit(api.SendHints(to, (Hint(w.info.id, kind, slots),)))
+
+    def receive_hints(self, event: api.HintsReceived) -> Iterable[tuple[WorkerState, float]]:
+        """Process hints. Yields each worker of which they report an outcome or a fault rate, with that rate.
 
-    def heard(self, said: api.HintsReceived) -> Iterable[tuple[State, float]]:
-        """Of whom there is news, and the part of its jobs that failed, which is for the policy to judge."""
-        self._keepers.sign(said.sender)
-        answer = list[Hint]()
-        for hint in said.hints:
+        What follows from a fault rate is left to the policy.
+        """
+        self._trackers.record_reply(event.sender)
+        replies = list[Hint]()
+        for hint in event.hints:
             if (w := self._workers.get(hint.worker)) is None:
                 continue
-            if hint.word is Word.SENT:
-                until = self._now + int(LAPSE * self._job_time * max(1.0, w.slowness))
-                w.told = [*w.told[-MOST_TOLD:], (until, said.sender, hint.slots)]
-            elif hint.word is Word.ASK:
-                held = w.used_slots + self._held(w, but=said.sender)
-                answer.append(Hint(hint.worker, Word.LOAD, held, max(w.faults, w.told_faults)))
-            elif hint.word is Word.LOAD:
-                if w.asked == said.sender:  # else nobody asked
-                    w.told_faults = hint.faults
-                    self.found(w, hint.slots)
-                    yield w, hint.faults
+            if hint.kind is HintKind.SENT:
+                until = self._now + int(HINT_LIFETIME * self._mean_job_time * max(1.0, w.slowness))
+                w.tracked_jobs = [*w.tracked_jobs[-MAX_TRACKED_JOBS:], (until, event.sender, hint.slots)]
+            elif hint.kind is HintKind.LOAD_QUERY:
+                used = w.used_slots + self._tracked_slots(w, but=event.sender)
+                replies.append(
+                    Hint(hint.worker, HintKind.LOAD_REPORT, used, max(w.fault_rate, w.peer_fault_rate))
+                )
+            elif hint.kind is HintKind.LOAD_REPORT:
+                if w.queried_peer == event.sender:  # a load that was not queried is dropped
+                    w.peer_fault_rate = hint.fault_rate
+                    self.record_load(w, hint.slots)
+                    yield w, hint.fault_rate
             else:
-                same = (job for job in w.told if job[1:] == (said.sender, hint.slots))
-                if hint.word is not Word.SICK and (job := next(same, None)):
-                    w.told.remove(job)
-                yield w, float(hint.word is not Word.ENDED)
-        if answer and self._now - self._born > self._job_time:  # who is new here has empty books
-            self._do(api.SendHints((said.sender,), tuple(answer)))
-
-    # ---- probes that no decision waits for ----
-
-    def _probe(self, _: object) -> None:
-        """All dispatchers together have a budget: it shows life, and how many slots a kind has."""
-        ready = [w for w in self._workers.values() if w.up]
-        pause = (4 if self._set.peers else 1) * PROBE * self._set.dispatchers
-        self._at(self._now + pause // max(1, len(ready)), self._probe, None)
-        for w in sorted(ready, key=lambda w: (w.probe_at, w.info.id))[:1]:
-            w.probe_at = self._now
-            self._do(api.Probe(w.info.id))
+                same = (job for job in w.tracked_jobs if job[1:] == (event.sender, hint.slots))
+                if hint.kind is not HintKind.SUSPECT and (job := next(same, None)):
+                    w.tracked_jobs.remove(job)
+                yield w, float(hint.kind is not HintKind.ENDED)
+        # A dispatcher that has just started has tracked nothing yet, so it doesn't reply.
+        if replies and self._now - self._started_at > self._mean_job_time:
+            self._emit(api.SendHints((event.sender,), tuple(replies)))
+
+    # ---- periodic probes ----
+
+    def _probe_next(self, _: object) -> None:
+        """Probe the worker that was probed longest ago: a sign of life, and reports of a kind's slots.
+
+        No decision waits for these probes. All dispatchers together share one budget of them.
+        """
+        ready = [w for w in self._workers.values() if w.is_serving]
+        interval = (4 if self._settings.peers else 1) * PROBE_INTERVAL * self._settings.dispatchers
+        self._schedule(self._now + interval // max(1, len(ready)), self._probe_next, None)
+        for w in sorted(ready, key=lambda w: (w.probed_at, w.info.id))[:1]:
+            w.probed_at = self._now
+            self._emit(api.Probe(w.info.id))
