--- a/rookwood/httpclient/client.py
+++ b/rookwood/httpclient/client.py
@@ -10,7 +10,7 @@
 from multidict import CIMultiDictProxy
 from yarl import URL
 
-from rookwood.httpclient.connections import AnswerConnector, DiscardableResponse
+from rookwood.httpclient.connections import DiscardableResponse, ResponseConnector
 from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
@@ -75,7 +75,7 @@
     """HTTP connections; what comes of a request is a value."""
 
     def __init__(self, *, connections: int, idle_limit: float, connect_limit: float) -> None:
-        self._connector = AnswerConnector(limit=connections, keepalive_timeout=idle_limit)
+        self._connector = ResponseConnector(limit=connections, keepalive_timeout=idle_limit)
         self._session = aiohttp.ClientSession(
             connector=self._connector,
             cookie_jar=aiohttp.DummyCookieJar(),
--- a/rookwood/httpclient/connections.py
+++ b/rookwood/httpclient/connections.py
@@ -26,28 +26,28 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop=loop)
         self._peer_finished = False
-        self._answer_body: StreamReader | None = None
+        self._response_body: StreamReader | None = None
 
     def set_response_params(self, **parameters: Any) -> None:
         """A request begins: the answer to come is its own."""
-        self._answer_body = None
+        self._response_body = None
         super().set_response_params(**parameters)
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
         """Take the head of an answer from the parser."""
         message, body = data
         if message.code not in INTERIM_STATUSES:
-            if self._answer_body is not None:
+            if self._response_body is not None:
                 self._drop_connection()
                 return
-            self._answer_body = body
+            self._response_body = body
             if self._request_is_pending():
                 self.force_close()
         super().feed_data(data, size)
 
     def data_received(self, data: bytes) -> None:
         """Take bytes from the peer; those after a whole answer belong to no request."""
-        if data and self._answer_body is not None and self._answer_body.is_eof():
+        if data and self._response_body is not None and self._response_body.is_eof():
             self._drop_connection()
             return
         super().data_received(data)
@@ -75,7 +75,7 @@
 
     def end_after(self, body: StreamReader) -> None:
         """End the connection, unless it carries another request than the one with this answer by now."""
-        if self._answer_body is body:
+        if self._response_body is body:
             self._drop_connection()
 
     def _request_is_pending(self) -> bool:
@@ -85,7 +85,7 @@
         return self.writing_paused or self.transport.get_write_buffer_size() > 0
 
     def _break_answer(self, cause: BaseException | None) -> None:
-        body = self._answer_body
+        body = self._response_body
         if body is None or body.is_eof() or body.exception() is not None:
             return
         error = ClientPayloadError(f"connection lost before the end of the answer: {cause!r}")
@@ -106,23 +106,23 @@
     The library gives a connection back to the pool with the last byte of an answer, whomever that was for.
     """
 
-    _answer_protocol: ResponseProtocol | None = None
+    _response_protocol: ResponseProtocol | None = None
 
     async def start(self, connection: Connection) -> ClientResponse:
         """Read the head, and keep hold of the connection."""
         assert isinstance(connection.protocol, ResponseProtocol)
-        self._answer_protocol = connection.protocol
+        self._response_protocol = connection.protocol
         return await super().start(connection)
 
     def discard(self) -> None:
         """Give up the answer and its connection: what comes on it now may be for any request."""
         body = self.content
         self.close()
-        if self._answer_protocol is not None:
-            self._answer_protocol.end_after(body)
+        if self._response_protocol is not None:
+            self._response_protocol.end_after(body)
 
 
-class AnswerConnector(TCPConnector):
+class ResponseConnector(TCPConnector):
     """A pool of such connections."""
 
     def __init__(self, *, limit: int, keepalive_timeout: float) -> None:
--- a/rookwood/metrics/exposition.py
+++ b/rookwood/metrics/exposition.py
@@ -19,7 +19,7 @@
 FamilySource = Callable[[], Iterable[Metric]]
 
 
-class SourceCollector(Collector):
+class FamilySourceCollector(Collector):
     """Asks each source in turn at every scrape, so that counting needs nothing of the library."""
 
     def __init__(self, sources: Iterable[FamilySource]) -> None:
@@ -34,7 +34,7 @@
 def render(sources: Iterable[FamilySource]) -> bytes:
     """The families of these sources as text."""
     registry = CollectorRegistry()
-    registry.register(SourceCollector(sources))
+    registry.register(FamilySourceCollector(sources))
     return generate_latest(registry)
 
 
@@ -47,7 +47,7 @@
     )
     yield gauges("loop_lag_seconds", "How late the event loop ran a periodic task.", ("kind",), samples)
     yield counter("loop_lag_sum_seconds", "Sum of the lags measured.", lag.total)
-    yield counter("loop_lag_measurements", "How many lags were measured.", lag.wakes)
+    yield counter("loop_lag_measurements", "How many lags were measured.", lag.measurements)
 
 
 def process_families() -> Iterator[Metric]:
--- a/rookwood/metrics/loop_lag.py
+++ b/rookwood/metrics/loop_lag.py
@@ -15,7 +15,7 @@
         self.last = 0.0
         self.maximum = 0.0
         self.total = 0.0
-        self.wakes = 0
+        self.measurements = 0
         self._window_began = 0.0
         self._window_maximum = 0.0
         self._previous_maximum = 0.0
@@ -37,7 +37,7 @@
     def observe(self, lag: float, now: float) -> None:
         """Take in one measurement."""
         self.last = max(0.0, lag)
-        self.wakes += 1
+        self.measurements += 1
         self.total += self.last
         self.maximum = max(self.maximum, self.last)
         if now - self._window_began > WINDOW:
--- a/rookwood/metrics/server.py
+++ b/rookwood/metrics/server.py
@@ -49,7 +49,7 @@
     async def start(self) -> None:
         """Listen; where that fails, the process goes on without."""
         self._measuring = asyncio.create_task(self._lag.run())
-        server = web.Server(self._answer, access_log=None)
+        server = web.Server(self._respond, access_log=None)
         self._runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=SHUTDOWN_LIMIT)
         try:
             await self._runner.setup()
@@ -66,7 +66,7 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def _answer(self, request: web.BaseRequest) -> web.Response:
+    async def _respond(self, request: web.BaseRequest) -> web.Response:
         if request.path != METRICS_PATH:
             return web.Response(status=404)
         try:
--- a/rookwood/net/config.py
+++ b/rookwood/net/config.py
@@ -10,7 +10,7 @@
 from urllib.parse import quote
 
 from rookwood import interface as api
-from rookwood.net.destinations import Address, DestinationUpdate, address_of, destination_set_of
+from rookwood.net.destinations import Address, DestinationUpdate, parse_address, parse_destination_update
 from rookwood.settings import InvalidSettingError, JsonReader, parse_settings
 
 
@@ -43,18 +43,18 @@
     peers: tuple[Address, ...] = ()  # every dispatcher's address, this one's included
 
 
-def span(tree: JsonReader, path: str, default: int | None = None) -> timedelta:
+def duration(tree: JsonReader, path: str, default: int | None = None) -> timedelta:
     return timedelta(microseconds=tree.get(path, int, default))
 
 
-def seed_of(text: str) -> int:
+def parse_seed(text: str) -> int:
     try:
         return int(text, 16)
     except ValueError:
         raise InvalidSettingError("seed", f"not hexadecimal: {text!r}") from None
 
 
-def handover_of(folder: str | None, name: str) -> Path | None:
+def handover_socket_path(folder: str | None, name: str) -> Path | None:
     return Path(folder) / f"rookwood-{quote(name, safe='')}.sock" if folder else None
 
 
@@ -79,12 +79,12 @@
     calls = environ.get("PROXY_MGMT") or "mgmt" in data
     told = tree.subtree("settings")
     bounds = Bounds(
-        connect_timeout=span(told, "bounds.connect-timeout", 150_000),
-        idle=span(told, "bounds.conn-idle", 60_000_000),
-        drain_grace=span(told, "rules.drain-grace", 1_000_000),
+        connect_timeout=duration(told, "bounds.connect-timeout", 150_000),
+        idle=duration(told, "bounds.conn-idle", 60_000_000),
+        drain_grace=duration(told, "rules.drain-grace", 1_000_000),
         max_open=told.get("bounds.max-open", int, 20_000),
         retry_after=told.get("bounds.retry-after", bool, True),
-        max_retry_after=span(told, "bounds.max-retry-after", 2_000_000),
+        max_retry_after=duration(told, "bounds.max-retry-after", 2_000_000),
         sockets=tree.get("limits.sockets", int, 1024),
         memory=tree.get("limits.memory_mb", int, 192) << 20,
     )
@@ -107,14 +107,16 @@
     )
     return Config(
         name=own("PROXY_NAME", "name")[0],
-        listen=address_of(*own("PROXY_LISTEN", "listen")),
-        discovery=address_of(*own("PROXY_DISCOVERY", "discovery")),
-        mgmt=address_of(*own("PROXY_MGMT", "mgmt")) if calls else None,
-        handover=handover_of(environ.get("TMPDIR"), own("PROXY_NAME", "name")[0]),
-        seed=seed_of(tree.get("seed", str)),
+        listen=parse_address(*own("PROXY_LISTEN", "listen")),
+        discovery=parse_address(*own("PROXY_DISCOVERY", "discovery")),
+        mgmt=parse_address(*own("PROXY_MGMT", "mgmt")) if calls else None,
+        handover=handover_socket_path(environ.get("TMPDIR"), own("PROXY_NAME", "name")[0]),
+        seed=parse_seed(tree.get("seed", str)),
         bounds=bounds,
         settings=settings,
-        known=destination_set_of(known),
-        peer_listen=address_of(tree.get("peer_listen", str), "peer_listen") if heard else None,
-        peers=tuple(address_of(str(peer), "peers") for peer in tree.get("peers", list, [])) if heard else (),
+        known=parse_destination_update(known),
+        peer_listen=parse_address(tree.get("peer_listen", str), "peer_listen") if heard else None,
+        peers=tuple(parse_address(str(peer), "peers") for peer in tree.get("peers", list, []))
+        if heard
+        else (),
     )
--- a/rookwood/net/connection_limits.py
+++ b/rookwood/net/connection_limits.py
@@ -6,22 +6,22 @@
 
 # Standard streams, the loop's own, two listeners, the peers' datagrams, the watch and the one after it, and
 # the sockets of a handover.
-BASE = 16
-CALL_ACCEPTS = 4  # callers taken in before those taken are counted
+RESERVED_DESCRIPTORS = 16
+MANAGEMENT_ACCEPT_BATCH = 4  # callers taken in before those taken are counted
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    callers: int  # at the second address, at once
-    accepts: int  # clients taken in before those taken are counted
-    spare: int  # clients beyond the bound, who are told so or are just being let go
-    half: int  # for clients, and as many for endpoints: a request in hand takes one on either side
+class ConnectionLimits:
+    management_connections: int  # at the second address, at once
+    accept_batch: int  # clients taken in before those taken are counted
+    excess_clients: int  # clients beyond the bound, who are told so or are just being let go
+    per_side: int  # for clients, and as many for endpoints: a request in hand takes one on either side
 
 
-def room_of(sockets: int) -> Room:
+def divide_descriptors(sockets: int) -> ConnectionLimits:
     def part(divisor: int, least: int, most: int) -> int:
         return max(least, min(most, sockets // divisor))
 
     callers, accepts, spare = part(24, 4, 12), part(24, 4, 16), part(16, 4, 32)
-    left = sockets - BASE - CALL_ACCEPTS - callers - accepts - spare
-    return Room(callers, accepts, spare, max(4, left // 2))
+    left = sockets - RESERVED_DESCRIPTORS - MANAGEMENT_ACCEPT_BATCH - callers - accepts - spare
+    return ConnectionLimits(callers, accepts, spare, max(4, left // 2))
--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -14,12 +14,12 @@
 from rookwood import interface as api
 from rookwood.net.clock import Clock
 from rookwood.net.config import Bounds, Config
-from rookwood.net.connection_limits import room_of
+from rookwood.net.connection_limits import divide_descriptors
 from rookwood.net.destinations import Destinations, DestinationUpdate
 from rookwood.net.dispatcher_group import DispatcherGroup
-from rookwood.net.endpoints import Endpoints
+from rookwood.net.endpoints import EndpointPool
 from rookwood.net.handover import Handover
-from rookwood.net.inbound import Inbound, readiness
+from rookwood.net.inbound import Inbound, readiness_response
 from rookwood.net.listener import bind_listener
 from rookwood.net.management import Management
 from rookwood.net.peers import Peers
@@ -32,12 +32,16 @@
 log = logging.getLogger(__name__)
 
 # After SIGTERM: SIGKILL comes no sooner than the longest deadline, or `COUNTED` where that is less, and KILL.
-COUNTED, KILL = timedelta(seconds=3), timedelta(milliseconds=700)
-CUT = timedelta(milliseconds=250)  # so long before, the last request that came late has its answer
-CURRENT_LIMIT = timedelta(seconds=4)  # a new process has 6 s to be ready; discovery may be down
-HANDOVER_LIMIT = timedelta(seconds=4.5)  # so long the jobs of the process before are waited for
-MOVE = timedelta(milliseconds=1400)  # so long before, clients are moved off: jobs started now would be cut
-BODIES = 8  # one part in so many of the memory is for bodies in hand; each is there about twice
+MAX_COUNTED_DEADLINE, KILL_DELAY = timedelta(seconds=3), timedelta(milliseconds=700)
+LAST_RESPONSE_MARGIN = timedelta(
+    milliseconds=250
+)  # so long before, the last request that came late has its answer
+UP_TO_DATE_TIMEOUT = timedelta(seconds=4)  # a new process has 6 s to be ready; discovery may be down
+HANDOVER_TIMEOUT = timedelta(seconds=4.5)  # so long the jobs of the process before are waited for
+CLIENT_CLOSE_MARGIN = timedelta(
+    milliseconds=1400
+)  # so long before, clients are moved off: jobs started now would be cut
+BODY_MEMORY_DIVISOR = 8  # one part in so many of the memory is for bodies in hand; each is there about twice
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,21 +90,26 @@
     def __init__(self, config: Config, *fronts: Callable[[DispatcherContext], Extension]) -> None:
         clock, bounds = Clock(), config.bounds
         self._clock = clock
-        room = room_of(bounds.sockets)
+        room = divide_descriptors(bounds.sockets)
         self._config = config
         longest = bounds.max_retry_after if bounds.retry_after else timedelta(0)
         self._decisions = PolicyDriver(config.settings, config.seed, clock, longest)
         self._destinations = Destinations(
-            clock, bounds.drain_grace, self._told, config.discovery, config.settings.subscribe, config.seed
+            clock,
+            bounds.drain_grace,
+            self._apply_destinations,
+            config.discovery,
+            config.settings.subscribe,
+            config.seed,
         )
-        self._endpoints = Endpoints(clock, bounds.connect_timeout, bounds.idle, room.half)
+        self._endpoints = EndpointPool(clock, bounds.connect_timeout, bounds.idle, room.per_side)
         self._probes = Probes(self._decisions, self._destinations, self._endpoints)
         self._peers = Peers(self._decisions, config.peer_listen, config.peers)
         self._service = ServiceState(clock)
         classes = frozenset(c.name for c in config.settings.classes)
-        self._figures = RequestStats(classes, lambda: self._decisions.open_requests, self._decisions.cluster)
-        self._figures.extra_sources.append(self._destinations.figures)
-        parts = (self._decisions, self._destinations, self._endpoints, self._figures)
+        self._stats = RequestStats(classes, lambda: self._decisions.open_requests, self._decisions.cluster)
+        self._stats.extra_sources.append(self._destinations.stats_lines)
+        parts = (self._decisions, self._destinations, self._endpoints, self._stats)
         self._requests = RequestHandler(clock, *parts, longest or None)
         self._inbound = Inbound(
             clock,
@@ -109,18 +118,20 @@
             room,
             full=lambda: self._decisions.open_requests >= bounds.max_open,
             retry_after=longest or None,
-            most_bytes=bounds.memory // BODIES,
+            most_bytes=bounds.memory // BODY_MEMORY_DIVISOR,
             service=self._service,
-            figures=self._figures,
+            figures=self._stats,
         )
         calls = {
             (b"GET", b"/ops/readiness"): self._readiness,
-            (b"GET", b"/ops/stats"): lambda: Response(200, self._figures.text().encode()),
+            (b"GET", b"/ops/stats"): lambda: Response(200, self._stats.text().encode()),
             (b"POST", b"/ops/drain/start"): self._drain,
             (b"POST", b"/ops/drain/stop"): self._resume,
         }
         self._management = Management(clock, calls, room)
-        self._handover = Handover(config.handover, self._remember, self._succeeded, alone=self._succeeds)
+        self._handover = Handover(
+            config.handover, self._save_learned_state, self._handed_over, alone=self._predecessor_ended
+        )
         by_name = {c.name: c for c in config.settings.classes}
         core = DispatcherContext(
             *(
@@ -131,78 +142,86 @@
                 DispatcherGroup(config.settings.dispatchers),
                 bounds,
             ),
-            *(self._decisions, self._destinations, self._requests, self._figures, self._service),
+            *(self._decisions, self._destinations, self._requests, self._stats, self._service),
             *(calls, self.begin_shutdown),
         )
-        self._handover.datagrams = self._peers.handle
-        self._fronts = [front(core) for front in fronts]
-        self._terminated = False
-        self._begun = clock.now()
-        self._upgrading: datetime | None = None  # there is a process before; it is waited for until then
+        self._handover.datagram_descriptor = self._peers.descriptor
+        self._extensions = [front(core) for front in fronts]
+        self._is_shutting_down = False
+        self._created_at = clock.now()
+        self._predecessor_deadline: datetime | None = (
+            None  # there is a process before; it is waited for until then
+        )
         self._tasks: list[asyncio.Task[None]] = []
-        self.mgmt: int | None = None  # the port of the second address
+        self.management_port: int | None = None  # the port of the second address
 
     async def start(self) -> int:
         """The kept list first: from the first connection on, requests are decided by it."""
         config = self._config
-        self._destinations.update(config.known, kept=True)
+        self._destinations.apply_update(config.known, kept=True)
         self._destinations.start()
         self._tasks = [asyncio.create_task(self._endpoints.sweep())]
         if config.mgmt:
             caller = bind_listener(config.mgmt)
-            self.mgmt = int(caller.getsockname()[1])
+            self.management_port = int(caller.getsockname()[1])
             await self._management.listen(caller)
-            log.info("%s is run from %s:%d", config.name, config.mgmt.host, self.mgmt)
-        listener = await self._handover.inherit(config.listen)
+            log.info("%s is run from %s:%d", config.name, config.mgmt.host, self.management_port)
+        listener = await self._handover.inherit_listener(config.listen)
         if not listener:
             await self._peers.start()
         if listener:
             # The process before serves meanwhile. A list as old as the file would break the rules on drains.
-            self._upgrading = self._begun + HANDOVER_LIMIT
-            self._share(2)
+            self._predecessor_deadline = self._created_at + HANDOVER_TIMEOUT
+            self._split_descriptors(2)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._destinations.current.wait(), CURRENT_LIMIT.total_seconds())
-            self._recall(await self._handover.memory())
+                await asyncio.wait_for(
+                    self._destinations.up_to_date.wait(), UP_TO_DATE_TIMEOUT.total_seconds()
+                )
+            self._restore_learned_state(await self._handover.receive_learned_state())
             if self._service.phase is Phase.LEAVING:  # told to end before it took over: the other one stays
                 listener.close()
-                if self._handover.inherited:
-                    self._handover.inherited.close()
+                if self._handover.inherited_datagram_socket:
+                    self._handover.inherited_datagram_socket.close()
                 return 0
-            await self._peers.start(self._handover.inherited)
+            await self._peers.start(self._handover.inherited_datagram_socket)
         listener = listener or bind_listener(config.listen, shared=True)
         port = int(listener.getsockname()[1])
         await self._inbound.listen(listener)
         self._service.start()
-        self._handover.taken()
-        await self._handover.offer(listener)
-        for front in self._fronts:
+        self._handover.confirm_takeover()
+        await self._handover.offer_listener(listener)
+        for front in self._extensions:
             await front.start()
         log.info("%s listens on %s:%d", config.name, config.listen.host, port)
         return port
 
-    def _told(self, told: DestinationUpdate, kept: bool) -> None:
+    def _apply_destinations(self, told: DestinationUpdate, kept: bool) -> None:
         self._peers.learn(told, kept)
-        for front in self._fronts:
+        for front in self._extensions:
             told = front.filter_update(told, kept)
-        self._decisions.update(told, kept)
+        self._decisions.update_workers(told, kept)
 
     def reload(self, config: Config) -> None:
         """Takes over what may change while requests are in hand; the rest waits for the next start."""
         log.info("the configuration was read again; discovery is %s", config.discovery)
-        self._destinations.move(config.discovery)
-        for front in self._fronts:
+        self._destinations.switch_discovery(config.discovery)
+        for front in self._extensions:
             front.reload()
 
-    def _succeeds(self) -> None:
+    def _predecessor_ended(self) -> None:
         """The process before has ended."""
-        self._upgrading = None
-        self._share(1)
+        self._predecessor_deadline = None
+        self._split_descriptors(1)
 
     def _readiness(self) -> Response:
         """Amid an upgrade a yes is the sign to end the process before: its jobs should have ended by then."""
-        if self._upgrading and self._clock.now() < self._upgrading and self._service.ready:
+        if (
+            self._predecessor_deadline
+            and self._clock.now() < self._predecessor_deadline
+            and self._service.is_ready
+        ):
             return Response(503, b"taking over\n")
-        return readiness(self._service)
+        return readiness_response(self._service)
 
     def _drain(self) -> Response:
         self._service.drain()
@@ -212,66 +231,68 @@
         back = self._service.resume()
         return Response(200 if back else 409, f"{self._service.phase.value}\n".encode())
 
-    def _share(self, processes: int) -> None:
+    def _split_descriptors(self, processes: int) -> None:
         """Amid an upgrade two processes take what one may."""
-        self._inbound.most = self._endpoints.most = room_of(self._config.bounds.sockets // processes).half
+        self._inbound.max_connections = self._endpoints.max_connections = divide_descriptors(
+            self._config.bounds.sockets // processes
+        ).per_side
 
-    def _remember(self) -> bytes:
+    def _save_learned_state(self) -> bytes:
         """For the process that follows. An upgrade goes on without it, so no fault here may stop one."""
         try:
-            ids, learned = self._requests.remember(), self._decisions.save_learned_state()
+            ids, learned = self._requests.save_known_ids(), self._decisions.save_learned_state()
             return json.dumps({"ids": ids, "decisions": learned}).encode()
         except Exception:
             log.exception("nothing is remembered")
             return b"{}"
 
-    def _recall(self, text: bytes) -> None:
+    def _restore_learned_state(self, text: bytes) -> None:
         try:
             memory = json.loads(text)
-            self._requests.recall([str(name) for name in memory["ids"]])
+            self._requests.restore_known_ids([str(name) for name in memory["ids"]])
             self._decisions.restore_learned_state(memory["decisions"])
         except Exception as error:
             log.warning("not all is recalled: %s: %s", type(error).__name__, error)
 
-    def _succeeded(self) -> None:
+    def _handed_over(self) -> None:
         """The next process serves the same listener: whoever is here moves there, and this one ends."""
         log.info("%s has handed over", self._config.name)
-        self._service.succeeded = True
-        self._peers.succeeded()
+        self._service.is_handed_over = True
+        self._peers.handed_over()
         self._inbound.stop()
-        for front in self._fronts:
+        for front in self._extensions:
             front.handed_over()
-        self._endpoints.most = room_of(self._config.bounds.sockets // 2).half
-        self._service.leave(timedelta(0))
+        self._endpoints.max_connections = divide_descriptors(self._config.bounds.sockets // 2).per_side
+        self._service.begin_shutdown(timedelta(0))
 
     def begin_shutdown(self) -> None:
         """The end is near: SIGTERM has come."""
-        if self._terminated:
+        if self._is_shutting_down:
             return
-        self._terminated = True
+        self._is_shutting_down = True
         log.info("%s is leaving", self._config.name)
         longest = max((c.give_up for c in self._config.settings.classes), default=0)
-        end = min(timedelta(microseconds=longest), COUNTED) + KILL
-        self._requests.leave(self._clock.now() + end - CUT)
-        self._service.leave(end - MOVE)
-        for front in self._fronts:
+        end = min(timedelta(microseconds=longest), MAX_COUNTED_DEADLINE) + KILL_DELAY
+        self._requests.begin_shutdown(self._clock.now() + end - LAST_RESPONSE_MARGIN)
+        self._service.begin_shutdown(end - CLIENT_CLOSE_MARGIN)
+        for front in self._extensions:
             front.begin_shutdown()
 
     async def wait_drained(self) -> None:
         """Returns once this process is to leave and everything that was taken has its answer."""
-        await self._service.until_leaving()
-        await self._service.until_moving()
-        await self._inbound.empty()
-        for front in self._fronts:
+        await self._service.wait_shutdown()
+        await self._service.wait_closing_clients()
+        await self._inbound.wait_empty()
+        for front in self._extensions:
             await front.wait_drained()
-        await self._inbound.empty()  # who came while the fronts emptied
+        await self._inbound.wait_empty()  # who came while the fronts emptied
         self._inbound.stop()
-        await self._inbound.empty()  # and who was just accepted: from here on nobody comes
+        await self._inbound.wait_empty()  # and who was just accepted: from here on nobody comes
 
     async def close(self) -> None:
         await self._handover.close()
         await self._inbound.close()
-        for front in self._fronts:
+        for front in self._extensions:
             await front.close()
         await self._management.close()
         await self._destinations.close()
--- a/rookwood/net/endpoints.py
+++ b/rookwood/net/endpoints.py
@@ -17,22 +17,27 @@
 import h11
 
 from rookwood.net.clock import Clock
-from rookwood.net.http1 import MAX_BODY, NotWrittenError, TooLargeError, Wire
+from rookwood.net.http1 import MAX_BODY, HttpStream, NotWrittenError, TooLargeError
 from rookwood.net.policy_driver import AttemptOutcome, LoadReport
 from rookwood.settings import InvalidSettingError, JsonReader
 
 log = logging.getLogger(__name__)
 
-SETTLE_LIMIT = timedelta(seconds=1)  # for what follows an answer's last line
-PROBE_LIMIT = timedelta(milliseconds=200)
-SWEEP = timedelta(seconds=1)
-IDLE_PART = 0.75  # of the time after which an endpoint closes: later, a request could cross that
+RESPONSE_END_TIMEOUT = timedelta(seconds=1)  # for what follows an answer's last line
+PROBE_TIMEOUT = timedelta(milliseconds=200)
+SWEEP_INTERVAL = timedelta(seconds=1)
+IDLE_FRACTION = 0.75  # of the time after which an endpoint closes: later, a request could cross that
 MAX_LINE = 4 * MAX_BODY
-HOLD = timedelta(milliseconds=5)  # a round trip: so long the last byte of a request is held back
-KEPT = 16  # idle connections to one endpoint
-AGE_STEP, MEMORY = timedelta(milliseconds=25), timedelta(seconds=20)  # least span told apart; decay
-RISK, PRIOR = 0.02, 5.0  # part of broken connections that costs as much as new ones; uses taken as good
-UNFIT = frozenset({400, 404, 405, 411, 413, 414, 431})  # the request's fault, at every endpoint alike
+LAST_BYTE_DELAY = timedelta(milliseconds=5)  # a round trip: so long the last byte of a request is held back
+MAX_IDLE_PER_ENDPOINT = 16  # idle connections to one endpoint
+AGE_STEP, HISTORY_DECAY = timedelta(milliseconds=25), timedelta(seconds=20)  # least span told apart; decay
+MAX_BREAK_RATE, PRIOR_USES = (
+    0.02,
+    5.0,
+)  # part of broken connections that costs as much as new ones; uses taken as good
+INVALID_REQUEST_STATUSES = frozenset(
+    {400, 404, 405, 411, 413, 414, 431}
+)  # the request's fault, at every endpoint alike
 
 
 class Stage(Enum):
@@ -44,16 +49,16 @@
     LOST = "lost"
 
 
-LAST = {
+FINAL_STAGES = {
     Stage.DONE: AttemptOutcome.SERVED,
     Stage.FAILED: AttemptOutcome.ERROR,
-    Stage.RETURNED: AttemptOutcome.TURNED_AWAY,
+    Stage.RETURNED: AttemptOutcome.REJECTED,
     Stage.LOST: AttemptOutcome.RESET,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class ResponseLine:
     """One line of an endpoint's answer."""
 
     request_id: str
@@ -77,41 +82,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
-    end: AttemptOutcome
+class AttemptResult:
+    outcome: AttemptOutcome
     body: bytes = b""
     load: LoadReport | None = None  # told with the end of the attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
-    end: AttemptOutcome
+class ProbeResult:
+    outcome: AttemptOutcome
     load: LoadReport | None = None
 
 
-class CannotConnectError(Exception):
+class ConnectFailedError(Exception):
     """No connection came up, so nothing was sent."""
 
 
-class NoRoomError(Exception):
+class ConnectionLimitError(Exception):
     """This program has no connection to spare."""
 
 
-def message_of(line: bytes) -> Message:
+def parse_response_line(line: bytes) -> ResponseLine:
     try:
         tree = JsonReader(json.loads(line))
     except (ValueError, RecursionError) as error:
         raise InvalidSettingError("line", f"not JSON: {error}") from None
     stage = tree.enum_value("state", Stage)
     result = tree.get("result", str, None if stage is Stage.DONE else "")
-    load = told_load(report_of, tree.data.get("load")) if stage in LAST else None
-    return Message(tree.get("id", str), stage, result, load)
+    load = load_or_none(build_load_report, tree.data.get("load")) if stage in FINAL_STAGES else None
+    return ResponseLine(tree.get("id", str), stage, result, load)
 
 
 T = TypeVar("T")
 
 
-def told_load(read: Callable[[T], LoadReport], told: T | None) -> LoadReport | None:
+def load_or_none(read: Callable[[T], LoadReport], told: T | None) -> LoadReport | None:
     """Beside an answer, which stands whatever is said of load."""
     try:
         return None if told is None else read(told)
@@ -120,7 +125,7 @@
         return None
 
 
-def load_report_of(body: bytes) -> LoadReport:
+def parse_load_report(body: bytes) -> LoadReport:
     """Either form that endpoints use: an object, or name=value pairs as in a header."""
     text = body.decode("utf-8", "replace").strip()
     try:
@@ -130,10 +135,10 @@
             pairs = dict(pair.strip().split("=", 1) for pair in text.split(",") if pair.strip())
     except (ValueError, RecursionError) as error:
         raise InvalidSettingError("load", f"not a report: {error}") from None
-    return report_of(pairs)
+    return build_load_report(pairs)
 
 
-def report_of(pairs: Any) -> LoadReport:
+def build_load_report(pairs: Any) -> LoadReport:
     """Of names with numbers. Raises `InvalidSettingError`."""
     try:
         figures = tuple((str(name), float(value)) for name, value in pairs.items())
@@ -144,7 +149,7 @@
     return LoadReport(figures)
 
 
-def encoded(wire: Wire, request: WorkerRequest, left: timedelta) -> bytes:
+def encode_request(stream: HttpStream, request: WorkerRequest, left: timedelta) -> bytes:
     headers = [
         (b"Host", request.host.encode()),
         (b"Request-Id", request.request_id.encode()),
@@ -155,20 +160,22 @@
         headers.append((b"Content-Type", request.content_type.encode()))
     headers += [(b"Idempotency-Key", key) for key in request.idempotency_keys]
     head = h11.Request(method="POST", target=request.target, headers=headers)
-    return wire.encode(head, h11.Data(data=request.body), h11.EndOfMessage())
+    return stream.encode(head, h11.Data(data=request.body), h11.EndOfMessage())
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
     address: str
-    wire: Wire
-    answered: bool = False  # the end of the attempt is known; only the framing may be still to come
+    stream: HttpStream
+    is_response_complete: bool = (
+        False  # the end of the attempt is known; only the framing may be still to come
+    )
     idle_since: datetime | None = field(default=None)
-    age: timedelta | None = None  # how long it had stood idle when it was taken; None: it is new
-    heard: bool = False  # the endpoint has begun to answer on it
+    idle_time: timedelta | None = None  # how long it had stood idle when it was taken; None: it is new
+    has_response_begun: bool = False  # the endpoint has begun to answer on it
 
 
-class History:
+class ReuseHistory:
     """How kept connections fared lately, by how long they had stood idle.
 
     Something on the way may drop idle connections without a word, and what is then written to one ends as
@@ -178,32 +185,32 @@
     def __init__(self) -> None:
         self._counts: dict[int, tuple[float, float, datetime]] = {}  # used, broken, until when
 
-    def _at(self, step: int, now: datetime) -> tuple[float, float]:
+    def _decayed_counts(self, step: int, now: datetime) -> tuple[float, float]:
         used, broken, since = self._counts.get(step, (0.0, 0.0, now))
-        part = math.exp((since - now) / MEMORY)
+        part = math.exp((since - now) / HISTORY_DECAY)
         return used * part, broken * part
 
-    def add(self, age: timedelta, broke: bool, now: datetime) -> None:
+    def record_use(self, age: timedelta, broke: bool, now: datetime) -> None:
         step = int(age / AGE_STEP).bit_length()
-        used, broken = self._at(step, now)
+        used, broken = self._decayed_counts(step, now)
         self._counts[step] = (used + 1, broken + broke, now)
 
-    def risky(self, age: timedelta, now: datetime) -> bool:
+    def is_risky(self, age: timedelta, now: datetime) -> bool:
         """Longer idle is no safer: the worst of all shorter spans counts."""
-        counts = [self._at(step, now) for step in range(int(age / AGE_STEP).bit_length() + 1)]
-        return any(broken > RISK * (used + PRIOR) for used, broken in counts)
+        counts = [self._decayed_counts(step, now) for step in range(int(age / AGE_STEP).bit_length() + 1)]
+        return any(broken > MAX_BREAK_RATE * (used + PRIOR_USES) for used, broken in counts)
 
 
-class Endpoints:
+class EndpointPool:
     """Owns every connection to an endpoint, from `_connect` to `_close`."""
 
     def __init__(self, clock: Clock, connect_timeout: timedelta, idle: timedelta, most: int) -> None:
         self._clock, self._connect_timeout = clock, connect_timeout
-        self._idle_limit, self.most = idle * IDLE_PART, most
+        self._idle_limit, self.max_connections = idle * IDLE_FRACTION, most
         self._idle: dict[str, list[Connection]] = {}  # by address, most recently used last
-        self._count = 0  # open or coming up
-        self._settling: set[asyncio.Task[None]] = set()
-        self._history = History()
+        self._connection_count = 0  # open or coming up
+        self._finishing: set[asyncio.Task[None]] = set()
+        self._history = ReuseHistory()
 
     async def attempt(
         self,
@@ -215,201 +222,206 @@
         written: Callable[[], None],
         repeatable: bool,
         leaving: Callable[[], bool] = lambda: True,
-    ) -> Result:
+    ) -> AttemptResult:
         """`leaving` is asked right before the last byte goes out, `written` told after it."""
         sent, leased = False, list[Connection]()
         try:
-            async with asyncio.timeout(self._clock.seconds_to(until)):
+            async with asyncio.timeout(self._clock.seconds_until(until)):
                 while True:
                     async with self._lease(address, careful=not repeatable) as connection:
                         leased = [connection]
                         if not still_wanted():
-                            return Result(AttemptOutcome.NEVER_SENT)
-                        data = encoded(connection.wire, request, until - self._clock.now())
+                            return AttemptResult(AttemptOutcome.NOT_SENT)
+                        data = encode_request(connection.stream, request, until - self._clock.now())
                         try:
-                            early = await self._begin(connection.wire, data[:-1])
+                            early = await self._send_all_but_last_byte(connection.stream, data[:-1])
                         except (OSError, NotWrittenError):
                             # It cannot have run. An old connection tells nothing of the endpoint.
-                            if connection.age is None:
-                                return Result(AttemptOutcome.CONNECT_FAILED)
-                            await self._broke(connection)
+                            if connection.idle_time is None:
+                                return AttemptResult(AttemptOutcome.CONNECT_FAILED)
+                            await self._record_break(connection)
                             continue
-                        if early and connection.age is not None:
+                        if early and connection.idle_time is not None:
                             continue  # a late word on the request before: it would be taken for an answer
                         if not leaving():
-                            return Result(AttemptOutcome.NEVER_SENT)
+                            return AttemptResult(AttemptOutcome.NOT_SENT)
                         sent = True  # from here on a break may come after the last byte
                         try:
-                            await connection.wire.write(data[-1:])
+                            await connection.stream.write(data[-1:])
                         except NotWrittenError:
-                            return Result(AttemptOutcome.CONNECT_FAILED)
+                            return AttemptResult(AttemptOutcome.CONNECT_FAILED)
                         written()
-                        result = await self._answer(connection, request.request_id, sign)
-                        connection.answered = True
+                        result = await self._read_response(connection, request.request_id, sign)
+                        connection.is_response_complete = True
                         return result
-        except NoRoomError:
-            return Result(
-                AttemptOutcome.NEVER_SENT
+        except ConnectionLimitError:
+            return AttemptResult(
+                AttemptOutcome.NOT_SENT
             )  # the lack is here: the endpoint has nothing to do with it
-        except CannotConnectError as error:
+        except ConnectFailedError as error:
             log.info("no connection to %s: %s", address, error)
-            return Result(AttemptOutcome.CONNECT_FAILED)
+            return AttemptResult(AttemptOutcome.CONNECT_FAILED)
         except TimeoutError:
-            if sent and not leased[0].heard:
-                await self._forget(address)  # silent: no other kept connection there is better
-            return Result(AttemptOutcome.TIMED_OUT if sent else AttemptOutcome.CONNECT_FAILED)
+            if sent and not leased[0].has_response_begun:
+                await self._close_idle(address)  # silent: no other kept connection there is better
+            return AttemptResult(AttemptOutcome.TIMED_OUT if sent else AttemptOutcome.CONNECT_FAILED)
         except (OSError, h11.RemoteProtocolError) as error:
             log.info("%s broke off: %s", address, error)
-            if leased[0].heard or leased[0].age is None:
-                return Result(AttemptOutcome.RESET)
-            await self._broke(leased[0])
-            return Result(AttemptOutcome.STALE)
+            if leased[0].has_response_begun or leased[0].idle_time is None:
+                return AttemptResult(AttemptOutcome.RESET)
+            await self._record_break(leased[0])
+            return AttemptResult(AttemptOutcome.STALE_CONNECTION)
         except InvalidSettingError as error:  # the endpoint has taken the request, whatever it says of it
             log.warning("%s sent a bad line: %s", address, error)
-            return Result(AttemptOutcome.RESET)
+            return AttemptResult(AttemptOutcome.RESET)
 
-    async def _begin(self, wire: Wire, data: bytes) -> bool:
+    async def _send_all_but_last_byte(self, stream: HttpStream, data: bytes) -> bool:
         """All but the last byte: a connection that is dead on the other side shows it now, while it is
         certain that the request has not run. True: something came on it meanwhile."""
-        await wire.write(data)
+        await stream.write(data)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(HOLD.total_seconds()):
-                if not await wire.fill():
+            async with asyncio.timeout(LAST_BYTE_DELAY.total_seconds()):
+                if not await stream.read_once():
                     raise ConnectionResetError("closed before the request had gone out")
                 return True
         return False
 
-    async def _answer(self, connection: Connection, request_id: str, sign: Callable[[Stage], None]) -> Result:
-        wire = connection.wire
-        while isinstance(event := await wire.event(), h11.InformationalResponse):
+    async def _read_response(
+        self, connection: Connection, request_id: str, sign: Callable[[Stage], None]
+    ) -> AttemptResult:
+        stream = connection.stream
+        while isinstance(event := await stream.next_event(), h11.InformationalResponse):
             pass
         if not isinstance(event, h11.Response):
             raise ConnectionResetError("closed before an answer")
-        self._fared_well(connection)
+        self._record_good_use(connection)
         if event.status_code != 200:
             headers = dict(event.headers)
-            load = told_load(load_report_of, headers.get(b"server-load"))
+            load = load_or_none(parse_load_report, headers.get(b"server-load"))
             if event.status_code in (503, 504) and headers.get(b"not-started") == b"1":
-                return Result(AttemptOutcome.TURNED_AWAY, load=load)
+                return AttemptResult(AttemptOutcome.REJECTED, load=load)
             log.info("an endpoint answered %d", event.status_code)
-            return Result(
-                AttemptOutcome.UNFIT if event.status_code in UNFIT else AttemptOutcome.ERROR, load=load
+            return AttemptResult(
+                AttemptOutcome.INVALID_REQUEST
+                if event.status_code in INVALID_REQUEST_STATUSES
+                else AttemptOutcome.ERROR,
+                load=load,
             )
         rest, ended = b"", False
-        while not ended and isinstance(event := await wire.event(), h11.Data | h11.EndOfMessage):
+        while not ended and isinstance(event := await stream.next_event(), h11.Data | h11.EndOfMessage):
             ended = isinstance(event, h11.EndOfMessage)
             data = bytes(event.data) if isinstance(event, h11.Data) else b"\n"  # it ends the last line
             *lines, rest = (rest + data).split(b"\n")
             for line in filter(None, map(bytes.strip, lines)):
-                message = message_of(line)
+                message = parse_response_line(line)
                 if message.request_id != request_id:
                     raise InvalidSettingError("id", f"of another request: {message.request_id!r}")
-                if message.stage in LAST:
-                    return Result(LAST[message.stage], message.result.encode(), message.load)
+                if message.stage in FINAL_STAGES:
+                    return AttemptResult(FINAL_STAGES[message.stage], message.result.encode(), message.load)
                 sign(message.stage)
             if len(rest) > MAX_LINE:
                 raise InvalidSettingError("line", "without an end")
         raise ConnectionResetError("ended before the last line")
 
-    async def probe(self, address: str) -> Probed:
+    async def probe(self, address: str) -> ProbeResult:
         try:
-            async with asyncio.timeout(PROBE_LIMIT.total_seconds()):
+            async with asyncio.timeout(PROBE_TIMEOUT.total_seconds()):
                 while True:
                     async with self._lease(address) as connection:
                         try:
                             return await self._probe(connection)
                         except (ConnectionError, NotWrittenError):
-                            if connection.age is None or connection.heard:
+                            if connection.idle_time is None or connection.has_response_begun:
                                 raise
-                            await self._broke(connection)
-        except NoRoomError:
-            return Probed(AttemptOutcome.NEVER_SENT)
-        except (CannotConnectError, NotWrittenError):
-            return Probed(AttemptOutcome.CONNECT_FAILED)
+                            await self._record_break(connection)
+        except ConnectionLimitError:
+            return ProbeResult(AttemptOutcome.NOT_SENT)
+        except (ConnectFailedError, NotWrittenError):
+            return ProbeResult(AttemptOutcome.CONNECT_FAILED)
         except TimeoutError:
-            await self._forget(address)
-            return Probed(AttemptOutcome.TIMED_OUT)
+            await self._close_idle(address)
+            return ProbeResult(AttemptOutcome.TIMED_OUT)
         except (OSError, h11.RemoteProtocolError, TooLargeError, InvalidSettingError) as error:
             log.info("a probe of %s failed: %s", address, error)
-            return Probed(AttemptOutcome.RESET)
+            return ProbeResult(AttemptOutcome.RESET)
 
-    async def _probe(self, connection: Connection) -> Probed:
-        wire = connection.wire
+    async def _probe(self, connection: Connection) -> ProbeResult:
+        stream = connection.stream
         head = h11.Request(method="GET", target="/-/load", headers=[("Host", connection.address)])
-        await wire.write(wire.encode(head, h11.EndOfMessage()))
-        answer = await wire.event()
+        await stream.write(stream.encode(head, h11.EndOfMessage()))
+        answer = await stream.next_event()
         if not isinstance(answer, h11.Response):
             raise ConnectionResetError("closed before an answer")
-        self._fared_well(connection)
-        body = await wire.body()
-        connection.answered = True
+        self._record_good_use(connection)
+        body = await stream.read_body()
+        connection.is_response_complete = True
         if answer.status_code != 200:
-            return Probed(AttemptOutcome.ERROR)
-        return Probed(AttemptOutcome.SERVED, load_report_of(body) if body else None)
+            return ProbeResult(AttemptOutcome.ERROR)
+        return ProbeResult(AttemptOutcome.SERVED, parse_load_report(body) if body else None)
 
     # ---- connections ----
 
     @contextlib.asynccontextmanager
     async def _lease(self, address: str, careful: bool = False) -> AsyncIterator[Connection]:
-        connection = await self._idle_one(address, careful) or await self._connect(address)
+        connection = await self._take_idle(address, careful) or await self._connect(address)
         try:
             yield connection
         finally:
-            await self._give_back(connection)
+            await self._release(connection)
 
-    async def _idle_one(self, address: str, careful: bool = False) -> Connection | None:
+    async def _take_idle(self, address: str, careful: bool = False) -> Connection | None:
         idle = self._idle.get(address, [])
-        while idle and not (careful and self._history.risky(self._age(idle[-1]), self._clock.now())):
+        while idle and not (careful and self._history.is_risky(self._idle_time(idle[-1]), self._clock.now())):
             connection = idle.pop()
-            if self._fresh(connection):
-                connection.age, connection.heard = self._age(connection), False
+            if self._is_reusable(connection):
+                connection.idle_time, connection.has_response_begun = self._idle_time(connection), False
                 return connection
             await self._close(connection)
         return None
 
-    def _age(self, connection: Connection) -> timedelta:
+    def _idle_time(self, connection: Connection) -> timedelta:
         assert connection.idle_since
         return self._clock.now() - connection.idle_since
 
-    def _fared_well(self, connection: Connection) -> None:
-        connection.heard = True
-        if connection.age is not None:
-            self._history.add(connection.age, False, self._clock.now())
+    def _record_good_use(self, connection: Connection) -> None:
+        connection.has_response_begun = True
+        if connection.idle_time is not None:
+            self._history.record_use(connection.idle_time, False, self._clock.now())
 
-    async def _broke(self, connection: Connection) -> None:
+    async def _record_break(self, connection: Connection) -> None:
         """A kept connection was dead: so may be those to that endpoint that stood idle no shorter."""
-        assert connection.age is not None
-        self._history.add(connection.age, True, self._clock.now())
-        await self._forget(connection.address, connection.age)
+        assert connection.idle_time is not None
+        self._history.record_use(connection.idle_time, True, self._clock.now())
+        await self._close_idle(connection.address, connection.idle_time)
 
-    async def _forget(self, address: str, least: timedelta = timedelta(0)) -> None:
+    async def _close_idle(self, address: str, least: timedelta = timedelta(0)) -> None:
         kept = self._idle.get(address, [])
-        doomed = [c for c in kept if self._age(c) >= least]
+        doomed = [c for c in kept if self._idle_time(c) >= least]
         kept[:] = [c for c in kept if c not in doomed]
         for connection in doomed:
             await self._close(connection)
 
-    def _fresh(self, connection: Connection) -> bool:
-        return connection.wire.quiet() and self._age(connection) < self._idle_limit
+    def _is_reusable(self, connection: Connection) -> bool:
+        return connection.stream.is_idle() and self._idle_time(connection) < self._idle_limit
 
     async def _connect(self, address: str) -> Connection:
-        if self._count >= self.most and not await self._make_room():
-            raise NoRoomError("all connections are in use")
+        if self._connection_count >= self.max_connections and not await self._close_oldest_idle():
+            raise ConnectionLimitError("all connections are in use")
         host, _, port = address.rpartition(":")
-        self._count += 1
+        self._connection_count += 1
         try:
             async with asyncio.timeout(self._connect_timeout.total_seconds()):
                 reader, writer = await asyncio.open_connection(host, int(port))
         except BaseException as error:
-            self._count -= 1
+            self._connection_count -= 1
             if isinstance(error, OSError) and error.errno in (errno.EMFILE, errno.ENFILE):
-                raise NoRoomError("no descriptor is left") from error
+                raise ConnectionLimitError("no descriptor is left") from error
             if isinstance(error, OSError | ValueError):  # TimeoutError is one
-                raise CannotConnectError(str(error) or type(error).__name__) from error
+                raise ConnectFailedError(str(error) or type(error).__name__) from error
             raise
-        return Connection(address, Wire(h11.Connection(h11.CLIENT), reader, writer))
+        return Connection(address, HttpStream(h11.Connection(h11.CLIENT), reader, writer))
 
-    async def _make_room(self) -> bool:
+    async def _close_oldest_idle(self) -> bool:
         idle = [c for kept in self._idle.values() for c in kept]
         if not idle:
             return False
@@ -418,65 +430,65 @@
         await self._close(oldest)
         return True
 
-    async def _give_back(self, connection: Connection) -> None:
+    async def _release(self, connection: Connection) -> None:
         """The one place where a leased connection goes: kept, settled first, or closed."""
-        if not connection.answered:
+        if not connection.is_response_complete:
             # Whatever may still come on it belongs to this attempt, which is over.
             return await self._close(connection)
-        if self._ended(connection):
-            return await self._keep(connection)
-        task = asyncio.create_task(self._settle(connection))
-        self._settling.add(task)
-        return task.add_done_callback(self._settling.discard)
-
-    def _ended(self, connection: Connection) -> bool:
-        http = connection.wire.http
+        if self._read_to_end(connection):
+            return await self._return_to_pool(connection)
+        task = asyncio.create_task(self._finish_response(connection))
+        self._finishing.add(task)
+        return task.add_done_callback(self._finishing.discard)
+
+    def _read_to_end(self, connection: Connection) -> bool:
+        http = connection.stream.http
         with contextlib.suppress(h11.RemoteProtocolError):
             while isinstance(http.next_event(), h11.Data):
                 pass
         return http.our_state is h11.DONE and http.their_state is h11.DONE
 
-    async def _settle(self, connection: Connection) -> None:
+    async def _finish_response(self, connection: Connection) -> None:
         try:
-            async with asyncio.timeout(SETTLE_LIMIT.total_seconds()):
-                while not self._ended(connection) and await connection.wire.fill():
+            async with asyncio.timeout(RESPONSE_END_TIMEOUT.total_seconds()):
+                while not self._read_to_end(connection) and await connection.stream.read_once():
                     pass
         except (OSError, h11.RemoteProtocolError):
             pass
         finally:
-            await (self._keep if self._ended(connection) else self._close)(connection)
+            await (self._return_to_pool if self._read_to_end(connection) else self._close)(connection)
 
-    async def _keep(self, connection: Connection) -> None:
-        connection.wire.http.start_next_cycle()
-        connection.answered, connection.idle_since = False, self._clock.now()
-        if not connection.wire.quiet():
+    async def _return_to_pool(self, connection: Connection) -> None:
+        connection.stream.http.start_next_cycle()
+        connection.is_response_complete, connection.idle_since = False, self._clock.now()
+        if not connection.stream.is_idle():
             return await self._close(connection)
         kept = self._idle.setdefault(connection.address, [])
         kept.append(connection)
-        if len(kept) > KEPT:
+        if len(kept) > MAX_IDLE_PER_ENDPOINT:
             await self._close(kept.pop(0))
         return None
 
     async def _close(self, connection: Connection) -> None:
-        self._count -= 1
-        await connection.wire.close()
+        self._connection_count -= 1
+        await connection.stream.close()
 
     async def sweep(self) -> None:
         """Runs as one task: idle connections that ended or grew old give their descriptors back."""
         while True:
-            await asyncio.sleep(SWEEP.total_seconds())
-            while self._count > self.most and await self._make_room():
+            await asyncio.sleep(SWEEP_INTERVAL.total_seconds())
+            while self._connection_count > self.max_connections and await self._close_oldest_idle():
                 pass
             for kept in list(self._idle.values()):
-                stale = [c for c in kept if not self._fresh(c)]
+                stale = [c for c in kept if not self._is_reusable(c)]
                 kept[:] = [c for c in kept if c not in stale]  # in place: `_idle_one` may hold this list
                 for connection in stale:
                     await self._close(connection)
 
     async def close(self) -> None:
-        for task in list(self._settling):
+        for task in list(self._finishing):
             task.cancel()
-        await asyncio.gather(*self._settling, return_exceptions=True)
+        await asyncio.gather(*self._finishing, return_exceptions=True)
         for kept in self._idle.values():
             while kept:
                 await self._close(kept.pop())
--- a/rookwood/net/handover.py
+++ b/rookwood/net/handover.py
@@ -19,19 +19,23 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_LIMIT = timedelta(seconds=1)  # who runs here but hangs must not hold up who comes to help
-HEIR_LIMIT = timedelta(seconds=30)  # to take over, for who has asked
-MAX_MEMORY, CHUNK = 4 * 1024 * 1024, 64 * 1024
-OFFER, MEMORY, TAKEN = b"L", b"M", b"T"  # here is the listener; what was learned? it is served now
+RESPONSE_TIMEOUT = timedelta(seconds=1)  # who runs here but hangs must not hold up who comes to help
+SUCCESSOR_TIMEOUT = timedelta(seconds=30)  # to take over, for who has asked
+MAX_LEARNED_STATE, CHUNK = 4 * 1024 * 1024, 64 * 1024
+OFFER, STATE_REQUEST, TAKEN_OVER = (
+    b"L",
+    b"M",
+    b"T",
+)  # here is the listener; what was learned? it is served now
 
 
-def own(peer: socket.socket) -> bool:
+def is_same_user(peer: socket.socket) -> bool:
     """Of this user: nobody else is to get the socket, nor to put another in its place."""
     _, uid, _ = struct.unpack("3i", peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return bool(uid == os.getuid())
 
 
-async def readable(peer: socket.socket) -> None:
+async def wait_readable(peer: socket.socket) -> None:
     loop, ready = asyncio.get_running_loop(), asyncio.Event()
     loop.add_reader(peer, ready.set)
     try:
@@ -50,18 +54,25 @@
         succeeded: Callable[[], None],
         alone: Callable[[], None],
     ) -> None:
-        self._place, self._remember, self._succeeded, self._alone = place, remember, succeeded, alone
-        self._before: socket.socket | None = None
-        self.datagrams: Callable[[], int | None] = lambda: None  # the socket that goes along, if there is one
-        self.inherited: socket.socket | None = None  # that of the process before
+        self._socket_path, self._save_learned_state, self._on_taken_over, self._on_predecessor_end = (
+            place,
+            remember,
+            succeeded,
+            alone,
+        )
+        self._predecessor: socket.socket | None = None
+        self.datagram_descriptor: Callable[[], int | None] = (
+            lambda: None
+        )  # the socket that goes along, if there is one
+        self.inherited_datagram_socket: socket.socket | None = None  # that of the process before
         self._watch: asyncio.Task[None] | None = None
         self._server: asyncio.Server | None = None
         self._inode = 0
-        self._heirs: set[asyncio.Task[None]] = set()
+        self._successors: set[asyncio.Task[None]] = set()
 
-    async def inherit(self, listen: Address) -> socket.socket | None:
+    async def inherit_listener(self, listen: Address) -> socket.socket | None:
         """The listener of the process that runs here already, if there is one and it is at this address."""
-        if not self._place:
+        if not self._socket_path:
             return None
         try:
             before = socket.socket(socket.AF_UNIX)
@@ -71,11 +82,11 @@
         before.setblocking(False)
         handles: list[int] = []
         try:
-            async with asyncio.timeout(ANSWER_LIMIT.total_seconds()):
-                await asyncio.get_running_loop().sock_connect(before, str(self._place))
-                await readable(before)
+            async with asyncio.timeout(RESPONSE_TIMEOUT.total_seconds()):
+                await asyncio.get_running_loop().sock_connect(before, str(self._socket_path))
+                await wait_readable(before)
             word, handles, _, _ = socket.recv_fds(before, 1, 2)
-            if word != OFFER or not handles or not own(before):
+            if word != OFFER or not handles or not is_same_user(before):
                 raise ConnectionError("no listener was offered")
         except OSError as error:  # TimeoutError is one
             before.close()
@@ -93,80 +104,82 @@
                 handed.close()
             before.close()
             return None
-        self._before, self.inherited = before, next(iter(others), None)
+        self._predecessor, self.inherited_datagram_socket = before, next(iter(others), None)
         return listener
 
-    async def memory(self) -> bytes:
+    async def receive_learned_state(self) -> bytes:
         """What the process before has learned up to now; nothing if it does not say."""
         text = b""
         with contextlib.suppress(OSError):  # TimeoutError is one
-            if self._before:
-                self._before.send(MEMORY)
-                async with asyncio.timeout(ANSWER_LIMIT.total_seconds()):
-                    while not text.endswith(b"\n") and len(text) < MAX_MEMORY:
-                        data = await asyncio.get_running_loop().sock_recv(self._before, CHUNK)
+            if self._predecessor:
+                self._predecessor.send(STATE_REQUEST)
+                async with asyncio.timeout(RESPONSE_TIMEOUT.total_seconds()):
+                    while not text.endswith(b"\n") and len(text) < MAX_LEARNED_STATE:
+                        data = await asyncio.get_running_loop().sock_recv(self._predecessor, CHUNK)
                         if not data:
                             break
                         text += data
         return text
 
-    def taken(self) -> None:
+    def confirm_takeover(self) -> None:
         """This process serves the listener: the one before may stop."""
-        if self._before:
+        if self._predecessor:
             with contextlib.suppress(OSError):
-                self._before.send(TAKEN)
-            self._watch = asyncio.create_task(self._wait(self._before))
+                self._predecessor.send(TAKEN_OVER)
+            self._watch = asyncio.create_task(self._watch_predecessor(self._predecessor))
 
-    async def _wait(self, before: socket.socket) -> None:
-        await readable(before)  # it says nothing more: this is its end
+    async def _watch_predecessor(self, before: socket.socket) -> None:
+        await wait_readable(before)  # it says nothing more: this is its end
         log.info("the process before has ended")
-        self._alone()
+        self._on_predecessor_end()
 
-    async def offer(self, listener: socket.socket) -> None:
+    async def offer_listener(self, listener: socket.socket) -> None:
         """From now on the next process may take the listener over."""
-        if not self._place:
+        if not self._socket_path:
             return
 
         async def heir(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.current_task()
             assert task
-            self._heirs.add(task)
+            self._successors.add(task)
             try:
                 with writer.get_extra_info("socket").dup() as peer:
-                    if not own(peer):
+                    if not is_same_user(peer):
                         return
-                    along = self.datagrams()
+                    along = self.datagram_descriptor()
                     socket.send_fds(peer, [OFFER], [listener.fileno(), *([] if along is None else [along])])
-                async with asyncio.timeout(HEIR_LIMIT.total_seconds()) as limit:
+                async with asyncio.timeout(SUCCESSOR_TIMEOUT.total_seconds()) as limit:
                     while word := await reader.read(1):
-                        if word == MEMORY:
-                            writer.write(self._remember() + b"\n")
-                        elif word == TAKEN:
+                        if word == STATE_REQUEST:
+                            writer.write(self._save_learned_state() + b"\n")
+                        elif word == TAKEN_OVER:
                             limit.reschedule(None)  # the connection's end will tell it of this process's
-                            self._succeeded()
+                            self._on_taken_over()
             except (OSError, ValueError, asyncio.CancelledError) as error:
                 log.info("a handover ended: %s: %s", type(error).__name__, error)
             finally:
-                self._heirs.discard(task)
+                self._successors.discard(task)
                 writer.close()
 
         try:
             with contextlib.suppress(FileNotFoundError):
-                self._place.unlink()  # of the process before, or of one that was killed
-            self._server = await asyncio.start_unix_server(heir, self._place)
-            self._inode = self._place.stat().st_ino
+                self._socket_path.unlink()  # of the process before, or of one that was killed
+            self._server = await asyncio.start_unix_server(heir, self._socket_path)
+            self._inode = self._socket_path.stat().st_ino
         except OSError as error:  # it serves all the same; only the next upgrade is rougher
-            log.warning("no handover at %s: %s", self._place, error)
+            log.warning("no handover at %s: %s", self._socket_path, error)
 
     async def close(self) -> None:
         if self._server:
             self._server.close()
             with contextlib.suppress(OSError):
-                if self._place and self._place.stat().st_ino == self._inode:  # else it is the next one's
-                    self._place.unlink()
-        tasks = [*self._heirs, *([self._watch] if self._watch else [])]
+                if (
+                    self._socket_path and self._socket_path.stat().st_ino == self._inode
+                ):  # else it is the next one's
+                    self._socket_path.unlink()
+        tasks = [*self._successors, *([self._watch] if self._watch else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        if self._before:
-            self._before.close()
+        if self._predecessor:
+            self._predecessor.close()
--- a/rookwood/net/http1.py
+++ b/rookwood/net/http1.py
@@ -14,7 +14,7 @@
 
 MAX_BODY = 64 * 1024
 CHUNK = 64 * 1024
-READS = 64  # whose times are kept; with more of them ahead a message counts as having come later
+MAX_READ_TIMES = 64  # whose times are kept; with more of them ahead a message counts as having come later
 
 
 class TooLargeError(Exception):
@@ -25,46 +25,46 @@
     """The connection broke before the last byte had left."""
 
 
-ORDER = itertools.count()  # of what came in on all wires
+READ_COUNTER = itertools.count()  # of what came in on all wires
 
 
-class Wire:
+class HttpStream:
     def __init__(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.http = http
         self.reader, self.writer = reader, writer
-        self.heard = next(ORDER)  # the less, the longer it has been still
-        self.flooded = False  # more came than is kept: what follows the message in hand is lost
+        self.last_read = next(READ_COUNTER)  # the less, the longer it has been still
+        self.has_overflowed = False  # more came than is kept: what follows the message in hand is lost
         # So many bytes in all had come by that time of the loop; of the latest reads.
-        self._came = deque([(0, 0.0)], maxlen=READS)
+        self._read_times = deque([(0, 0.0)], maxlen=MAX_READ_TIMES)
         # `drain` then waits for the very last byte, which tells "not sent" from "broken after it was sent".
         writer.transport.set_write_buffer_limits(high=0)
 
-    async def fill(self) -> int:
+    async def read_once(self) -> int:
         """Reads once; how many bytes, none at the end of the stream."""
         data = await self.reader.read(CHUNK)
         self.http.receive_data(data)
-        self.heard = next(ORDER)
-        self._came.append((self._came[-1][0] + len(data), asyncio.get_running_loop().time()))
+        self.last_read = next(READ_COUNTER)
+        self._read_times.append((self._read_times[-1][0] + len(data), asyncio.get_running_loop().time()))
         return len(data)
 
-    def waited(self) -> timedelta:
+    def time_since_message(self) -> timedelta:
         """How long ago the last byte of the message that was just read whole had come."""
-        read = self._came[-1][0] - len(self.http.trailing_data[0])
-        while self._came[0][0] < read:
-            self._came.popleft()
-        return timedelta(seconds=asyncio.get_running_loop().time() - self._came[0][1])
+        read = self._read_times[-1][0] - len(self.http.trailing_data[0])
+        while self._read_times[0][0] < read:
+            self._read_times.popleft()
+        return timedelta(seconds=asyncio.get_running_loop().time() - self._read_times[0][1])
 
-    async def event(self) -> h11.Event | type[h11.PAUSED]:
+    async def next_event(self) -> h11.Event | type[h11.PAUSED]:
         while (event := self.http.next_event()) is h11.NEED_DATA:
-            await self.fill()
+            await self.read_once()
         return cast("h11.Event | type[h11.PAUSED]", event)
 
-    async def body(self, most: int = MAX_BODY) -> bytes:
+    async def read_body(self, most: int = MAX_BODY) -> bytes:
         """The rest of the message that has begun. Over the limit it raises at once, unread."""
         parts, size = list[bytes](), 0
-        while isinstance(event := await self.event(), h11.Data):
+        while isinstance(event := await self.next_event(), h11.Data):
             size += len(event.data)
             if size > most:
                 raise TooLargeError
@@ -87,7 +87,7 @@
         except OSError as error:
             raise NotWrittenError from error
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Open, and nothing has come unasked: neither bytes nor the end, read or unread."""
         transport = self.writer.transport
         if transport.is_closing() or self.reader.at_eof() or self.http.trailing_data != (b"", False):
@@ -98,7 +98,7 @@
         # Bytes that asyncio has read already lie in the reader; its own buffer has no public look.
         return not probe.poll(0) and not getattr(self.reader, "_buffer", b"")
 
-    def left(self) -> bool:
+    def is_peer_closed(self) -> bool:
         """The other side has closed, also where that is not read yet, or stands behind bytes that are not."""
         transport = self.writer.transport
         if transport.is_closing() or self.reader.at_eof():
--- a/rookwood/net/listener.py
+++ b/rookwood/net/listener.py
@@ -11,7 +11,7 @@
 RECEIVE_BUFFER = 32 * 1024  # of the kernel, for each peer: asyncio reads all of it in one go
 BACKLOG = 512  # waiting in the kernel
 
-Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 def bind_listener(address: Address, shared: bool = False) -> socket.socket:
@@ -31,7 +31,7 @@
     return listener
 
 
-async def accepting(listener: socket.socket, handler: Handler, accepts: int) -> asyncio.Server:
+async def start_server(listener: socket.socket, handler: ConnectionHandler, accepts: int) -> asyncio.Server:
     """Takes the socket over. asyncio accepts up to `backlog` connections in one go, before any of them is
     counted: hundreds at once would take all descriptors. So few at a time; the rest wait in the kernel."""
     try:
--- a/rookwood/net/messages.py
+++ b/rookwood/net/messages.py
@@ -13,7 +13,7 @@
 
 from rookwood.net.clock import Clock
 from rookwood.net.endpoints import WorkerRequest
-from rookwood.net.http1 import MAX_BODY, TooLargeError, Wire
+from rookwood.net.http1 import MAX_BODY, HttpStream, TooLargeError
 from rookwood.net.request import InboundRequest, Response
 
 MAX_ID = 128
@@ -21,7 +21,7 @@
 MAX_HINT = 86_400e6  # microseconds: a day
 
 
-class UnfitError(Exception):
+class InvalidRequestError(Exception):
     """A request that is answered without asking the decisions."""
 
     def __init__(self, status: int, why: str, allow: str | None = None) -> None:
@@ -30,8 +30,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """A whole request off the wire, not yet understood."""
+class RawRequest:
+    """A whole request off the stream, not yet understood."""
 
     head: h11.Request
     body: bytes
@@ -45,34 +45,34 @@
         """As it came, for whoever understands it later."""
         return next((value for key, value in self._pairs if key == name.lower()), None)
 
-    def get(self, name: str) -> str | None:
+    def get_single(self, name: str) -> str | None:
         found = [value for key, value in self._pairs if key == name.lower()]
         if len(found) > 1:
-            raise UnfitError(400, f"{name} comes more than once")
+            raise InvalidRequestError(400, f"{name} comes more than once")
         if found and not found[0].isascii():  # it could not be passed on
-            raise UnfitError(400, f"{name} is not ASCII")
+            raise InvalidRequestError(400, f"{name} is not ASCII")
         return found[0] if found else None
 
 
 NUMBER = re.compile(r"-?[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]+)?")  # `float` takes more: 1_0, nan, infinity
 
 
-def figure(text: str, name: str, most: float = math.inf) -> float:
+def parse_number(text: str, name: str, most: float = math.inf) -> float:
     if not NUMBER.fullmatch(text):
-        raise UnfitError(400, f"{name} is not a number")
+        raise InvalidRequestError(400, f"{name} is not a number")
     value = float(text)
     if not (math.isfinite(value) and 0 <= value <= most):
-        raise UnfitError(400, f"{name} is out of range")
+        raise InvalidRequestError(400, f"{name} is out of range")
     return value
 
 
-def length_of(head: h11.Request) -> int:
+def max_body_length(head: h11.Request) -> int:
     """Bytes that the body may take at most, from the head alone; refuses what is not worth reading."""
     headers = dict(head.headers)
     if b"transfer-encoding" in headers:
         # h11 would go by the coding alone: who goes by the length sees another message in the body.
         if b"content-length" in headers or head.http_version != b"1.1":
-            raise UnfitError(400, "the body's length is ambiguous")
+            raise InvalidRequestError(400, "the body's length is ambiguous")
         return MAX_BODY
     declared = int(headers.get(b"content-length", b"0"))
     if declared > MAX_BODY:
@@ -80,17 +80,17 @@
     return declared
 
 
-def figures(text: str) -> dict[str, float]:
+def parse_request_info(text: str) -> dict[str, float]:
     found = {}
     for pair in filter(None, (part.strip() for part in text.split(","))):
         name, equals, value = pair.partition("=")
         if not equals:
-            raise UnfitError(400, "Request-Info is not name=value")
-        found[name.strip()] = figure(value.strip(), f"Request-Info {name.strip()}")
+            raise InvalidRequestError(400, "Request-Info is not name=value")
+        found[name.strip()] = parse_number(value.strip(), f"Request-Info {name.strip()}")
     return found
 
 
-def hint_of(text: str | None) -> timedelta | None:
+def parse_duration_hint(text: str | None) -> timedelta | None:
     """`Work-Hint`, in microseconds. It is a guess at best, so one that is no guess costs nobody an answer."""
     if text is None or not NUMBER.fullmatch(text):
         return None
@@ -100,30 +100,30 @@
         return None
 
 
-def class_of(head: h11.Request, classes: Collection[str]) -> str:
+def parse_job_class(head: h11.Request, classes: Collection[str]) -> str:
     path, _, _ = head.target.decode("latin-1").partition("?")
     job_class = unquote(path.lstrip("/").split("/", 1)[0])
     if job_class not in classes:
-        raise UnfitError(404, "no such class of jobs")
+        raise InvalidRequestError(404, "no such class of jobs")
     return job_class
 
 
-def request_of(taken: Taken, classes: Collection[str], clock: Clock) -> InboundRequest:
+def parse_request(taken: RawRequest, classes: Collection[str], clock: Clock) -> InboundRequest:
     """The one place where a client's request is understood. Its time runs from its last byte, just read."""
-    job_class = class_of(taken.head, classes)
+    job_class = parse_job_class(taken.head, classes)
     _, _, query = taken.head.target.decode("latin-1").partition("?")
     if taken.head.method != b"POST":
-        raise UnfitError(405, "jobs come by POST", allow="POST")
+        raise InvalidRequestError(405, "jobs come by POST", allow="POST")
     headers = Headers(taken.head)
-    request_id, timeout = headers.get("Request-Id"), headers.get("Request-Timeout")
+    request_id, timeout = headers.get_single("Request-Id"), headers.get_single("Request-Timeout")
     if not request_id:
-        raise UnfitError(400, "Request-Id is missing")
+        raise InvalidRequestError(400, "Request-Id is missing")
     if len(request_id) > MAX_ID:
-        raise UnfitError(400, "Request-Id is too long")
+        raise InvalidRequestError(400, "Request-Id is too long")
     if timeout is None:
-        raise UnfitError(400, "Request-Timeout is missing")
-    left = timedelta(seconds=figure(timeout, "Request-Timeout", MAX_TIMEOUT.total_seconds()))
-    info = figures(headers.get("Request-Info") or "")
+        raise InvalidRequestError(400, "Request-Timeout is missing")
+    left = timedelta(seconds=parse_number(timeout, "Request-Timeout", MAX_TIMEOUT.total_seconds()))
+    info = parse_request_info(headers.get_single("Request-Info") or "")
     key = parse_qs(query).get("k")
     return InboundRequest(
         job_class=job_class,
@@ -131,18 +131,18 @@
         slots=info.get("slots", 1.0),
         memory=info.get("memory"),
         key=key[0] if key else None,
-        is_retry=headers.get("Client-Retry") == "1",
+        is_retry=headers.get_single("Client-Retry") == "1",
         worker_request=WorkerRequest(
             request_id=request_id,
             target=taken.head.target,
-            host=headers.get("Host") or "",
-            content_type=headers.get("Content-Type"),
+            host=headers.get_single("Host") or "",
+            content_type=headers.get_single("Content-Type"),
             body=taken.body,
             idempotency_keys=tuple(value for name, value in taken.head.headers if name == b"idempotency-key"),
         ),
         idempotency_key=headers.first("Idempotency-Key"),
         tenant=headers.first("Tenant"),
-        duration_hint=hint_of(headers.first("Work-Hint")),
+        duration_hint=parse_duration_hint(headers.first("Work-Hint")),
     )
 
 
@@ -152,7 +152,7 @@
 REASONS |= {503: "Service Unavailable", 504: "Gateway Timeout"}
 
 
-def encoded(wire: Wire, answer: Response, close: bool, bodiless: bool = False) -> bytes:
+def encode_response(stream: HttpStream, answer: Response, close: bool, bodiless: bool = False) -> bytes:
     headers = [("Content-Length", str(len(answer.body)))]
     if answer.retry_after is not None:
         headers.append(("Retry-After", f"{answer.retry_after.total_seconds():.3f}"))
@@ -163,4 +163,4 @@
     if close:
         headers.append(("Connection", "close"))
     head = h11.Response(status_code=answer.status, headers=headers, reason=REASONS[answer.status])
-    return wire.encode(head, h11.Data(data=b"" if bodiless else answer.body), h11.EndOfMessage())
+    return stream.encode(head, h11.Data(data=b"" if bodiless else answer.body), h11.EndOfMessage())
--- a/rookwood/net/peers.py
+++ b/rookwood/net/peers.py
@@ -21,8 +21,8 @@
 
 log = logging.getLogger(__name__)
 
-Place = tuple[str, int]
-PAUSE = timedelta(seconds=1)  # between tries to get the address
+SocketAddress = tuple[str, int]
+BIND_RETRY_DELAY = timedelta(seconds=1)  # between tries to get the address
 
 
 class Peers(asyncio.DatagramProtocol):
@@ -33,16 +33,16 @@
         decisions: PolicyDriver,
         listen: Address | None,
         peers: Sequence[Address],
-        pause: timedelta = PAUSE,
+        pause: timedelta = BIND_RETRY_DELAY,
     ) -> None:
-        self._decisions, self._pause = decisions, pause
-        self._again: asyncio.Task[None] | None = None
+        self._decisions, self._retry_delay = decisions, pause
+        self._bind_retry: asyncio.Task[None] | None = None
         self._numbers = {(peer.host, peer.port): n for n, peer in enumerate(peers)}
         self._own = (listen.host, listen.port) if listen else None
-        self._peers: list[Place] = [(peer.host, peer.port) for peer in peers]
+        self._peers: list[SocketAddress] = [(peer.host, peer.port) for peer in peers]
         self._codec = HintCodec()
         self._transport: asyncio.DatagramTransport | None = None
-        self._mute: socket.socket | None = None  # for sending alone, once the next process hears
+        self._send_only_socket: socket.socket | None = None  # for sending alone, once the next process hears
         self.dropped: Counter[str] = Counter()  # by reason
 
     async def start(self, inherited: socket.socket | None = None) -> None:
@@ -52,21 +52,21 @@
             if inherited:
                 inherited.close()
             return
-        if not await self._bound(log.warning, inherited):
-            self._again = asyncio.create_task(self._retried())
+        if not await self._bind(log.warning, inherited):
+            self._bind_retry = asyncio.create_task(self._retry_bind())
 
-    def handle(self) -> int | None:
+    def descriptor(self) -> int | None:
         """The descriptor of the socket, for the process that follows."""
         return self._transport.get_extra_info("socket").fileno() if self._transport else None
 
-    def succeeded(self) -> None:
+    def handed_over(self) -> None:
         """The next process hears now. What ends here is still told, by a descriptor of the same socket."""
         if self._transport and not self._transport.is_closing():
             with contextlib.suppress(OSError):
-                self._mute = self._transport.get_extra_info("socket").dup()
+                self._send_only_socket = self._transport.get_extra_info("socket").dup()
             self._transport.close()
 
-    async def _bound(
+    async def _bind(
         self, complain: Callable[[str, OSError], None], inherited: socket.socket | None = None
     ) -> bool:
         loop = asyncio.get_running_loop()
@@ -79,30 +79,30 @@
         except OSError as error:
             complain("no hints between dispatchers: %s", error)
             return False
-        self._decisions.tell = self._tell
+        self._decisions.tell = self._send_hints
         return True
 
-    async def _retried(self) -> None:
+    async def _retry_bind(self) -> None:
         while True:
-            await asyncio.sleep(self._pause.total_seconds())
-            if await self._bound(log.debug):
+            await asyncio.sleep(self._retry_delay.total_seconds())
+            if await self._bind(log.debug):
                 return
 
     def learn(self, told: DestinationUpdate, kept: bool) -> None:
         self._codec.add_workers((endpoint.uid for endpoint in told.endpoints), told.is_full or kept)
 
-    def _tell(self, to: Sequence[int], hints: Sequence[Hint]) -> None:
+    def _send_hints(self, to: Sequence[int], hints: Sequence[Hint]) -> None:
         data = self._codec.encode(hints)
         for number in to:
             if number >= len(self._peers):  # the settings and the list of peers differ
                 continue
-            if self._mute:
+            if self._send_only_socket:
                 with contextlib.suppress(OSError):  # full, or refused: a hint may be lost
-                    self._mute.sendto(data, self._peers[number])
+                    self._send_only_socket.sendto(data, self._peers[number])
             elif self._transport and not self._transport.is_closing():
                 self._transport.sendto(data, self._peers[number])
 
-    def datagram_received(self, data: bytes, addr: Place) -> None:
+    def datagram_received(self, data: bytes, addr: SocketAddress) -> None:
         if addr[:2] == self._own:
             return
         number = self._numbers.get(addr[:2])
@@ -122,12 +122,12 @@
         log.debug("a hint was not taken: %s", exc)
 
     async def close(self) -> None:
-        if self._again:
-            self._again.cancel()
-            await asyncio.gather(self._again, return_exceptions=True)
+        if self._bind_retry:
+            self._bind_retry.cancel()
+            await asyncio.gather(self._bind_retry, return_exceptions=True)
         if self._transport:
             self._transport.close()
-        if self._mute:
-            self._mute.close()
+        if self._send_only_socket:
+            self._send_only_socket.close()
         if self.dropped:
             log.info("odd hints dropped: %s", dict(self.dropped.most_common(5)))
--- a/rookwood/net/phase.py
+++ b/rookwood/net/phase.py
@@ -8,8 +8,12 @@
 
 from rookwood.net.clock import Clock
 
-NOTICE = timedelta(milliseconds=400)  # the front asks ten times a second and then needs 0.2 s to heed a no
-TAKEN = timedelta(milliseconds=1800)  # from then on a drained process holds no new job; at 2 s it must not
+CLOSE_DELAY = timedelta(
+    milliseconds=400
+)  # the front asks ten times a second and then needs 0.2 s to heed a no
+REJECT_DELAY = timedelta(
+    milliseconds=1800
+)  # from then on a drained process holds no new job; at 2 s it must not
 
 
 class Phase(Enum):
@@ -25,33 +29,33 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self.phase = Phase.STARTING
-        self.succeeded = False  # the next process has taken the clients' address over
-        self._moves: datetime | None = None  # from then on clients are moved off
-        self._refuses: datetime | None = None  # from then on no new job is taken
-        self._leaving = asyncio.Event()
-        self._changed = asyncio.Event()  # someone is to be moved off, at once or later
+        self.is_handed_over = False  # the next process has taken the clients' address over
+        self._closing_from: datetime | None = None  # from then on clients are moved off
+        self._rejecting_from: datetime | None = None  # from then on no new job is taken
+        self._shutdown_begun = asyncio.Event()
+        self._closing_scheduled = asyncio.Event()  # someone is to be moved off, at once or later
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         return self.phase is Phase.SERVING
 
     @property
-    def moving(self) -> bool:
-        return self._moves is not None and self._clock.now() >= self._moves
+    def is_closing_clients(self) -> bool:
+        return self._closing_from is not None and self._clock.now() >= self._closing_from
 
     @property
     def is_rejecting(self) -> bool:
-        return self._refuses is not None and self._clock.now() >= self._refuses
+        return self._rejecting_from is not None and self._clock.now() >= self._rejecting_from
 
-    async def until_leaving(self) -> None:
-        await self._leaving.wait()
+    async def wait_shutdown(self) -> None:
+        await self._shutdown_begun.wait()
 
-    async def until_moving(self) -> None:
-        while not self.moving:
-            if self._moves is None:
-                await self._changed.wait()
+    async def wait_closing_clients(self) -> None:
+        while not self.is_closing_clients:
+            if self._closing_from is None:
+                await self._closing_scheduled.wait()
             else:
-                await asyncio.sleep(min(0.05, self._clock.seconds_to(self._moves)))
+                await asyncio.sleep(min(0.05, self._clock.seconds_until(self._closing_from)))
 
     def start(self) -> None:
         if self.phase is Phase.STARTING:
@@ -60,19 +64,22 @@
     def drain(self) -> None:
         if self.phase in (Phase.STARTING, Phase.SERVING):
             self.phase = Phase.DRAINING
-            self._moves, self._refuses = self._clock.now() + NOTICE, self._clock.now() + TAKEN
-            self._changed.set()
+            self._closing_from, self._rejecting_from = (
+                self._clock.now() + CLOSE_DELAY,
+                self._clock.now() + REJECT_DELAY,
+            )
+            self._closing_scheduled.set()
 
     def resume(self) -> bool:
         """False: there is no way back from leaving."""
         if self.phase is Phase.DRAINING:
-            self.phase, self._moves, self._refuses = Phase.SERVING, None, None
-            self._changed.clear()
+            self.phase, self._closing_from, self._rejecting_from = Phase.SERVING, None, None
+            self._closing_scheduled.clear()
         return self.phase is not Phase.LEAVING
 
-    def leave(self, stay: timedelta) -> None:
+    def begin_shutdown(self, stay: timedelta) -> None:
         """Final. Clients are moved off after `stay`, or before where that was settled already."""
         moves = self._clock.now() + stay
-        self.phase, self._moves = Phase.LEAVING, min(moves, self._moves or moves)
-        self._leaving.set()
-        self._changed.set()
+        self.phase, self._closing_from = Phase.LEAVING, min(moves, self._closing_from or moves)
+        self._shutdown_begun.set()
+        self._closing_scheduled.set()
--- a/rookwood/net/probes.py
+++ b/rookwood/net/probes.py
@@ -6,17 +6,17 @@
 import logging
 
 from rookwood.net.destinations import Destinations
-from rookwood.net.endpoints import Endpoints
+from rookwood.net.endpoints import EndpointPool
 from rookwood.net.policy_driver import PolicyDriver
 
 log = logging.getLogger(__name__)
 
 
 class Probes:
-    def __init__(self, decisions: PolicyDriver, destinations: Destinations, endpoints: Endpoints) -> None:
+    def __init__(self, decisions: PolicyDriver, destinations: Destinations, endpoints: EndpointPool) -> None:
         self._decisions, self._destinations, self._endpoints = decisions, destinations, endpoints
         self._tasks: dict[str, asyncio.Task[None]] = {}  # by uid: one at a time, however slow it is
-        decisions.probe = self.start
+        decisions.start_probe = self.start
 
     def start(self, uid: str) -> None:
         if uid not in self._tasks:
@@ -25,7 +25,7 @@
     async def _probe(self, uid: str) -> None:
         try:
             found = await self._endpoints.probe(self._destinations.address(uid))
-            self._decisions.probed(uid, found.end, found.load)
+            self._decisions.record_probe(uid, found.outcome, found.load)
         except Exception:
             log.exception("a probe failed")
         finally:
--- a/rookwood/net/stats.py
+++ b/rookwood/net/stats.py
@@ -9,7 +9,7 @@
 ANSWERED, DEFERRED, ERRORED, SENDS = "answered", "deferred", "errored", "sends"
 
 
-def outcome_of(status: int) -> str | None:
+def counter_for_status(status: int) -> str | None:
     """None: a request that was no job."""
     if status == 200:
         return ANSWERED
@@ -22,18 +22,18 @@
     def __init__(
         self, classes: Collection[str], current: Callable[[], int], cluster: Callable[[], api.ClusterHealth]
     ) -> None:
-        self._current, self._cluster = current, cluster
+        self._open_requests, self._cluster = current, cluster
         self.extra_sources: list[Callable[[], Iterable[str]]] = []  # lines of other fronts
         # Those who read need every class from the start: a figure that is missing is no 0.
         outcomes = (ANSWERED, DEFERRED, ERRORED, SENDS)
         self._counts = {job_class: dict.fromkeys(outcomes, 0) for job_class in sorted(classes)}
 
-    def ended(self, job_class: str, status: int) -> None:
+    def count_response(self, job_class: str, status: int) -> None:
         """The one final answer to a client is settled. Whose client has left is not counted."""
-        if outcome := outcome_of(status):
+        if outcome := counter_for_status(status):
             self._counts[job_class][outcome] += 1
 
-    def sent(self, job_class: str) -> None:
+    def count_sent(self, job_class: str) -> None:
         """An attempt was written whole to an endpoint."""
         self._counts[job_class][SENDS] += 1
 
@@ -45,7 +45,7 @@
             for outcome, count in counts.items():
                 yield f"transactions.{job_class}.{outcome}:{count}|c"
         cluster = self._cluster()
-        yield f"current:{self._current()}|g"
+        yield f"current:{self._open_requests()}|g"
         yield f"cluster_size:{cluster.listed}|g"
         yield f"cluster_unhealthy:{cluster.avoided}|g"
         for lines in self.extra_sources:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -24,7 +24,7 @@
 Script = Callable[["ScriptedWorker", asyncio.StreamWriter, str], Awaitable[bool]]
 
 
-def lane(name: str, repeat: str, **changes: Any) -> dict[str, Any]:
+def job_class(name: str, repeat: str, **changes: Any) -> dict[str, Any]:
     # Long enough to outlast the steps that give a distrusted worker its next chance, on a slow machine too.
     times = {"aim": 8_000_000, "give-up": 10_000_000}
     return {"name": name, "repeat": repeat, "importance": 3, **times, **changes}
@@ -35,7 +35,7 @@
     "bounds": {"attempts-cap": 4, "cancel": True, "conn-idle": 60_000_000, "connect-timeout": 500_000},
     "discovery": "automatic",
     "family-info": {"tells-start": True},
-    "lanes": [lane("page", "safe"), lane("unlock", "unsafe")],
+    "lanes": [job_class("page", "safe"), job_class("unlock", "unsafe")],
     "rules": {"fall-multiple": 3.0, "overload-for": 1_000_000, "start-capacity": 0.3, "warm-up": 8_000_000},
     "tick": 4000,
 }
@@ -57,7 +57,7 @@
 # ---- what an endpoint may do with a request; each tells whether it goes on with the connection ----
 
 
-def line(request_id: str, state: str, **more: Any) -> bytes:
+def status_line(request_id: str, state: str, **more: Any) -> bytes:
     text = json.dumps({"id": request_id, "from": "s-1", "state": state, **more}).encode() + b"\n"
     return encode_chunk(text)
 
@@ -67,14 +67,14 @@
 
 def ends(state: str, **more: Any) -> Script:
     async def script(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
-        last = line(more.pop("id", request_id), state, **more)
-        writer.write(HEAD + line(request_id, "started") + last + b"0\r\n\r\n")
+        last = status_line(more.pop("id", request_id), state, **more)
+        writer.write(HEAD + status_line(request_id, "started") + last + b"0\r\n\r\n")
         return True
 
     return script
 
 
-def answers(text: bytes) -> Script:
+def writes(text: bytes) -> Script:
     async def script(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
         writer.write(text)
         return True
@@ -84,17 +84,17 @@
 
 def status(code: int, *headers: str) -> Script:
     more = "".join(f"{header}\r\n" for header in headers)
-    return answers(f"HTTP/1.1 {code} X\r\n{more}Content-Length: 0\r\n\r\n".encode())
+    return writes(f"HTTP/1.1 {code} X\r\n{more}Content-Length: 0\r\n\r\n".encode())
 
 
 async def breaks(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
-    writer.write(HEAD + line(request_id, "started"))
+    writer.write(HEAD + status_line(request_id, "started"))
     return False
 
 
 async def silent(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     await endpoint.resume.wait()
-    writer.write(HEAD + line(request_id, "done", result="late") + b"0\r\n\r\n")
+    writer.write(HEAD + status_line(request_id, "done", result="late") + b"0\r\n\r\n")
     return True
 
 
@@ -103,7 +103,9 @@
     return False
 
 
-async def serves_and_babbles(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def serves_and_writes_more(
+    endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
+) -> bool:
     await served(endpoint, writer, request_id)
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     return True
@@ -198,7 +200,7 @@
 class DispatcherFixture:
     def __init__(self, dispatcher: Dispatcher, port: int, discovery: Discovery) -> None:
         self.dispatcher, self.port, self.discovery = dispatcher, port, discovery
-        self.ids = itertools.count(1)
+        self._request_numbers = itertools.count(1)
 
     async def connect(self) -> Streams:
         return await asyncio.open_connection("127.0.0.1", self.port)
@@ -207,7 +209,7 @@
         self, path: str = "/page?k=7", timeout: float = 8.0, body: bytes = b"hello", more: bytes = b""
     ) -> bytes:
         """`more`: further header lines, each with its end."""
-        head = f"POST {path} HTTP/1.1\r\nHost: api\r\nRequest-Id: r{next(self.ids)}\r\n"
+        head = f"POST {path} HTTP/1.1\r\nHost: api\r\nRequest-Id: r{next(self._request_numbers)}\r\n"
         head += f"Request-Timeout: {timeout}\r\nContent-Length: {len(body)}\r\n"
         return head.encode() + more + b"\r\n" + body
 
@@ -259,7 +261,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def dispatcher_process(
     environ: Mapping[str, str], words: Sequence[str] = ("-m", "rookwood"), descriptors: int | None = None
 ) -> AsyncIterator[tuple[Process, DispatcherFixture, list[str]]]:
     """The program as a process of its own, and what it logged before it listened. It is killed at the end
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -65,7 +65,7 @@
         async with st.listening(endpoint) as address, st.listening(st.Discovery()) as discovery:
             environ = st.environment(tmp_path, [st.target_entry("s-0", address)], discovery)
             environ["TMPDIR"] = str(tmp_path)  # where it would offer its listener
-            async with st.running(environ, ["-c", GUARD]) as (child, s, said):
+            async with st.dispatcher_process(environ, ["-c", GUARD]) as (child, s, said):
                 refused = [line for line in said if line.startswith("refused")]
                 assert (await s.send_request())[0] == 200
                 assert {line.split()[1] for line in refused} <= {"socket.connect", "socket.bind"}
@@ -86,7 +86,7 @@
     async def story() -> None:
         one = Handover(tmp_path / "sock", lambda: b"", lambda: None, lambda: None)
         monkeypatch.setattr(socket, "socket", refused)
-        assert await one.inherit(Address("127.0.0.1", 1)) is None
+        assert await one.inherit_listener(Address("127.0.0.1", 1)) is None
         monkeypatch.undo()
         await one.close()
 
--- a/tests/test_httpclient_library.py
+++ b/tests/test_httpclient_library.py
@@ -10,7 +10,7 @@
 from yarl import URL
 
 from rookwood.httpclient.client import HttpClient, Response
-from rookwood.httpclient.connections import AnswerConnector, ResponseProtocol
+from rookwood.httpclient.connections import ResponseConnector, ResponseProtocol
 from rookwood.httpclient.outcomes import ResponseLost
 from tests.fake_worker import Exchange, FakeWorker, break_off, responding, response_bytes, within
 
@@ -73,7 +73,7 @@
 
     async def test_connections_use_the_protocol_of_our_own(self) -> None:
         worker = await self.start_worker(FakeWorker(responding()))
-        connector = AnswerConnector(limit=1, keepalive_timeout=1.0)
+        connector = ResponseConnector(limit=1, keepalive_timeout=1.0)
         async with (
             aiohttp.ClientSession(connector=connector) as session,
             session.get(f"http://{worker.address}/") as response,
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -96,7 +96,7 @@
         lag = LoopLag()
         lag.observe(0.3, 1.0)
         lag.observe(-0.001, 1.1)
-        self.assertEqual((lag.last, lag.recent_maximum, lag.maximum, lag.wakes), (0.0, 0.3, 0.3, 2))
+        self.assertEqual((lag.last, lag.recent_maximum, lag.maximum, lag.measurements), (0.0, 0.3, 0.3, 2))
 
     def test_recent_maximum_is_forgotten_after_two_windows(self) -> None:
         lag = LoopLag()
@@ -114,7 +114,7 @@
         await asyncio.sleep(0)  # it has begun to wait
         time.sleep(3 * INTERVAL)  # the loop gets no processor
         async with asyncio.timeout(WAIT_LIMIT):
-            while not lag.wakes:
+            while not lag.measurements:
                 await asyncio.sleep(0)
         measuring.cancel()
         self.assertGreaterEqual(lag.recent_maximum, 1.9 * INTERVAL)
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -18,11 +18,11 @@
 from rookwood.lab.raw_http import encode_chunk, encode_chunks
 from rookwood.net import destinations, endpoints, inbound
 from rookwood.net.clock import Clock
-from rookwood.net.destinations import Pace
+from rookwood.net.destinations import RetryPacer
 from rookwood.net.dispatcher import DispatcherContext
-from rookwood.net.endpoints import Endpoints
-from rookwood.net.http1 import Wire
-from rookwood.net.policy_driver import Attempt, AttemptOutcome, Job, PolicyDriver
+from rookwood.net.endpoints import EndpointPool
+from rookwood.net.http1 import HttpStream
+from rookwood.net.policy_driver import Attempt, AttemptOutcome, PolicyDriver, RequestProfile
 from rookwood.settings import InvalidSettingError, JsonReader, parse_settings
 from tests import stage as st
 from tests.stage import (
@@ -79,8 +79,8 @@
 
 def moved_off(s: DispatcherFixture) -> None:
     """From now on, as after a drain's notice."""
-    s.dispatcher._service._moves = s.dispatcher._clock.now()
-    s.dispatcher._service._changed.set()
+    s.dispatcher._service._closing_from = s.dispatcher._clock.now()
+    s.dispatcher._service._closing_scheduled.set()
 
 
 # ---- a client that has gone ----
@@ -93,17 +93,19 @@
     async def story() -> None:
         endpoint = ScriptedWorker(st.silent, st.served)
         async with start_dispatcher(tmp_path, endpoint) as s:
-            left = s.dispatcher._inbound._bytes_left
+            left = s.dispatcher._inbound._body_bytes_left
             _, writer = await s.connect()
             writer.write(s.request("/unlock", timeout=60.0))
             await wait_until(lambda: len(endpoint.seen) == 1)
             writer.write(b"x" * ahead)
-            await wait_until(lambda: s.dispatcher._inbound._bytes_left <= left - min(ahead, inbound.AHEAD))
-            assert left - s.dispatcher._inbound._bytes_left <= inbound.AHEAD + 2 * 65536
+            await wait_until(
+                lambda: s.dispatcher._inbound._body_bytes_left <= left - min(ahead, inbound.MAX_READ_AHEAD)
+            )
+            assert left - s.dispatcher._inbound._body_bytes_left <= inbound.MAX_READ_AHEAD + 2 * 65536
             writer.close()
             await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
-            await wait_until(lambda: not s.dispatcher._inbound._open)
-            assert s.dispatcher._inbound._bytes_left == left
+            await wait_until(lambda: not s.dispatcher._inbound._streams)
+            assert s.dispatcher._inbound._body_bytes_left == left
             assert len(endpoint.seen) == 1
             assert (await s.send_request())[0] == 200
 
@@ -165,7 +167,7 @@
             await wait_until(lambda: not connecting.is_set())  # called off, not left to come up
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
             go_on.set()
-            assert (recorder.connections, s.dispatcher._endpoints._count) == (0, 0)
+            assert (recorder.connections, s.dispatcher._endpoints._connection_count) == (0, 0)
 
     play(story())
 
@@ -212,16 +214,16 @@
             client.write(s.request())
             client.socket.settimeout(LIMIT)
             assert b"page" in await asyncio.to_thread(client.socket.recv, 65536)
-            await wait_until(lambda: len(s.dispatcher._inbound._idle) == 1)
-            quiet, crossed = Wire.quiet, list[bool]()
+            await wait_until(lambda: len(s.dispatcher._inbound._idle_usual) == 1)
+            quiet, crossed = HttpStream.is_idle, list[bool]()
 
-            def crossing(wire: Wire) -> bool:
-                if (found := quiet(wire)) and wire in s.dispatcher._inbound._open and not crossed:
+            def crossing(stream: HttpStream) -> bool:
+                if (found := quiet(stream)) and stream in s.dispatcher._inbound._streams and not crossed:
                     crossed.append(True)
                     client.write(s.request())
                 return found
 
-            monkeypatch.setattr(Wire, "quiet", crossing)
+            monkeypatch.setattr(HttpStream, "is_idle", crossing)
             moved_off(s)
             assert await client.rest() == b""
             assert crossed and len(endpoint.seen) == 1
@@ -235,8 +237,8 @@
         async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(s.request())
-            await wait_until(lambda: len(s.dispatcher._inbound._idle) == 1)
-            (wire, limit), *_ = s.dispatcher._inbound._idle.items()
+            await wait_until(lambda: len(s.dispatcher._inbound._idle_usual) == 1)
+            (stream, limit), *_ = s.dispatcher._inbound._idle_usual.items()
             client.write(s.request())
             limit.reschedule(0)  # its time is up in the step in which the bytes are found
             moved_off(s)
@@ -270,11 +272,14 @@
             client = Client(s.port)
             client.write(s.request("/unlock"))
             await wait_until(lambda: len(endpoint.seen) == 1)
-            (wire,) = s.dispatcher._inbound._open
-            before = wire._came[-1]
+            (stream,) = s.dispatcher._inbound._streams
+            before = stream._read_times[-1]
             client.write(s.request("/unlock", timeout=3.0) + s.request("/unlock", timeout=8.0))
-            await wait_until(lambda: wire._came[-1] != before)
-            wire._came[-1] = (wire._came[-1][0], wire._came[-1][1] - 4)  # as if it had come 4 s ago
+            await wait_until(lambda: stream._read_times[-1] != before)
+            stream._read_times[-1] = (
+                stream._read_times[-1][0],
+                stream._read_times[-1][1] - 4,
+            )  # as if it had come 4 s ago
             endpoint.resume.set()
             moved_off(s)
             statuses = [answer[:3] for answer in (await client.rest()).split(b"HTTP/1.1 ")[1:]]
@@ -294,14 +299,14 @@
         async with start_dispatcher(tmp_path, endpoint) as s:
             if moving:
                 moved_off(s)
-            client, write = Client(s.port), Wire.write
+            client, write = Client(s.port), HttpStream.write
 
-            async def crossing(wire: Wire, data: bytes) -> None:
-                await write(wire, data)
+            async def crossing(stream: HttpStream, data: bytes) -> None:
+                await write(stream, data)
                 if data.startswith(b"HTTP/1.1"):
                     client.write(b"GET /-/ready HT")
 
-            monkeypatch.setattr(Wire, "write", crossing)
+            monkeypatch.setattr(HttpStream, "write", crossing)
             client.write(s.request() if moving else b"BREW / HTTP/1.1\r\n\r\n")
             text = await client.rest()
             assert text.startswith(b"HTTP/1.1 200" if moving else b"HTTP/1.1 400")
@@ -318,8 +323,8 @@
             streams = await s.connect()
             assert (await s.exchange(streams, s.request()))[0] == 200
             (kept,) = (c for idle in s.dispatcher._endpoints._idle.values() for c in idle)
-            for wire in (*s.dispatcher._inbound._open, kept.wire):
-                found = wire.writer.get_extra_info("socket")
+            for stream in (*s.dispatcher._inbound._streams, kept.stream):
+                found = stream.writer.get_extra_info("socket")
                 assert found.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     play(story())
@@ -361,7 +366,7 @@
         endpoint = ScriptedWorker(st.served)
         async with start_dispatcher(tmp_path, endpoint, fronts=(lambda core: Emptying(core, comes),)) as s:
             found.append(s)
-            s.dispatcher._service.leave(timedelta(0))
+            s.dispatcher._service.begin_shutdown(timedelta(0))
             await asyncio.wait_for(s.dispatcher.wait_drained(), LIMIT)
             await s.dispatcher.close()
             assert b"HTTP/1.1 200" in await clients[0].rest()
@@ -376,18 +381,20 @@
     """Silence, pause, a call that fails as late as it can, pause, a call that is answered at once."""
     worst = timedelta()
     for seed in range(2000):
-        pace = Pace(True, seed)
+        pace = RetryPacer(True, seed)
         for word in (SECOND / 100, SECOND / 5, SECOND):
-            first = pace.after(word, heard=True)
-            worst = max(worst, first + pace.after(destinations.ASKED_LIMIT, heard=False))
-    assert destinations.SILENCE_LIMIT + worst + destinations.ASKED_LIMIT < TOLD
+            first = pace.delay_after(word, heard=True)
+            worst = max(worst, first + pace.delay_after(destinations.SHARED_SERVICE_TIMEOUT, heard=False))
+    assert destinations.SILENCE_TIMEOUT + worst + destinations.SHARED_SERVICE_TIMEOUT < TOLD
     # And after an outage: the call that was out when discovery came back fails, and so does the next.
     for seed in range(2000):
-        pace, span = Pace(True, seed), timedelta()
+        pace, span = RetryPacer(True, seed), timedelta()
         for _ in range(9):
-            pace.after(SECOND / 100, heard=False)
+            pace.delay_after(SECOND / 100, heard=False)
         for _ in range(2):
-            span += destinations.ASKED_LIMIT + pace.after(destinations.ASKED_LIMIT, heard=False)
+            span += destinations.SHARED_SERVICE_TIMEOUT + pace.delay_after(
+                destinations.SHARED_SERVICE_TIMEOUT, heard=False
+            )
         assert span < TOLD
 
 
@@ -457,7 +464,7 @@
 
 
 def test_watch_that_fell_silent_is_opened_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(destinations, "SILENCE_LIMIT", timedelta(milliseconds=100))
+    monkeypatch.setattr(destinations, "SILENCE_TIMEOUT", timedelta(milliseconds=100))
 
     async def story() -> None:
         revisions = list[int]()
@@ -572,7 +579,7 @@
     async def story() -> None:
         endpoint = ScriptedWorker(st.served)
         async with start_dispatcher(tmp_path, endpoint) as s:
-            update, failed = s.dispatcher._decisions.update, list[int]()
+            update, failed = s.dispatcher._decisions.update_workers, list[int]()
 
             def fails_once(told: destinations.DestinationUpdate, kept: bool) -> None:
                 failed.append(told.revision)
@@ -580,7 +587,7 @@
                     raise ZeroDivisionError
                 update(told, kept)
 
-            monkeypatch.setattr(s.dispatcher._decisions, "update", fails_once)
+            monkeypatch.setattr(s.dispatcher._decisions, "update_workers", fails_once)
             for asked in (1, 2):
                 await wait_until(lambda asked=asked: len(s.discovery.asked) == asked)  # type: ignore[misc]
                 s.discovery.say(2, st.target_entry("s-9", endpoint.address))
@@ -605,7 +612,7 @@
             await wait_until(lambda: len(s.discovery.asked) == 1)
             host, _, port = where.rpartition(":")
             s.discovery.say(9, st.target_entry("s-1", two.address, "draining"))
-            watched.move(destinations.Address(host, int(port)))
+            watched.switch_discovery(destinations.Address(host, int(port)))
             assert watched.accepts("s-0")
             newer.say(
                 1,
@@ -613,7 +620,7 @@
                 st.target_entry("s-1", two.address),
                 whole=True,
             )
-            await wait_until(lambda: watched.revision == 1 and not watched._foreign)
+            await wait_until(lambda: watched.revision == 1 and not watched._needs_full_list)
             assert (watched.accepts("s-0"), watched.accepts("s-1")) == (False, True)
             assert [(await s.send_request(f"/unlock?k={n}"))[2] for n in range(4)] == [b"two"] * 4
 
@@ -625,7 +632,7 @@
 
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
-            assert s.dispatcher._service.ready and not s.dispatcher._destinations.current.is_set()
+            assert s.dispatcher._service.is_ready and not s.dispatcher._destinations.up_to_date.is_set()
             assert (await s.send_request())[0] == 200
 
     play(story())
@@ -646,7 +653,7 @@
             listed = [st.target_entry("s-0", endpoint.address)]
             changes: dict[str, Any] = {"limits": {"sockets": 64}, "mgmt": "127.0.0.1:0"}
             environ = st.environment(tmp_path, listed, where, **changes)
-            child, s, said = await stack.enter_async_context(st.running(environ, descriptors=64))
+            child, s, said = await stack.enter_async_context(st.dispatcher_process(environ, descriptors=64))
             (mgmt,) = (int(line.rsplit(":", 1)[1]) for line in said if " is run from " in line)
             for _ in range(120):
                 held.append(await s.connect())
@@ -678,7 +685,7 @@
     endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
 ) -> bool:
     text = json.dumps({"id": request_id, "state": "done", "result": "page"}).encode()
-    writer.write(st.HEAD + st.line(request_id, "started") + encode_chunks(text))
+    writer.write(st.HEAD + st.status_line(request_id, "started") + encode_chunks(text))
     return True
 
 
@@ -728,7 +735,7 @@
 
 
 SECOND_ANSWERS = [
-    st.HEAD + st.line("r1", "done", result="page") + b"0\r\n\r\n",
+    st.HEAD + st.status_line("r1", "done", result="page") + b"0\r\n\r\n",
     b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
     b"{}\n",
 ]
@@ -739,7 +746,7 @@
     tmp_path: Path, word: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its last byte has not left, so it cannot have run, and goes out whole on another connection."""
-    monkeypatch.setattr(endpoints, "HOLD", timedelta(milliseconds=300))
+    monkeypatch.setattr(endpoints, "LAST_BYTE_DELAY", timedelta(milliseconds=300))
 
     async def story() -> None:
         endpoint = Late(word)
@@ -752,10 +759,10 @@
 
 
 async def never_ends(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
-    writer.write(st.HEAD + st.line(request_id, "started"))
+    writer.write(st.HEAD + st.status_line(request_id, "started"))
     with contextlib.suppress(ConnectionError):
         while not writer.transport.is_closing():
-            writer.write(st.line(request_id, "running", share=0.5))
+            writer.write(st.status_line(request_id, "running", share=0.5))
             await writer.drain()
             await asyncio.sleep(0)
     return False
@@ -763,9 +770,9 @@
 
 SPOILT: list[tuple[Script, int, float]] = [
     (st.ends("done", result="\ud800"), 502, 8.0),  # half of a pair: no bytes can be made of it
-    (st.answers(st.HEAD + b"50000\r\n" + b"x" * 0x50000 + b"\r\n"), 502, 8.0),  # a line without an end
-    (st.answers(b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 40_000), 502, 8.0),  # a head without an end
-    (st.answers(b"HTTP/1.1 102 Wait\r\n\r\n" * 2000), 504, 0.4),  # and none that is final
+    (st.writes(st.HEAD + b"50000\r\n" + b"x" * 0x50000 + b"\r\n"), 502, 8.0),  # a line without an end
+    (st.writes(b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 40_000), 502, 8.0),  # a head without an end
+    (st.writes(b"HTTP/1.1 102 Wait\r\n\r\n" * 2000), 504, 0.4),  # and none that is final
     (never_ends, 504, 0.4),
 ]
 
@@ -793,12 +800,12 @@
         endpoint = ScriptedWorker(st.served)
         async with start_dispatcher(tmp_path, endpoint) as s:
 
-            async def gone(*words: object) -> endpoints.Result:
+            async def gone(*words: object) -> endpoints.AttemptResult:
                 raise error
 
-            monkeypatch.setattr(s.dispatcher._endpoints, "_answer", gone)
+            monkeypatch.setattr(s.dispatcher._endpoints, "_read_response", gone)
             assert (await s.send_request("/unlock"))[0] == 502
-            assert s.dispatcher._endpoints._count == 0
+            assert s.dispatcher._endpoints._connection_count == 0
 
     play(story())
 
@@ -807,7 +814,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Decided within the window, connected after it: endpoints would run it a second time."""
-    roster = st.lane("roster", "keyed", group="all", window=3_000_000, **{"aim-stretch": 2.0})
+    roster = st.job_class("roster", "keyed", group="all", window=3_000_000, **{"aim-stretch": 2.0})
 
     async def story() -> None:
         endpoint = ScriptedWorker(st.breaks, st.served)
@@ -817,7 +824,7 @@
             async def slow(address: str) -> endpoints.Connection:
                 connected.append(address)
                 if len(connected) == 2:
-                    clock._zero -= 3_000_000_000
+                    clock._monotonic_start_ns -= 3_000_000_000
                 return await connect(address)
 
             monkeypatch.setattr(s.dispatcher._endpoints, "_connect", slow)
@@ -832,23 +839,23 @@
 
 def test_window_of_a_repeat_counts_from_the_first_attempt_that_may_have_run() -> None:
     async def story() -> None:
-        keyed = st.lane("roster", "keyed", group="zone", window=3_000_000)
+        keyed = st.job_class("roster", "keyed", group="zone", window=3_000_000)
         conf = parse_settings(JsonReader(SETTINGS | {"lanes": [keyed]}))
         clock = Clock()
         decisions = PolicyDriver(conf, 1, clock)
-        decisions.update(destinations.destination_set_of(JsonReader(
+        decisions.update_workers(destinations.parse_destination_update(JsonReader(
             {"rev": 1, "all": True, "targets": [st.target_entry(f"s-{n}", "127.0.0.1:9") for n in range(3)]}
         )))  # fmt: skip
         begun = clock.now()
-        with decisions.admit(Job("roster", begun + 9 * SECOND, key="7")) as ticket:
-            ends = [AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET, AttemptOutcome.TURNED_AWAY]
+        with decisions.admit(RequestProfile("roster", begun + 9 * SECOND, key="7")) as ticket:
+            ends = [AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET, AttemptOutcome.REJECTED]
             found = list[Attempt]()
             for end in ends:
-                attempt = await ticket.decision()
+                attempt = await ticket.next_decision()
                 assert isinstance(attempt, Attempt)
                 found.append(attempt)
-                ticket.ended(end)
-        first, second, third = (attempt.begin_by for attempt in found)
+                ticket.end_attempt(end)
+        first, second, third = (attempt.start_by for attempt in found)
         assert first is None and second is None and third is not None
         assert begun + 2.9 * SECOND < third <= clock.now() + 3 * SECOND
         decisions.close()
@@ -858,7 +865,7 @@
 
 def test_file_whose_settings_are_faulty_names_the_key() -> None:
     with pytest.raises(InvalidSettingError, match="lanes\\[0\\].name: not Unicode"):
-        parse_settings(JsonReader(SETTINGS | {"lanes": [st.lane("\ud800", "safe")]}))
+        parse_settings(JsonReader(SETTINGS | {"lanes": [st.job_class("\ud800", "safe")]}))
 
 
 def test_every_part_of_an_attempt_is_released_whatever_ends_it(tmp_path: Path) -> None:
@@ -869,7 +876,7 @@
         async with st.listening(endpoint) as address:
             clock, after = Clock(), 0
             while True:
-                pool = Endpoints(clock, SECOND, 60 * SECOND, 4)
+                pool = EndpointPool(clock, SECOND, 60 * SECOND, 4)
                 outgoing = endpoints.WorkerRequest("a", b"/page", "api", None, b"body")
                 words = (outgoing, address, clock.now() + LIMIT * SECOND, lambda: True, lambda stage: None)
                 task = asyncio.create_task(pool.attempt(*words, lambda: None, True))
@@ -878,10 +885,10 @@
                 task.cancel()
                 done = await asyncio.gather(task, return_exceptions=True)
                 await pool.close()
-                assert pool._count == 0 and not pool._settling
+                assert pool._connection_count == 0 and not pool._finishing
                 if not isinstance(done[0], asyncio.CancelledError):
                     break
                 after += 1
-            assert after > 5 and done[0].end is AttemptOutcome.SERVED  # type: ignore[union-attr]
+            assert after > 5 and done[0].outcome is AttemptOutcome.SERVED  # type: ignore[union-attr]
 
     play(story())
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -15,7 +15,7 @@
 from rookwood.lab.free_ports import find_free_port
 from rookwood.net import dispatcher, handover, phase
 from rookwood.net.config import load
-from rookwood.net.connection_limits import BASE, CALL_ACCEPTS, room_of
+from rookwood.net.connection_limits import MANAGEMENT_ACCEPT_BATCH, RESERVED_DESCRIPTORS, divide_descriptors
 from rookwood.net.dispatcher import Dispatcher
 from tests import stage as st
 from tests.stage import (
@@ -33,8 +33,8 @@
 
 
 async def call(s: DispatcherFixture, path: str, method: str = "GET") -> tuple[int, str]:
-    assert s.dispatcher.mgmt
-    reader, writer = await asyncio.open_connection("127.0.0.1", s.dispatcher.mgmt)
+    assert s.dispatcher.management_port
+    reader, writer = await asyncio.open_connection("127.0.0.1", s.dispatcher.management_port)
     writer.write(f"{method} /ops/{path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
     text = (await asyncio.wait_for(reader.read(), LIMIT)).decode()
     writer.close()
@@ -74,13 +74,16 @@
 
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT) as s:
-            assert s.dispatcher.mgmt
+            assert s.dispatcher.management_port
             stalled: list[Streams] = []
-            for _ in range(2 * s.dispatcher._management._room.callers):
-                stalled.append(await asyncio.open_connection("127.0.0.1", s.dispatcher.mgmt))
+            for _ in range(2 * s.dispatcher._management._limits.management_connections):
+                stalled.append(await asyncio.open_connection("127.0.0.1", s.dispatcher.management_port))
                 stalled[-1][1].write(data)
             assert (await call(s, "readiness"))[0] == 200
-            assert len(s.dispatcher._management._callers) <= s.dispatcher._management._room.callers
+            assert (
+                len(s.dispatcher._management._connections)
+                <= s.dispatcher._management._limits.management_connections
+            )
             for reader, writer in stalled:
                 assert await asyncio.wait_for(reader.read(), LIMIT) == b""
                 writer.close()
@@ -121,7 +124,7 @@
     async def story() -> None:
         limits = {"sockets": 256, "memory_mb": 1}
         async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT, limits=limits) as s:
-            s.dispatcher._inbound._bytes_left = 0
+            s.dispatcher._inbound._body_bytes_left = 0
             assert (await s.send_request("/page"))[0] == 503
             assert (await stats(s))["transactions.page.deferred"] == "1|c"
 
@@ -145,8 +148,8 @@
 def test_drain_empties_connections_and_its_end_brings_them_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(phase, "NOTICE", timedelta(hours=1))  # the story says when it is over
-    monkeypatch.setattr(phase, "TAKEN", timedelta(hours=1))
+    monkeypatch.setattr(phase, "CLOSE_DELAY", timedelta(hours=1))  # the story says when it is over
+    monkeypatch.setattr(phase, "REJECT_DELAY", timedelta(hours=1))
 
     async def story() -> None:
         endpoint = ScriptedWorker(st.served, st.silent)
@@ -160,9 +163,9 @@
             # The front has not heard yet: connections are served as ever, and nothing is lost later on.
             busy[1].write(s.request())
             await wait_until(lambda: len(endpoint.seen) == 2)
-            s.dispatcher._service._moves = s.dispatcher._clock.now()
+            s.dispatcher._service._closing_from = s.dispatcher._clock.now()
             assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""
-            s.dispatcher._service._refuses = s.dispatcher._clock.now()
+            s.dispatcher._service._rejecting_from = s.dispatcher._clock.now()
             status, headers, _ = await s.exchange(await s.connect(), s.request())
             assert (status, headers["connection"]) == (503, "close")
             endpoint.resume.set()
@@ -211,7 +214,7 @@
         try:
             await wait_until(lambda: len(discovery.asked) == 1)
             both = DispatcherFixture(new, old.port, discovery)
-            both.ids = old.ids
+            both._request_numbers = old._request_numbers
             yield old, both, discovery
         finally:
             starting.cancel()
@@ -235,14 +238,16 @@
             waiting = await old.connect()
             waiting[1].write(old.request("/unlock"))
             discovery.say(7, listed, whole=True)
-            await wait_until(lambda: new.dispatcher._service.ready)
+            await wait_until(lambda: new.dispatcher._service.is_ready)
             assert (await asyncio.wait_for(waiting[0].readline(), LIMIT)).startswith(b"HTTP/1.1 200")
-            assert new.dispatcher._figures.text().count(":1|c") == 2  # answered and sent there
-            await wait_until(lambda: old.dispatcher._service.succeeded)
+            assert new.dispatcher._stats.text().count(":1|c") == 2  # answered and sent there
+            await wait_until(lambda: old.dispatcher._service.is_handed_over)
             assert new.dispatcher._decisions._policy.firsts["page", None] > 0.9  # what was learned before
             assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""
             assert (await call(old, "readiness"))[0] == 503
-            assert new.dispatcher._endpoints.most == old.dispatcher._endpoints.most  # half for each
+            assert (
+                new.dispatcher._endpoints.max_connections == old.dispatcher._endpoints.max_connections
+            )  # half for each
             # Its jobs still run, and a yes would be the sign to end it.
             assert await call(new, "readiness") == (503, "taking over\n")
             assert (await new.exchange(await new.connect(), READY))[0] == 200
@@ -251,7 +256,9 @@
             assert b"late" in await asyncio.wait_for(busy[0].read(), LIMIT)
             await asyncio.wait_for(old.dispatcher.wait_drained(), LIMIT)
             await old.dispatcher.close()
-            await wait_until(lambda: new.dispatcher._endpoints.most > old.dispatcher._endpoints.most)
+            await wait_until(
+                lambda: new.dispatcher._endpoints.max_connections > old.dispatcher._endpoints.max_connections
+            )
             assert (await call(new, "readiness"))[0] == 200
             assert (await new.send_request())[0] == 200
 
@@ -268,7 +275,7 @@
             await new.dispatcher.close()
             assert (await old.exchange(streams, old.request()))[0] == 200
             assert (await old.exchange(await old.connect(), READY))[0] == 200
-            assert not old.dispatcher._service.succeeded
+            assert not old.dispatcher._service.is_handed_over
 
     play(story())
 
@@ -292,7 +299,7 @@
             assert len(await asyncio.to_thread(peer.recv, 512)) == 4  # word of that job
             host, _, port = places[0].partition(":")
             discovery.say(7, st.target_entry("s-0", endpoint.address), whole=True)
-            await wait_until(lambda: old.dispatcher._service.succeeded)
+            await wait_until(lambda: old.dispatcher._service.is_handed_over)
             for serial in range(20):  # all of it reaches the new one alone, while the old one still runs
                 peer.sendto(b"odd" + bytes([serial]), (host, int(port)))
             await wait_until(lambda: new_peers.dropped.total() == 20)
@@ -314,8 +321,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery is down as well: the list stays as old as the file, and the yes comes all the same."""
-    monkeypatch.setattr(dispatcher, "CURRENT_LIMIT", timedelta(milliseconds=50))
-    monkeypatch.setattr(dispatcher, "HANDOVER_LIMIT", timedelta(milliseconds=100))
+    monkeypatch.setattr(dispatcher, "UP_TO_DATE_TIMEOUT", timedelta(milliseconds=50))
+    monkeypatch.setattr(dispatcher, "HANDOVER_TIMEOUT", timedelta(milliseconds=100))
 
     async def story() -> None:
         endpoint = ScriptedWorker(st.silent)
@@ -337,7 +344,7 @@
             discovery.say(7, whole=True)
             await wait_until(lambda: new.dispatcher._destinations.revision == 7)
             await asyncio.sleep(0.1)
-            assert old.dispatcher._service.ready and not old.dispatcher._service.succeeded
+            assert old.dispatcher._service.is_ready and not old.dispatcher._service.is_handed_over
             assert (await old.send_request())[0] == 200
 
     play(story())
@@ -349,7 +356,7 @@
     async def story() -> None:
         async with start_dispatcher(tmp_path, mgmt=MGMT) as first:
             with pytest.raises(OSError):
-                async with start_dispatcher(tmp_path, mgmt=f"127.0.0.1:{first.dispatcher.mgmt}"):
+                async with start_dispatcher(tmp_path, mgmt=f"127.0.0.1:{first.dispatcher.management_port}"):
                     pass
 
     play(story())
@@ -359,7 +366,7 @@
 def test_unsound_memory_of_the_old_process_stops_no_start(tmp_path: Path, text: str) -> None:
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
-            s.dispatcher._recall(text.encode())
+            s.dispatcher._restore_learned_state(text.encode())
             assert (await s.send_request())[0] == 200
 
     play(story())
@@ -369,7 +376,7 @@
 def test_what_a_process_left_behind_stops_no_start(
     tmp_path: Path, left: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "ANSWER_LIMIT", timedelta(milliseconds=100))
+    monkeypatch.setattr(handover, "RESPONSE_TIMEOUT", timedelta(milliseconds=100))
     place = tmp_path / "rookwood-n0.sock"
 
     async def story() -> None:
@@ -392,7 +399,7 @@
     async def story() -> None:
         other = start_dispatcher(tmp_path, tmpdir=tmp_path, listen="127.0.0.2:0")
         async with start_dispatcher(tmp_path, tmpdir=tmp_path) as first, other as second:
-            assert second.dispatcher._service.ready and not first.dispatcher._service.succeeded
+            assert second.dispatcher._service.is_ready and not first.dispatcher._service.is_handed_over
 
     play(story())
 
@@ -432,7 +439,13 @@
 
 @pytest.mark.parametrize("sockets", [64, 128, 192, 384, 1024])
 def test_descriptors_dealt_out_are_no_more_than_there_are(sockets: int) -> None:
-    room = room_of(sockets)
-    kept = BASE + CALL_ACCEPTS + room.callers + room.accepts + room.spare
-    assert kept + 2 * room.half <= sockets
-    assert room.half >= sockets // 4
+    room = divide_descriptors(sockets)
+    kept = (
+        RESERVED_DESCRIPTORS
+        + MANAGEMENT_ACCEPT_BATCH
+        + room.management_connections
+        + room.accept_batch
+        + room.excess_clients
+    )
+    assert kept + 2 * room.per_side <= sockets
+    assert room.per_side >= sockets // 4
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 import pytest
 
 from rookwood.net import inbound, request
-from rookwood.net.endpoints import History
+from rookwood.net.endpoints import ReuseHistory
 from tests import stage as st
 from tests.stage import LIMIT, Script, ScriptedWorker, start_dispatcher, wait_until
 from tests.test_stories import POST, READY, play
@@ -22,7 +22,7 @@
     tmp_path: Path, data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Counted from connecting: what drips in does not buy more time."""
-    monkeypatch.setattr(inbound, "FIRST_LIMIT", timedelta(milliseconds=200))
+    monkeypatch.setattr(inbound, "FIRST_REQUEST_TIMEOUT", timedelta(milliseconds=200))
 
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
@@ -66,11 +66,11 @@
             held = [await s.connect() for _ in range(2)]
             for _, writer in held:
                 writer.write(request[:-1])
-            await wait_until(lambda: s.dispatcher._inbound._bytes_left == 0)
+            await wait_until(lambda: s.dispatcher._inbound._body_bytes_left == 0)
             assert (await s.send_request(body=b"x"))[0] == 503
             for _, writer in held:
                 writer.close()
-            await wait_until(lambda: s.dispatcher._inbound._bytes_left == 2 * 65536)
+            await wait_until(lambda: s.dispatcher._inbound._body_bytes_left == 2 * 65536)
             assert (await s.send_request(body=b"x"))[0] == 200
 
     play(story())
@@ -153,14 +153,14 @@
 
 
 def test_kept_connections_are_trusted_again_once_they_hold() -> None:
-    history, start = History(), datetime(2026, 1, 1, tzinfo=UTC)
+    history, start = ReuseHistory(), datetime(2026, 1, 1, tzinfo=UTC)
     short, middle, long = (timedelta(milliseconds=n) for n in (40, 400, 4000))
     for age in (short, middle, long):
-        history.add(age, False, start)
-    history.add(middle, True, start)
-    assert [history.risky(age, start) for age in (short, middle, long)] == [False, True, True]
+        history.record_use(age, False, start)
+    history.record_use(middle, True, start)
+    assert [history.is_risky(age, start) for age in (short, middle, long)] == [False, True, True]
     later = start + timedelta(minutes=2)
-    assert not history.risky(long, later)
+    assert not history.is_risky(long, later)
 
 
 def test_lack_of_descriptors_here_costs_no_endpoint_its_trust(
@@ -168,7 +168,7 @@
 ) -> None:
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
-            monkeypatch.setattr(s.dispatcher._endpoints, "most", 0)
+            monkeypatch.setattr(s.dispatcher._endpoints, "max_connections", 0)
             status, headers, _ = await s.send_request("/unlock")
             assert (status, "retry-after" in headers) == (503, True)
             assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
@@ -180,13 +180,13 @@
 def test_request_that_came_late_is_answered_before_the_program_is_killed(
     tmp_path: Path, path: str, scripts: list[Script], status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(request, "EXCUSED", timedelta(0))
+    monkeypatch.setattr(request, "SHUTDOWN_GRACE", timedelta(0))
 
     async def story() -> None:
         endpoints = [ScriptedWorker(*scripts)] if scripts else []
         async with start_dispatcher(tmp_path, *endpoints) as s:
             clock = s.dispatcher._clock
-            s.dispatcher._requests.leave(clock.now() + timedelta(milliseconds=300))
+            s.dispatcher._requests.begin_shutdown(clock.now() + timedelta(milliseconds=300))
             start = clock.now()
             found, headers, _ = await s.send_request(path)
             assert (found, "retry-after" in headers) == (status, status == 503)
@@ -205,7 +205,7 @@
             environ = st.environment(tmp_path, [], first) | {"PROXY_DISCOVERY": first}
             place = tmp_path / "config.json"
             data = json.loads(place.read_text())
-            async with st.running(environ) as (child, _, _):
+            async with st.dispatcher_process(environ) as (child, _, _):
                 assert child.stderr
                 await wait_until(lambda: len(old.asked) == 1)
                 place.write_text(json.dumps(data | {"discovery": second}))
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -18,8 +18,8 @@
 from rookwood import interface as api
 from rookwood.net import destinations, endpoints
 from rookwood.net.clock import EPOCH, Clock
-from rookwood.net.destinations import LONGEST_PAUSE, PAUSE, Pace
-from rookwood.net.endpoints import Endpoints, WorkerRequest
+from rookwood.net.destinations import MAX_RETRY_DELAY, RETRY_DELAY, RetryPacer
+from rookwood.net.endpoints import EndpointPool, WorkerRequest
 from rookwood.net.policy_driver import AttemptOutcome, PolicyDriver
 from tests import stage as st
 from tests.stage import LIMIT, SETTINGS, Script, ScriptedWorker, start_dispatcher, wait_until
@@ -45,11 +45,11 @@
         ("/unlock", [st.ends("failed"), st.served], 502, 1),
         ("/unlock", [st.status(500), st.served], 502, 1),
         ("/unlock", [st.status(503), st.served], 502, 1),
-        ("/unlock", [st.answers(st.HEAD + b"3\r\n{}\n\r\n0\r\n\r\n"), st.served], 502, 1),
-        ("/unlock", [st.answers(st.HEAD + b"4\r\nodd\n\r\n0\r\n\r\n"), st.served], 502, 1),
-        ("/unlock", [st.answers(st.HEAD + b"0\r\n\r\n"), st.served], 502, 1),
-        ("/unlock", [st.answers(DEEP), st.served], 502, 1),  # more than the stack holds
-        ("/unlock", [st.answers(b"HTTP/9 what\r\n\r\n"), st.served], 502, 1),
+        ("/unlock", [st.writes(st.HEAD + b"3\r\n{}\n\r\n0\r\n\r\n"), st.served], 502, 1),
+        ("/unlock", [st.writes(st.HEAD + b"4\r\nodd\n\r\n0\r\n\r\n"), st.served], 502, 1),
+        ("/unlock", [st.writes(st.HEAD + b"0\r\n\r\n"), st.served], 502, 1),
+        ("/unlock", [st.writes(DEEP), st.served], 502, 1),  # more than the stack holds
+        ("/unlock", [st.writes(b"HTTP/9 what\r\n\r\n"), st.served], 502, 1),
         ("/unlock", [st.ends("done", id="another", result="x"), st.served], 502, 1),
         ("/unlock", [st.ends("done"), st.served], 502, 1),  # done, but without a result
         # What never ran may go elsewhere.
@@ -91,7 +91,7 @@
 ) -> None:
     async def story() -> None:
         endpoint = ScriptedWorker(st.ends("returned"), st.served)
-        roster = st.lane("roster", "keyed", group="zone", window=30_000_000)
+        roster = st.job_class("roster", "keyed", group="zone", window=30_000_000)
         lanes = [*SETTINGS["lanes"], roster]
         async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"lanes": lanes}) as s:
             more = b"".join(b"idempotency-KEY: %s\r\n" % value for value in values)
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "connections"), [(st.served, 1), (st.serves_and_closes, 2), (st.serves_and_babbles, 2)]
+    ("first", "connections"), [(st.served, 1), (st.serves_and_closes, 2), (st.serves_and_writes_more, 2)]
 )
 def test_connection_is_kept_only_while_it_is_open_and_quiet(
     tmp_path: Path, first: Script, connections: int
@@ -307,10 +307,12 @@
             for streams in kept:
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     assert (await s.exchange(streams, s.request()))[0] in (200, 503)
-            await wait_until(lambda: len(s.dispatcher._inbound._open) <= s.dispatcher._inbound.most)
+            await wait_until(
+                lambda: len(s.dispatcher._inbound._streams) <= s.dispatcher._inbound.max_connections
+            )
             for streams in kept:
                 streams[1].close()
-            await wait_until(lambda: not s.dispatcher._inbound._open)
+            await wait_until(lambda: not s.dispatcher._inbound._streams)
             assert (await s.send_request())[0] == 200
 
     play(story())
@@ -443,22 +445,24 @@
 
 def test_discovery_that_all_ask_is_asked_again_spread_and_the_less_the_slower_it_is() -> None:
     second = timedelta(seconds=1)
-    agent = Pace(asked=False, seed=1)
-    assert {agent.after(n * second, heard=False) for n in range(5)} == {PAUSE}
-    firsts = [Pace(True, seed).after(second / 10, heard=True) for seed in range(200)]
-    assert len({round(first / PAUSE, 1) for first in firsts}) > 15 and max(firsts) <= 2 * PAUSE
+    agent = RetryPacer(asked=False, seed=1)
+    assert {agent.delay_after(n * second, heard=False) for n in range(5)} == {RETRY_DELAY}
+    firsts = [RetryPacer(True, seed).delay_after(second / 10, heard=True) for seed in range(200)]
+    assert len({round(first / RETRY_DELAY, 1) for first in firsts}) > 15 and max(firsts) <= 2 * RETRY_DELAY
     for seed in range(50):
-        pace = Pace(True, seed)
-        assert all(PAUSE / 4 <= pace.after(n * second, heard=False) <= LONGEST_PAUSE for n in range(20))
-        assert pace.after(second / 10, heard=True) <= 2 * PAUSE  # one word, and it is well again
-    slow = [Pace(True, seed).after(second, heard=True) for seed in range(200)]
+        pace = RetryPacer(True, seed)
+        assert all(
+            RETRY_DELAY / 4 <= pace.delay_after(n * second, heard=False) <= MAX_RETRY_DELAY for n in range(20)
+        )
+        assert pace.delay_after(second / 10, heard=True) <= 2 * RETRY_DELAY  # one word, and it is well again
+    slow = [RetryPacer(True, seed).delay_after(second, heard=True) for seed in range(200)]
     assert sum(slow, timedelta()) > 4 * sum(firsts, timedelta())
 
 
 def test_discovery_that_all_ask_may_take_its_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """An agent that does not answer at once is down. A service is full: asking anew would fill it more."""
-    monkeypatch.setattr(destinations, "FIRST_WORD_LIMIT", timedelta(milliseconds=30))
-    monkeypatch.setattr(destinations, "PAUSE", timedelta(milliseconds=1))
+    monkeypatch.setattr(destinations, "FIRST_RESPONSE_TIMEOUT", timedelta(milliseconds=30))
+    monkeypatch.setattr(destinations, "RETRY_DELAY", timedelta(milliseconds=1))
 
     async def story() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -491,7 +495,7 @@
     async def story() -> None:
         endpoint, clock = ScriptedWorker(st.served), Clock()
         async with st.listening(endpoint) as address:
-            pool = Endpoints(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
+            pool = EndpointPool(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
             result = await pool.attempt(
                 WorkerRequest("a", b"/page", "api", None, b""),
                 address,
@@ -502,34 +506,34 @@
                 repeatable=True,
             )
             await pool.close()
-            assert (result.end, endpoint.seen) == (AttemptOutcome.NEVER_SENT, [])
+            assert (result.outcome, endpoint.seen) == (AttemptOutcome.NOT_SENT, [])
 
     play(story())
 
 
 def test_sweep_leaves_no_connection_in_two_hands(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new list made by the sweep left the old one in the hands of who was just taking from it."""
-    monkeypatch.setattr(endpoints, "SWEEP", timedelta(0))
+    monkeypatch.setattr(endpoints, "SWEEP_INTERVAL", timedelta(0))
 
     async def story() -> None:
         endpoint, clock = ScriptedWorker(st.served), Clock()
         async with st.listening(endpoint) as address:
-            pool = Endpoints(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
+            pool = EndpointPool(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
             outgoing = WorkerRequest("a", b"/page", "api", None, b"")
             last = clock.now() + timedelta(seconds=LIMIT)
             words = (outgoing, address, last, lambda: True, lambda stage: None, lambda: None, True)
             tries = (pool.attempt(*words) for _ in range(3))
-            assert {result.end for result in await asyncio.gather(*tries)} == {AttemptOutcome.SERVED}
+            assert {result.outcome for result in await asyncio.gather(*tries)} == {AttemptOutcome.SERVED}
             assert len(pool._idle[address]) == 3
             sweep = asyncio.create_task(pool.sweep())
             await asyncio.sleep(0)
             pool._idle[address][-1].idle_since = EPOCH  # too old: `_idle_one` closes it and goes on
-            first, second = await pool._idle_one(address), await pool._idle_one(address)
+            first, second = await pool._take_idle(address), await pool._take_idle(address)
             assert first and second and first is not second
             sweep.cancel()
             for connection in (first, second):
                 await pool._close(connection)
-            assert pool._count == 0
+            assert pool._connection_count == 0
 
     play(story())
 
@@ -539,7 +543,7 @@
 
     class Stopped(Clock):
         def now(self) -> datetime:
-            return self._start
+            return self._wall_start
 
     async def story() -> None:
         decisions, told = PolicyDriver(api.Settings(classes=()), 1, Stopped()), list[tuple[int, api.Event]]()
@@ -549,7 +553,7 @@
             return [api.SetTimer(5, 1000)] if len(told) == 1 else []
 
         decisions._policy.handle = handle  # type: ignore[method-assign]
-        decisions.feed(api.RequestAbandoned(1))
+        decisions.handle_event(api.RequestAbandoned(1))
         await wait_until(lambda: len(told) == 2)
         assert told[1] == (told[0][0] + 1000, api.Timer(5))
 
@@ -561,7 +565,7 @@
         endpoint = ScriptedWorker(st.silent, st.served)
         async with st.listening(endpoint) as address, st.listening(st.Discovery()) as discovery:
             listed = [st.target_entry("s-0", address)]
-            async with st.running(st.environment(tmp_path, listed, discovery)) as (child, s, _):
+            async with st.dispatcher_process(st.environment(tmp_path, listed, discovery)) as (child, s, _):
                 assert child.stderr
                 idle = await s.connect()
                 first = asyncio.ensure_future(s.send_request())
