--- a/rookwood/gateway/gate.py
+++ b/rookwood/gateway/gate.py
@@ -234,7 +234,7 @@
                     outbound.tick()
                 if now >= ping_at:
                     ping_at = now + s.keepalive
-                    self._pressure = self._core.decisions.pressure()
+                    self._pressure = self._core.decisions.site_load()
                     speaks = self._core.dispatcher_group.holds_duty(LENDING) is not False
                     self._guests.deal(self._lender.update(now, self._pressure, self._guests.slots, speaks))
                     self._guests.ping()
@@ -252,7 +252,7 @@
     def _match(self) -> None:
         """Hands over what waits and may cross."""
         self._woken = False
-        now, told = self._core.clock.now(), self._core.decisions.pressure()
+        now, told = self._core.clock.now(), self._core.decisions.site_load()
         held = [way for way in self._ways.values() if way.ticket and way.ticket.is_waiting]
         by_peer = {id(outbound.peer): outbound for outbound in self._outbound}
         peers = [outbound.peer for outbound in self._outbound]
--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -107,7 +107,9 @@
         self._peers = Peers(self._decisions, config.peer_listen, config.peers)
         self._service = ServiceState(clock)
         classes = frozenset(c.name for c in config.settings.classes)
-        self._stats = RequestStats(classes, lambda: self._decisions.open_requests, self._decisions.cluster)
+        self._stats = RequestStats(
+            classes, lambda: self._decisions.open_requests, self._decisions.cluster_health
+        )
         self._stats.extra_sources.append(self._destinations.stats_lines)
         parts = (self._decisions, self._destinations, self._endpoints, self._stats)
         self._requests = RequestHandler(clock, *parts, longest or None)
@@ -196,7 +198,7 @@
         return port
 
     def _apply_destinations(self, told: DestinationUpdate, kept: bool) -> None:
-        self._peers.learn(told, kept)
+        self._peers.add_workers(told, kept)
         for front in self._extensions:
             told = front.filter_update(told, kept)
         self._decisions.update_workers(told, kept)
--- a/rookwood/net/peers.py
+++ b/rookwood/net/peers.py
@@ -79,7 +79,7 @@
         except OSError as error:
             complain("no hints between dispatchers: %s", error)
             return False
-        self._decisions.tell = self._send_hints
+        self._decisions.send_hints = self._send_hints
         return True
 
     async def _retry_bind(self) -> None:
@@ -88,7 +88,7 @@
             if await self._bind(log.debug):
                 return
 
-    def learn(self, told: DestinationUpdate, kept: bool) -> None:
+    def add_workers(self, told: DestinationUpdate, kept: bool) -> None:
         self._codec.add_workers((endpoint.uid for endpoint in told.endpoints), told.is_full or kept)
 
     def _send_hints(self, to: Sequence[int], hints: Sequence[Hint]) -> None:
@@ -114,7 +114,7 @@
             self.dropped[str(odd)[:40] if number is not None else "of a stranger"] += 1
             return
         try:
-            self._decisions.heard(number or 0, hints)
+            self._decisions.receive_hints(number or 0, hints)
         except Exception:
             log.exception("a hint failed")
 
--- a/rookwood/net/policy_driver.py
+++ b/rookwood/net/policy_driver.py
@@ -249,7 +249,7 @@
         self.on_attempt_ended: Callable[[str, AttemptOutcome], None] = (
             lambda uid, end: None
         )  # how each attempt ended, and where
-        self.tell: Callable[[Sequence[int], Sequence[api.Hint]], None] = lambda to, hints: None
+        self.send_hints: Callable[[Sequence[int], Sequence[api.Hint]], None] = lambda to, hints: None
         self.unsafe_classes = frozenset(
             c.name for c in settings.classes if c.repeat is not api.RetrySafety.SAFE
         )
@@ -275,10 +275,10 @@
     def restore_learned_state(self, memory: dict[str, Any]) -> None:
         restore_learned_state(self._policy, memory, self._last_event_us)
 
-    def pressure(self) -> api.SiteLoad:
+    def site_load(self) -> api.SiteLoad:
         return pressure(self._policy)
 
-    def cluster(self) -> api.ClusterHealth:
+    def cluster_health(self) -> api.ClusterHealth:
         return self._policy.cluster_health()
 
     def close(self) -> None:
@@ -300,7 +300,7 @@
     def record_probe(self, uid: str, end: AttemptOutcome, load: LoadReport | None) -> None:
         self.handle_event(api.ProbeResult(uid, POLICY_OUTCOMES[end], load_values(load)))
 
-    def heard(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
+    def receive_hints(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
         self.handle_event(api.HintsReceived(sender, hints))
 
     def admit(self, job: RequestProfile) -> Ticket:
@@ -346,7 +346,7 @@
                 case api.Probe(uid):
                     self.start_probe(uid)
                 case api.SendHints(to, hints):
-                    self.tell(to, hints)
+                    self.send_hints(to, hints)
                 case api.Cancel() | api.Subscribe():
                     pass  # an abandoned attempt is ended by its request; the watch is always on
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -65,7 +65,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def ends(state: str, **more: Any) -> Script:
+def ends_with(state: str, **more: Any) -> Script:
     async def script(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
         last = status_line(more.pop("id", request_id), state, **more)
         writer.write(HEAD + status_line(request_id, "started") + last + b"0\r\n\r\n")
@@ -87,31 +87,31 @@
     return writes(f"HTTP/1.1 {code} X\r\n{more}Content-Length: 0\r\n\r\n".encode())
 
 
-async def breaks(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def breaks_off(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     writer.write(HEAD + status_line(request_id, "started"))
     return False
 
 
-async def silent(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def never_responds(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     await endpoint.resume.wait()
     writer.write(HEAD + status_line(request_id, "done", result="late") + b"0\r\n\r\n")
     return True
 
 
 async def serves_and_closes(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
-    await served(endpoint, writer, request_id)
+    await serves(endpoint, writer, request_id)
     return False
 
 
 async def serves_and_writes_more(
     endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
 ) -> bool:
-    await served(endpoint, writer, request_id)
+    await serves(endpoint, writer, request_id)
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     return True
 
 
-served = ends("done", result="page")
+serves = ends_with("done", result="page")
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
@@ -130,7 +130,7 @@
 
     def __init__(self, *scripts: Script) -> None:
         self.scripts, self.address = list(scripts), ""
-        self.seen: list[str] = []  # the path of each request that came in whole
+        self.paths: list[str] = []  # the path of each request that came in whole
         self.headers: list[dict[str, str]] = []
         self.connections, self.closed = 0, asyncio.Event()
         self.resume = asyncio.Event()
@@ -147,15 +147,15 @@
                     writer.write(self.load)
                     continue
                 script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
-                self.seen.append(start.split()[1])
+                self.paths.append(start.split()[1])
                 self.headers.append(headers)
                 playing = asyncio.ensure_future(script(self, writer, headers["request-id"]))
-                watching = asyncio.ensure_future(reader.read(1)) if script is silent else playing
+                watching = asyncio.ensure_future(reader.read(1)) if script is never_responds else playing
                 await asyncio.wait((playing, watching), return_when=asyncio.FIRST_COMPLETED)
-                if script is silent and watching.done():
+                if script is never_responds and watching.done():
                     playing.cancel()
                     break
-                if script is silent:
+                if script is never_responds:
                     watching.cancel()
                     await asyncio.gather(watching, return_exceptions=True)
                 if not await playing:
@@ -165,19 +165,19 @@
 
 
 class Discovery:
-    """Answers every question with what `say` puts in; silent until then. None breaks a watch off."""
+    """Answers every question with what `send_update` puts in; silent until then. None breaks a watch off."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.targets: list[str] = []
         self.lines: asyncio.Queue[bytes | None] = asyncio.Queue()
 
-    def say(self, rev: int, *entries: dict[str, Any], whole: bool = False) -> None:
+    def send_update(self, rev: int, *entries: dict[str, Any], whole: bool = False) -> None:
         self.lines.put_nowait(json.dumps({"rev": rev, "all": whole, "targets": entries}).encode() + b"\n")
 
     async def listen(self, reader: asyncio.StreamReader) -> str:
         start, _, _ = await read_message(reader)
-        self.asked.append(start.split()[1])
-        return self.asked[-1]
+        self.targets.append(start.split()[1])
+        return self.targets[-1]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -245,7 +245,7 @@
     folder: Path,
     *endpoints: ScriptedWorker,
     tmpdir: Path | None = None,
-    fronts: tuple[Callable[[DispatcherContext], Extension], ...] = (),
+    extensions: tuple[Callable[[DispatcherContext], Extension], ...] = (),
     **changes: Any,
 ) -> AsyncIterator[DispatcherFixture]:
     async with contextlib.AsyncExitStack() as stack:
@@ -255,7 +255,7 @@
         where = await stack.enter_async_context(listening(discovery))
         listed = [target_entry(f"s-{n}", endpoint.address) for n, endpoint in enumerate(endpoints)]
         environ = environment(folder, listed, where, **changes)
-        dispatcher = Dispatcher(load(environ | ({"TMPDIR": str(tmpdir)} if tmpdir else {})), *fronts)
+        dispatcher = Dispatcher(load(environ | ({"TMPDIR": str(tmpdir)} if tmpdir else {})), *extensions)
         stack.push_async_callback(dispatcher.close)
         yield DispatcherFixture(dispatcher, await dispatcher.start(), discovery)
 
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -97,11 +97,11 @@
 
 
 SCRIPTS = {
-    "done": scripted.ends("done", result="page", load={"x0": 3, "util": 0.5}),
-    "failed": scripted.ends("failed"),
-    "lost": scripted.ends("lost"),
-    "returned": scripted.ends("returned"),
-    "breaks": scripted.breaks,
+    "done": scripted.ends_with("done", result="page", load={"x0": 3, "util": 0.5}),
+    "failed": scripted.ends_with("failed"),
+    "lost": scripted.ends_with("lost"),
+    "returned": scripted.ends_with("returned"),
+    "breaks": scripted.breaks_off,
     "turned away": scripted.status(503, "Not-Started: 1", "Server-Load: x0=0,util=1"),
     "error": scripted.status(500),
     "closes": scripted.serves_and_closes,
@@ -131,8 +131,8 @@
         assert set(found) <= {200, 502, 503, 504}
         ran = Counter[str]()
         for n, box in enumerate(boxes):
-            played = names[n::2] + names[n::2][-1:] * len(box.seen)
-            for head, path, name in zip(box.headers, box.seen, played, strict=False):
+            played = names[n::2] + names[n::2][-1:] * len(box.paths)
+            for head, path, name in zip(box.headers, box.paths, played, strict=False):
                 assert head["idempotency-key"] == "k"
                 lane = next(lane for lane in lanes if path.startswith(f"/{lane['name']}?"))
                 if lane["repeat"] == "unsafe" and name not in NEVER_RAN:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -75,7 +75,7 @@
         made.append(front_of(operator, place)(core))
         return made[0]
 
-    async with start_dispatcher(folder, *endpoints, name=name, fronts=(front,)) as s:
+    async with start_dispatcher(folder, *endpoints, name=name, extensions=(front,)) as s:
         yield Site(s, made[0])
 
 
@@ -110,16 +110,16 @@
 @pytest.mark.parametrize("path", ["/page?k=7", "/unlock?k=7"])
 def test_job_that_waits_crosses_and_comes_back(tmp_path: Path, path: str, weather: Weather) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.served)
+        box = ScriptedWorker(st.serves)
         async with sites(tmp_path, box, weather=weather) as s:
             more = b"Idempotency-Key: a\r\nIdempotency-Key: \xff\r\n"
             answers = await asyncio.gather(*(s.home.stage.send_request(path, more=more) for _ in range(8)))
             found = [(status, body) for status, _, body in answers]
             # Over a link that loses frames an offer may be taken back unrun; it crosses once, and is refused.
             lost = found.count((503, b"refused\n")) if weather.loss else 0
-            assert found.count((200, b"page")) == 8 - lost == len(box.seen) and lost < 8
+            assert found.count((200, b"page")) == 8 - lost == len(box.paths) and lost < 8
             assert {headers["idempotency-key"] for headers in box.headers} == {"a|\xff"}
-            assert len({headers["request-id"] for headers in box.headers}) == len(box.seen) == 8 - lost
+            assert len({headers["request-id"] for headers in box.headers}) == len(box.paths) == 8 - lost
             assert s.home.figures["far.f0.brought"] == 8 - lost and s.home.figures["far.f0.out"] == 0
             assert s.far.figures["guests.served"] == 8 - lost
             await wait_until(lambda: not s.home.gateway._outbound[0]._jobs)  # and nothing is kept
@@ -129,11 +129,11 @@
 
 def test_job_that_home_can_place_stays(tmp_path: Path) -> None:
     async def story() -> None:
-        near, far = ScriptedWorker(st.served), ScriptedWorker(st.served)
+        near, far = ScriptedWorker(st.serves), ScriptedWorker(st.serves)
         async with sites(tmp_path, far, home=(near,)) as s:
             for _ in range(5):
                 assert (await s.home.stage.send_request())[0] == 200
-            assert (len(near.seen), len(far.seen)) == (5, 0)
+            assert (len(near.paths), len(far.paths)) == (5, 0)
 
     play(story())
 
@@ -144,13 +144,13 @@
     async def story() -> None:
         # As a site that has just lost its endpoints would say: without any it lends nothing.
         monkeypatch.setattr(Lender, "update", lambda *_: 8.0)
-        async with sites(tmp_path) as s, st.listening(box := ScriptedWorker(st.served)) as address:
+        async with sites(tmp_path) as s, st.listening(box := ScriptedWorker(st.serves)) as address:
             asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=7"))
             await wait_until(lambda: s.home.figures["far.f0.promised"] >= 1)
             assert s.far.figures["guests.promised_back"] >= 1
             assert all(outbound.counts["lent"] == 0 for outbound in s.far.gateway._outbound)
-            s.home.stage.discovery.say(2, target_entry("n-1", address))
-            assert (await asking)[0] == 200 and len(box.seen) == 1
+            s.home.stage.discovery.send_update(2, target_entry("n-1", address))
+            assert (await asking)[0] == 200 and len(box.paths) == 1
 
     play(story())
 
@@ -161,46 +161,46 @@
 @pytest.mark.parametrize("path", ["/page?k=7", "/unlock?k=7"])
 def test_cut_link_brings_a_safe_job_home_and_runs_no_unsafe_one_twice(tmp_path: Path, path: str) -> None:
     async def story() -> None:
-        far, near = ScriptedWorker(st.silent), ScriptedWorker(st.served)
+        far, near = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
         async with sites(tmp_path, far, lines=(*PLAIN, "lease 400ms")) as s:
             asking = asyncio.create_task(s.home.stage.send_request(path, timeout=5.0))
-            await wait_until(lambda: len(far.seen) == 1)
+            await wait_until(lambda: len(far.paths) == 1)
             s.weather.cut = True
             async with st.listening(near) as address:
-                s.home.stage.discovery.say(2, target_entry("n-1", address))
+                s.home.stage.discovery.send_update(2, target_entry("n-1", address))
                 status, _, body = await asking
             if path.startswith("/page"):
                 assert (status, body) == (200, b"page")
                 assert far.closed.is_set(), "the far attempt was closed before the one at home began"
             else:
-                assert status == 504 and near.seen == []
+                assert status == 504 and near.paths == []
 
     play(story())
 
 
 def test_healed_link_brings_the_result_of_an_unsafe_job(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.silent)
+        box = ScriptedWorker(st.never_responds)
         async with sites(tmp_path, box, lines=(*PLAIN, "lease 300ms", "reconnect 20ms")) as s:
             asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=7"))
-            await wait_until(lambda: len(box.seen) == 1)
+            await wait_until(lambda: len(box.paths) == 1)
             s.weather.cut = True
             await wait_until(lambda: s.home.figures["far.f0.up"] == 0)
             box.resume.set()
             await wait_until(lambda: s.far.figures["guests.served"] == 1)
             s.weather.cut = False
-            assert (await asking)[::2] == (200, b"late") and len(box.seen) == 1
+            assert (await asking)[::2] == (200, b"late") and len(box.paths) == 1
 
     play(story())
 
 
 def test_client_that_leaves_frees_the_far_slot(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.silent)
+        box = ScriptedWorker(st.never_responds)
         async with sites(tmp_path, box) as s:
             streams = await s.home.stage.connect()
             streams[1].write(s.home.stage.request("/unlock?k=7"))
-            await wait_until(lambda: len(box.seen) == 1)
+            await wait_until(lambda: len(box.paths) == 1)
             streams[1].close()
             await asyncio.wait_for(box.closed.wait(), LIMIT)
             await wait_until(lambda: s.far.figures["guests.current"] == 0)
@@ -214,7 +214,7 @@
     can come any more. A safe one comes home once the former life's lease has run out."""
 
     async def story() -> None:
-        box, near = ScriptedWorker(st.silent), ScriptedWorker(st.served)
+        box, near = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
         fast = (*PLAIN, "lease 400ms", "reconnect 20ms")
         async with site(tmp_path / "far", box, peers={"n0": CLOSED}, name="f0", lines=fast) as far:
             port = far.gateway.port
@@ -225,15 +225,15 @@
             ):
                 await wait_until(lambda: home.gateway._outbound[0].peer.credit > 0)
                 asking = asyncio.create_task(home.stage.send_request(path, timeout=6.0))
-                await wait_until(lambda: len(box.seen) == 1)
+                await wait_until(lambda: len(box.paths) == 1)
                 await far.stage.dispatcher.close()
                 place = operators_file(tmp_path / "again", "far", "f0", {"n0": CLOSED}, *fast)
                 place.write_text(place.read_text().replace("127.0.0.1:0", f"127.0.0.1:{port}"))
-                home.stage.discovery.say(2, target_entry("n-1", at))
+                home.stage.discovery.send_update(2, target_entry("n-1", at))
                 again = front_of(load(place).operator, place)
-                async with start_dispatcher(tmp_path / "again", name="f0", fronts=(again,)):
+                async with start_dispatcher(tmp_path / "again", name="f0", extensions=(again,)):
                     assert (await asking)[0] == status
-                assert (len(box.seen), len(near.seen)) == (1, 1 if status == 200 else 0)
+                assert (len(box.paths), len(near.paths)) == (1, 1 if status == 200 else 0)
 
     play(story())
 
@@ -243,29 +243,29 @@
 
 def test_far_box_that_drains_gets_nothing_though_its_own_site_has_not_heard(tmp_path: Path) -> None:
     async def story() -> None:
-        drained, other = ScriptedWorker(st.served), ScriptedWorker(st.served)
+        drained, other = ScriptedWorker(st.serves), ScriptedWorker(st.serves)
         async with sites(tmp_path, drained, other) as s:
             near = s.home.stage.discovery
-            near.say(2, target_entry("s-0", drained.address) | {"az": "far"})
-            near.say(3, target_entry("s-0", drained.address, "draining") | {"az": "far"})
+            near.send_update(2, target_entry("s-0", drained.address) | {"az": "far"})
+            near.send_update(3, target_entry("s-0", drained.address, "draining") | {"az": "far"})
             await wait_until(lambda: s.far.gateway._far.since("s-0") is not None)
             answers = await asyncio.gather(*(s.home.stage.send_request(f"/page?k={n}") for n in range(12)))
             assert {status for status, _, _ in answers} == {200}
-            assert (len(drained.seen), len(other.seen)) == (0, 12)
-            near.say(4, target_entry("s-0", drained.address) | {"az": "far"})
+            assert (len(drained.paths), len(other.paths)) == (0, 12)
+            near.send_update(4, target_entry("s-0", drained.address) | {"az": "far"})
             await wait_until(lambda: s.far.gateway._far.since("s-0") is None)
             await asyncio.gather(*(s.home.stage.send_request(f"/page?k={n}") for n in range(12)))
-            assert drained.seen, "taken back, it is used again"
+            assert drained.paths, "taken back, it is used again"
 
     play(story())
 
 
 def test_draining_gateway_lends_nothing_and_ends_what_it_has(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.silent)
+        box = ScriptedWorker(st.never_responds)
         async with sites(tmp_path, box) as s:
             asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=7"))
-            await wait_until(lambda: len(box.seen) == 1)
+            await wait_until(lambda: len(box.paths) == 1)
             s.far.stage.dispatcher.begin_shutdown()
             await wait_until(lambda: s.home.gateway._outbound[0].peer.credit == 0)
             leaving = asyncio.create_task(s.far.stage.dispatcher.wait_drained())
@@ -316,7 +316,7 @@
     async def story() -> None:
         async with (
             peer_that(said) as address,
-            site(tmp_path, ScriptedWorker(st.served), peers={"f0": address}, name="n0", lines=PLAIN) as home,
+            site(tmp_path, ScriptedWorker(st.serves), peers={"f0": address}, name="n0", lines=PLAIN) as home,
         ):
             await wait_until(lambda: why in home.gateway._outbound[0]._why)
             assert (await home.stage.send_request())[0] == 200
@@ -360,7 +360,7 @@
         near_keys = tuple(signs.issue("n7" if wrong == "name" else "n0"))
         if wrong == "name":
             near_keys = tuple(line.replace("n0.", "n7.") for line in near_keys)
-        box = ScriptedWorker(st.served)
+        box = ScriptedWorker(st.serves)
         async with site(tmp_path / "far", box, peers={"n0": CLOSED}, name="f0", lines=far_keys) as far:
             peers = {"f0": f"127.0.0.1:{far.gateway.port}"}
             async with site(tmp_path / "near", peers=peers, name="n0", lines=near_keys) as home:
@@ -378,7 +378,7 @@
 
 def test_home_that_sends_nonsense_is_cut_and_others_are_served(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.served)
+        box = ScriptedWorker(st.serves)
         async with sites(tmp_path, box) as s:
             for data in (b"\xff" * 64, frames.PREFIX.pack(3) + b"\x93\x01\x02", frames.PREFIX.pack(0)):
                 reader, writer = await asyncio.open_connection("127.0.0.1", s.far.gateway.port)
@@ -395,15 +395,15 @@
 
     async def story() -> None:
         monkeypatch.setattr(guests, "PATIENCE", 0.003)
-        box, near = ScriptedWorker(st.silent), ScriptedWorker(st.served)
+        box, near = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
         async with sites(tmp_path, box) as s, st.listening(near) as address:
             monkeypatch.setattr(Lender, "update", lambda *_: 8.0)
             own = [asyncio.create_task(s.far.stage.send_request(f"/unlock?k={n}")) for n in range(8)]
-            await wait_until(lambda: s.far.gateway._core.decisions.pressure().held_slots > 0)
+            await wait_until(lambda: s.far.gateway._core.decisions.site_load().held_slots > 0)
             asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=99"))
             await wait_until(lambda: s.home.figures["far.f0.promised"] == 1)
-            s.home.stage.discovery.say(2, target_entry("n-1", address))
-            assert (await asking)[0] == 200 and near.seen == ["/unlock?k=99"]
+            s.home.stage.discovery.send_update(2, target_entry("n-1", address))
+            assert (await asking)[0] == 200 and near.paths == ["/unlock?k=99"]
             box.resume.set()
             await asyncio.gather(*own)
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -99,7 +99,7 @@
             own = folder / f"n{n}"
             own.mkdir()
             stages.append(
-                await stack.enter_async_context(start_dispatcher(own, box, name=f"n{n}", fronts=(front,)))
+                await stack.enter_async_context(start_dispatcher(own, box, name=f"n{n}", extensions=(front,)))
             )
         t = Site(stand_in, stages, fronts, clock)
         await wait_until(lambda: all(f.ledger._watch.generation for f in fronts))
@@ -128,49 +128,49 @@
 
 def test_retry_at_another_dispatcher_gets_the_first_answer(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.served)
+        box = ScriptedWorker(st.serves)
         async with tier(tmp_path, box) as t:
             status, headers, body = await ask(t.stages[0])
             assert (status, body) == (200, b"page") and "idempotency-replayed" not in headers
             status, headers, body = await ask(t.stages[1])
             assert (status, body, headers["idempotency-replayed"]) == (200, b"page", "true")
-            assert len(box.seen) == 1
+            assert len(box.paths) == 1
             assert (await ask(t.stages[1], body=b"another purchase"))[0] == 422
             assert (await ask(t.stages[1], key="bare"))[0] == 400
-            assert (await ask(t.stages[0], key='"k2"'))[0] == 200 and len(box.seen) == 2
+            assert (await ask(t.stages[0], key='"k2"'))[0] == 200 and len(box.paths) == 2
 
     play(story())
 
 
 def test_retry_while_the_first_is_in_hand_is_told_so(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.silent)
+        box = ScriptedWorker(st.never_responds)
         async with tier(tmp_path, box) as t:
             first = asyncio.create_task(ask(t.stages[0]))
-            await wait_until(lambda: len(box.seen) == 1)
+            await wait_until(lambda: len(box.paths) == 1)
             status, headers, _ = await ask(t.stages[1])
             assert status == 409 and 0 < float(headers["retry-after"]) <= 8
             box.resume.set()
             assert (await first)[0] == 200
-            assert (await ask(t.stages[1]))[0] == 200 and len(box.seen) == 1
+            assert (await ask(t.stages[1]))[0] == 200 and len(box.paths) == 1
 
     play(story())
 
 
 def test_holder_that_dies_leaves_an_unknown_not_a_free_key(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.silent)
+        box = ScriptedWorker(st.never_responds)
         async with tier(tmp_path, box, lease="4s", patience="1s") as t:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 first = asyncio.create_task(ask(t.stages[0]))
-                await wait_until(lambda: len(box.seen) == 1)
+                await wait_until(lambda: len(box.paths) == 1)
                 # Killed: nothing of it writes to the store any more.
                 for task in list(t.fronts[0].ledger._tasks):
                     task.cancel()
                 t.fronts[0].ledger._write = lambda seen, held: asyncio.sleep(60)  # type: ignore
                 t.later(4.2)  # the lease runs out
                 status, headers, _ = await ask(t.stages[1])
-                assert (status, headers["idempotency-replayed"]) == (502, "true") and len(box.seen) == 1
+                assert (status, headers["idempotency-replayed"]) == (502, "true") and len(box.paths) == 1
                 first.cancel()
 
     play(story())
@@ -178,29 +178,29 @@
 
 def test_refused_job_frees_its_key(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.served)
+        box = ScriptedWorker(st.serves)
         async with tier(tmp_path, box) as t:
-            t.stages[0].discovery.say(2, target_entry("s-0", box.address, "removed"))
-            await wait_until(lambda: t.stages[0].dispatcher._decisions.cluster().listed == 0)
+            t.stages[0].discovery.send_update(2, target_entry("s-0", box.address, "removed"))
+            await wait_until(lambda: t.stages[0].dispatcher._decisions.cluster_health().listed == 0)
             assert (await ask(t.stages[0], timeout=0.5))[0] == 503
             await wait_until(lambda: not t.fronts[0].ledger._held)
-            assert (await ask(t.stages[1]))[0] == 200 and len(box.seen) == 1
+            assert (await ask(t.stages[1]))[0] == 200 and len(box.paths) == 1
 
     play(story())
 
 
 def test_client_that_leaves_while_its_job_is_held_frees_its_key(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.served)
+        box = ScriptedWorker(st.serves)
         async with tier(tmp_path, box) as t:
-            t.stages[0].discovery.say(2, target_entry("s-0", box.address, "removed"))
-            await wait_until(lambda: t.stages[0].dispatcher._decisions.cluster().listed == 0)
+            t.stages[0].discovery.send_update(2, target_entry("s-0", box.address, "removed"))
+            await wait_until(lambda: t.stages[0].dispatcher._decisions.cluster_health().listed == 0)
             streams = await t.stages[0].connect()
             streams[1].write(keyed())
             await wait_until(lambda: t.figure(0, "open") == 1)
             streams[1].close()
             await wait_until(lambda: not t.fronts[0].ledger._held)
-            assert (await ask(t.stages[1]))[0] == 200 and len(box.seen) == 1
+            assert (await ask(t.stages[1]))[0] == 200 and len(box.paths) == 1
 
     play(story())
 
@@ -208,7 +208,7 @@
 @pytest.mark.parametrize("trouble", ["frozen", "gone", "slow", "READONLY x", "LOADING x", "OOM x"])
 def test_store_in_trouble_refuses_unlocks_and_pages_never_notice(tmp_path: Path, trouble: str) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.served)
+        box = ScriptedWorker(st.serves)
         async with tier(tmp_path, box, patience="200ms") as t:
             loop = asyncio.get_running_loop()
             if trouble == "frozen":
@@ -224,7 +224,7 @@
                 began = loop.time()
                 status, headers, _ = await ask(t.stages[0])
                 assert status == 503 and float(headers["retry-after"]) > 0 and loop.time() - began < 1.5
-            assert box.seen == []
+            assert box.paths == []
             calls = dict(t.redis.commands)
             assert (await ask(t.stages[0], path="/page?k=7"))[0] == 200  # keyed, but safe: it never asks
             assert (await t.stages[0].send_request("/unlock?k=7"))[0] == 200  # no key: as before
@@ -244,20 +244,20 @@
     """The first dispatcher's claim is lost. A retry elsewhere is refused until it has been written again."""
 
     async def story() -> None:
-        box = ScriptedWorker(st.silent)
+        box = ScriptedWorker(st.never_responds)
         async with tier(tmp_path, box) as t:
             first = asyncio.create_task(ask(t.stages[0]))
-            await wait_until(lambda: len(box.seen) == 1)
+            await wait_until(lambda: len(box.paths) == 1)
             t.redis.restart(empty=empty, lost_writes=3)
             statuses = [(await ask(t.stages[1]))[0] for _ in range(5)]
-            assert set(statuses) <= {409, 503} and len(box.seen) == 1
+            assert set(statuses) <= {409, 503} and len(box.paths) == 1
             box.resume.set()
             assert (await first)[0] == 200
             await wait_until(lambda: t.figure(0, "histories") + t.figure(1, "histories") >= 1)
             async with asyncio.timeout(5):
                 while (found := await ask(t.stages[1]))[0] in (409, 503):
                     await asyncio.sleep(0.05)
-            assert found[0] == 200 and found[1]["idempotency-replayed"] == "true" and len(box.seen) == 1
+            assert found[0] == 200 and found[1]["idempotency-replayed"] == "true" and len(box.paths) == 1
 
     play(story())
 
@@ -377,7 +377,7 @@
 
 def test_new_store_grants_once_the_window_is_over(tmp_path: Path) -> None:
     async def story() -> None:
-        box = ScriptedWorker(st.served)
+        box = ScriptedWorker(st.serves)
         async with tier(tmp_path, box, size=1, sure=False) as t:
             status, headers, _ = await ask(t.stages[0])
             assert status == 503 and 0 < float(headers["retry-after"]) <= 1
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -72,13 +72,13 @@
     assert lines.count("END") == 2 and not [line for line in lines if line.startswith("FATAL")]
 
 
-class Heard(PolicyDriver):
+class RecordingDriver(PolicyDriver):
     def __init__(self) -> None:
         super().__init__(settings(peers=True), 1, Clock())
         self.hints: list[tuple[int, api.Hint]] = []
         self.some = asyncio.Event()
 
-    def heard(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
+    def receive_hints(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
         self.hints += [(sender, hint) for hint in hints]
         self.some.set()
 
@@ -96,17 +96,17 @@
 def test_hints_between_two_dispatchers_and_odd_datagrams() -> None:
     async def story() -> None:
         places = [free_address(), free_address()]
-        doors = [Heard(), Heard()]
+        doors = [RecordingDriver(), RecordingDriver()]
         peers = [Peers(door, place, places) for door, place in zip(doors, places, strict=True)]
         for one in peers:
             await one.start()
-            one.learn(listed(*NAMES), False)
+            one.add_workers(listed(*NAMES), False)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             bad = codec().encode([api.Hint("s-1", api.Word.BAD, 1.0)])
             stranger.sendto(bad, (places[1].host, places[1].port))
         for data in (b"", b"x" * 300, b"\xff" * SIZE, b"\x49" + b"??"):
             peers[1].datagram_received(data, (places[0].host, places[0].port))
-        doors[0].tell((1,), [api.Hint("s-2", api.Word.SENT, 4.0)])
+        doors[0].send_hints((1,), [api.Hint("s-2", api.Word.SENT, 4.0)])
         async with asyncio.timeout(5):
             await doors[1].some.wait()
             while not peers[1].dropped["of a stranger"]:
@@ -127,16 +127,16 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind(("127.0.0.1", 0))
             place, other = Address("127.0.0.1", taken.getsockname()[1]), free_address()
-            doors = [Heard(), Heard()]
+            doors = [RecordingDriver(), RecordingDriver()]
             late = Peers(doors[0], place, [place, other], pause=timedelta(milliseconds=1))
             early = Peers(doors[1], other, [place, other])
             for one in (late, early):
                 await one.start()
-                one.learn(listed(*NAMES), False)
-            doors[0].tell((1,), [api.Hint("s-2", api.Word.SENT, 4.0)])
+                one.add_workers(listed(*NAMES), False)
+            doors[0].send_hints((1,), [api.Hint("s-2", api.Word.SENT, 4.0)])
         async with asyncio.timeout(5):
             while not doors[1].hints:  # from here on the address is free
-                doors[0].tell((1,), [api.Hint("s-3", api.Word.SENT, 4.0)])
+                doors[0].send_hints((1,), [api.Hint("s-3", api.Word.SENT, 4.0)])
                 await asyncio.sleep(0)
         assert doors[1].hints[0] == (0, api.Hint("s-3", api.Word.SENT, 4.0))
         for one in (late, early):
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -65,7 +65,7 @@
     """Never answers; what it was sent, byte by byte."""
 
     def __init__(self) -> None:
-        super().__init__(st.silent)
+        super().__init__(st.never_responds)
         self.text = b""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -91,12 +91,12 @@
     """Its end stands behind what it sent, so that is read, though not kept without bound."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent, st.served)
+        endpoint = ScriptedWorker(st.never_responds, st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             left = s.dispatcher._inbound._body_bytes_left
             _, writer = await s.connect()
             writer.write(s.request("/unlock", timeout=60.0))
-            await wait_until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.paths) == 1)
             writer.write(b"x" * ahead)
             await wait_until(
                 lambda: s.dispatcher._inbound._body_bytes_left <= left - min(ahead, inbound.MAX_READ_AHEAD)
@@ -106,7 +106,7 @@
             await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
             await wait_until(lambda: not s.dispatcher._inbound._streams)
             assert s.dispatcher._inbound._body_bytes_left == left
-            assert len(endpoint.seen) == 1
+            assert len(endpoint.paths) == 1
             assert (await s.send_request())[0] == 200
 
     play(story())
@@ -119,7 +119,7 @@
     """Between the decision and the first byte, of a first attempt or a further one."""
 
     async def story() -> None:
-        first, second = ScriptedWorker(st.ends("returned")), Recorder()
+        first, second = ScriptedWorker(st.ends_with("returned")), Recorder()
         peers: list[ScriptedWorker] = [second] if attempt == 1 else [first, second]
         async with start_dispatcher(tmp_path, *peers) as s:
             client, accepts, asked = Client(s.port), s.dispatcher._destinations.accepts, list[str]()
@@ -137,7 +137,7 @@
             await wait_until(lambda: client.socket.fileno() == -1)
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
             await wait_until(lambda: second.connections == 0 or second.closed.is_set())
-            assert (second.text, len(first.seen)) == (b"", attempt - 1)
+            assert (second.text, len(first.paths)) == (b"", attempt - 1)
             assert f"s-{len(peers) - 1}" in asked
 
     play(story())
@@ -174,13 +174,13 @@
 
 def test_waiting_request_whose_client_left_is_let_go_at_once(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent)
+        endpoint = ScriptedWorker(st.never_responds)
         async with start_dispatcher(tmp_path, endpoint) as s:
             policy = s.dispatcher._decisions._policy
             busy = [await s.connect() for _ in range(5)]
             for _, writer in busy:  # more than its slots: one of them waits here
                 writer.write(s.request("/unlock"))
-            await wait_until(lambda: len(endpoint.seen) == 4 and s.dispatcher._decisions.open_requests == 5)
+            await wait_until(lambda: len(endpoint.paths) == 4 and s.dispatcher._decisions.open_requests == 5)
             (waiting,) = (job for lane in policy.held_jobs.values() for job in lane)
             held = next(n for n, (_, w) in enumerate(busy) if f"r{n + 1}" not in seen_ids(endpoint))
             busy[held][1].close()
@@ -190,7 +190,7 @@
             for n, (reader, _) in enumerate(busy):
                 if n != held:
                     assert b"late" in await asyncio.wait_for(reader.readuntil(b"late"), LIMIT)
-            assert len(endpoint.seen) == 4
+            assert len(endpoint.paths) == 4
 
     play(story())
 
@@ -208,7 +208,7 @@
     """Between the look and the close. It is not served; the client sees a clean end, and sends it anew."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(s.request())
@@ -226,14 +226,14 @@
             monkeypatch.setattr(HttpStream, "is_idle", crossing)
             moved_off(s)
             assert await client.rest() == b""
-            assert crossed and len(endpoint.seen) == 1
+            assert crossed and len(endpoint.paths) == 1
 
     play(story())
 
 
 def test_request_that_comes_before_its_resting_connection_ends_is_served(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(s.request())
@@ -249,15 +249,15 @@
 
 def test_requests_sent_ahead_are_all_answered_before_their_connection_ends(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent, st.served)
+        endpoint = ScriptedWorker(st.never_responds, st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(b"".join(s.request() for _ in range(6)))
-            await wait_until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.paths) == 1)
             moved_off(s)
             endpoint.resume.set()
             text = await client.rest()
-            assert text.count(b"HTTP/1.1 200") == 6 and len(endpoint.seen) == 6
+            assert text.count(b"HTTP/1.1 200") == 6 and len(endpoint.paths) == 6
             assert text.lower().count(b"connection: close") == 1
 
     play(story())
@@ -267,11 +267,11 @@
     """While it waits behind another its client's patience ends: then it is not begun any more."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent, st.served)
+        endpoint = ScriptedWorker(st.never_responds, st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             client = Client(s.port)
             client.write(s.request("/unlock"))
-            await wait_until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.paths) == 1)
             (stream,) = s.dispatcher._inbound._streams
             before = stream._read_times[-1]
             client.write(s.request("/unlock", timeout=3.0) + s.request("/unlock", timeout=8.0))
@@ -283,7 +283,7 @@
             endpoint.resume.set()
             moved_off(s)
             statuses = [answer[:3] for answer in (await client.rest()).split(b"HTTP/1.1 ")[1:]]
-            assert statuses == [b"200", b"503", b"200"] and len(endpoint.seen) == 2
+            assert statuses == [b"200", b"503", b"200"] and len(endpoint.paths) == 2
 
     play(story())
 
@@ -295,7 +295,7 @@
     """After the last answer, before the close: a reset would throw away what is still on its way."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             if moving:
                 moved_off(s)
@@ -319,7 +319,7 @@
     """What the system still held back would go with a close over unread bytes."""
 
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             streams = await s.connect()
             assert (await s.exchange(streams, s.request()))[0] == 200
             (kept,) = (c for idle in s.dispatcher._endpoints._idle.values() for c in idle)
@@ -363,8 +363,10 @@
             clients.append(Client(found[0].port))
             clients[0].write(found[0].request())
 
-        endpoint = ScriptedWorker(st.served)
-        async with start_dispatcher(tmp_path, endpoint, fronts=(lambda core: Emptying(core, comes),)) as s:
+        endpoint = ScriptedWorker(st.serves)
+        async with start_dispatcher(
+            tmp_path, endpoint, extensions=(lambda core: Emptying(core, comes),)
+        ) as s:
             found.append(s)
             s.dispatcher._service.begin_shutdown(timedelta(0))
             await asyncio.wait_for(s.dispatcher.wait_drained(), LIMIT)
@@ -491,10 +493,10 @@
     """It may have counted as told for long: to an agent that was silent, before this process began."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             assert s.dispatcher._destinations.accepts("s-0")
-            s.discovery.say(2, st.target_entry("s-0", endpoint.address, "draining"))
+            s.discovery.send_update(2, st.target_entry("s-0", endpoint.address, "draining"))
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             assert not s.dispatcher._destinations.accepts("s-0")
 
@@ -503,7 +505,7 @@
 
 def test_lists_may_come_indented_and_in_pieces(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             odd = st.target_entry('a {[\\" b', endpoint.address)
             for rev, indent in ((2, 2), (3, None), (4, 1)):
@@ -513,7 +515,7 @@
                     s.discovery.lines.put_nowait(text[at : at + 50])
                 s.discovery.lines.put_nowait(b"\n")
                 await wait_until(lambda rev=rev: s.dispatcher._destinations.revision == rev)  # type: ignore[misc]
-            assert len(s.discovery.asked) == 1 and s.dispatcher._destinations.accepts('a {[\\" b')
+            assert len(s.discovery.targets) == 1 and s.dispatcher._destinations.accepts('a {[\\" b')
 
     play(story())
 
@@ -538,13 +540,13 @@
     tmp_path: Path, line: bytes, key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
-            await wait_until(lambda: len(s.discovery.asked) == 1)
+            await wait_until(lambda: len(s.discovery.targets) == 1)
             s.discovery.lines.put_nowait(line)
-            await wait_until(lambda: len(s.discovery.asked) == 2)
+            await wait_until(lambda: len(s.discovery.targets) == 2)
             assert (await s.send_request())[0] == 200
-            s.discovery.say(4, st.target_entry("s-0", endpoint.address))
+            s.discovery.send_update(4, st.target_entry("s-0", endpoint.address))
             await wait_until(lambda: s.dispatcher._destinations.revision == 4)
 
     with caplog.at_level(logging.INFO):
@@ -558,13 +560,13 @@
     """A string without an end, and brackets without one: both are looked at once, not over and over."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
-            await wait_until(lambda: len(s.discovery.asked) == 1)
+            await wait_until(lambda: len(s.discovery.targets) == 1)
             loop = asyncio.get_running_loop()
             begun = loop.time()
             s.discovery.lines.put_nowait(line + b"\n\n")
-            await wait_until(lambda: len(s.discovery.asked) == 2)
+            await wait_until(lambda: len(s.discovery.targets) == 2)
             assert (await s.send_request())[0] == 200
             assert loop.time() - begun < 4
 
@@ -577,7 +579,7 @@
     """A defect at one moment must not leave the decisions with an endpoint that is gone."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             update, failed = s.dispatcher._decisions.update_workers, list[int]()
 
@@ -589,10 +591,10 @@
 
             monkeypatch.setattr(s.dispatcher._decisions, "update_workers", fails_once)
             for asked in (1, 2):
-                await wait_until(lambda asked=asked: len(s.discovery.asked) == asked)  # type: ignore[misc]
-                s.discovery.say(2, st.target_entry("s-9", endpoint.address))
+                await wait_until(lambda asked=asked: len(s.discovery.targets) == asked)  # type: ignore[misc]
+                s.discovery.send_update(2, st.target_entry("s-9", endpoint.address))
             await wait_until(lambda: len(failed) == 2 and s.dispatcher._destinations.revision == 2)
-            assert s.discovery.asked == ["/api/targets?follow=1&since=1"] * 2
+            assert s.discovery.targets == ["/api/targets?follow=1&since=1"] * 2
             assert "s-9" in s.dispatcher._decisions._policy.workers
 
     play(story())
@@ -603,18 +605,18 @@
 
     async def story() -> None:
         one, two, newer = (
-            ScriptedWorker(st.served),
-            ScriptedWorker(st.ends("done", result="two")),
+            ScriptedWorker(st.serves),
+            ScriptedWorker(st.ends_with("done", result="two")),
             st.Discovery(),
         )
         async with start_dispatcher(tmp_path, one, two) as s, st.listening(newer) as where:
             watched = s.dispatcher._destinations
-            await wait_until(lambda: len(s.discovery.asked) == 1)
+            await wait_until(lambda: len(s.discovery.targets) == 1)
             host, _, port = where.rpartition(":")
-            s.discovery.say(9, st.target_entry("s-1", two.address, "draining"))
+            s.discovery.send_update(9, st.target_entry("s-1", two.address, "draining"))
             watched.switch_discovery(destinations.Address(host, int(port)))
             assert watched.accepts("s-0")
-            newer.say(
+            newer.send_update(
                 1,
                 st.target_entry("s-0", one.address, "draining"),
                 st.target_entry("s-1", two.address),
@@ -631,7 +633,7 @@
     """The kept list is enough to be ready; nobody waits for a word."""
 
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             assert s.dispatcher._service.is_ready and not s.dispatcher._destinations.up_to_date.is_set()
             assert (await s.send_request())[0] == 200
 
@@ -642,7 +644,7 @@
     """More idle clients than there are descriptors, while discovery is away; then it comes back."""
 
     async def story() -> None:
-        endpoint, newer = ScriptedWorker(st.served), ScriptedWorker(st.ends("done", result="newer"))
+        endpoint, newer = ScriptedWorker(st.serves), ScriptedWorker(st.ends_with("done", result="newer"))
         discovery, held = st.Discovery(), list[Streams]()
         async with contextlib.AsyncExitStack() as stack:
             for peer in (endpoint, newer):
@@ -660,8 +662,8 @@
                 stack.callback(held[-1][1].transport.abort)
             server = await asyncio.start_server(discovery.serve, sock=place)
             stack.callback(server.close)
-            await wait_until(lambda: len(discovery.asked) == 1)
-            discovery.say(2, st.target_entry("s-9", newer.address), listed[0] | {"state": "draining"})
+            await wait_until(lambda: len(discovery.targets) == 1)
+            discovery.send_update(2, st.target_entry("s-9", newer.address), listed[0] | {"state": "draining"})
             status, _, body = await s.send_request()
             for _ in range(100):  # until the new list is in force
                 if body == b"newer":
@@ -704,7 +706,7 @@
     tmp_path: Path, script: Script, status: int, connections: int
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(script, st.served)
+        endpoint = ScriptedWorker(script, st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             assert (await s.send_request("/unlock"))[0] == status
             assert (await s.send_request("/unlock"))[0] == 200
@@ -717,7 +719,7 @@
     """Serves the first request of a connection, and says one thing more as soon as the next one begins."""
 
     def __init__(self, word: bytes) -> None:
-        super().__init__(st.served)
+        super().__init__(st.serves)
         self.word, self.whole = word, 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -725,12 +727,12 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             _, headers, _ = await st.read_message(reader)
             self.whole += 1
-            await st.served(self, writer, headers["request-id"])
+            await st.serves(self, writer, headers["request-id"])
             await reader.readuntil(b"\r\n\r\n")
             writer.write(self.word)
             await reader.readexactly(5)
             self.whole += 1
-            await st.served(self, writer, headers["request-id"])
+            await st.serves(self, writer, headers["request-id"])
         writer.close()
 
 
@@ -769,7 +771,7 @@
 
 
 SPOILT: list[tuple[Script, int, float]] = [
-    (st.ends("done", result="\ud800"), 502, 8.0),  # half of a pair: no bytes can be made of it
+    (st.ends_with("done", result="\ud800"), 502, 8.0),  # half of a pair: no bytes can be made of it
     (st.writes(st.HEAD + b"50000\r\n" + b"x" * 0x50000 + b"\r\n"), 502, 8.0),  # a line without an end
     (st.writes(b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 40_000), 502, 8.0),  # a head without an end
     (st.writes(b"HTTP/1.1 102 Wait\r\n\r\n" * 2000), 504, 0.4),  # and none that is final
@@ -782,11 +784,11 @@
     tmp_path: Path, script: Script, status: int, timeout: float, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(script, st.served)
+        endpoint = ScriptedWorker(script, st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             assert (await s.send_request("/unlock", timeout=timeout))[0] == status
             assert (await s.send_request("/unlock"))[0] == 200
-            assert len(endpoint.seen) == 2
+            assert len(endpoint.paths) == 2
 
     play(story())
     assert not [r for r in caplog.records if r.exc_info]  # told of as the endpoint's doing, not as a defect
@@ -797,7 +799,7 @@
     tmp_path: Path, error: OSError, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
 
             async def gone(*words: object) -> endpoints.AttemptResult:
@@ -817,7 +819,7 @@
     roster = st.job_class("roster", "keyed", group="all", window=3_000_000, **{"aim-stretch": 2.0})
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.breaks, st.served)
+        endpoint = ScriptedWorker(st.breaks_off, st.serves)
         async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"lanes": [roster]}) as s:
             clock, connect, connected = s.dispatcher._clock, s.dispatcher._endpoints._connect, list[str]()
 
@@ -831,7 +833,7 @@
             loop = asyncio.get_running_loop()
             begun = loop.time()
             status, _, _ = await s.send_request("/roster", more=b"Idempotency-Key: k\r\n")
-            assert (status, len(endpoint.seen), len(connected)) == (503, 1, 2)
+            assert (status, len(endpoint.paths), len(connected)) == (503, 1, 2)
             assert loop.time() - begun < 2  # given up, it is answered at once
 
     play(story())
@@ -872,7 +874,7 @@
     """Called off at each step of its life in turn: nothing stays counted, and no connection stays open."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with st.listening(endpoint) as address:
             clock, after = Clock(), 0
             while True:
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -60,7 +60,7 @@
 )
 def test_second_address_answers_each_call(tmp_path: Path, method: str, path: str, status: int) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MGMT) as s:
             assert (await call(s, path, method))[0] == status
 
     play(story())
@@ -73,7 +73,7 @@
     """More of them than there is room for, so the oldest go at once; the rest when their time is up."""
 
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MGMT) as s:
             assert s.dispatcher.management_port
             stalled: list[Streams] = []
             for _ in range(2 * s.dispatcher._management._limits.management_connections):
@@ -94,8 +94,8 @@
 
 def test_figures_tell_what_became_of_jobs(tmp_path: Path) -> None:
     async def story() -> None:
-        scripts = [st.served, st.status(500), st.status(500), st.status(503, "Not-Started: 1"), st.served]
-        endpoint = ScriptedWorker(*scripts, st.silent)
+        scripts = [st.serves, st.status(500), st.status(500), st.status(503, "Not-Started: 1"), st.serves]
+        endpoint = ScriptedWorker(*scripts, st.never_responds)
         async with start_dispatcher(tmp_path, endpoint, mgmt=MGMT) as s:
             first = await stats(s)
             assert {v for k, v in first.items() if k.startswith("transactions.")} == {"0|c"}
@@ -107,7 +107,7 @@
             assert (await s.send_request("/page"))[0] == 200  # turned away once, so written twice
             reader, writer = await s.connect()
             writer.write(s.request("/page"))
-            await wait_until(lambda: len(endpoint.seen) == 6)
+            await wait_until(lambda: len(endpoint.paths) == 6)
             found = await stats(s)
             assert found["transactions.page.answered"] == "2|c"
             assert found["transactions.unlock.errored"] == "2|c"
@@ -123,7 +123,7 @@
 def test_figures_count_refusals_that_the_decisions_never_see(tmp_path: Path) -> None:
     async def story() -> None:
         limits = {"sockets": 256, "memory_mb": 1}
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT, limits=limits) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MGMT, limits=limits) as s:
             s.dispatcher._inbound._body_bytes_left = 0
             assert (await s.send_request("/page"))[0] == 503
             assert (await stats(s))["transactions.page.deferred"] == "1|c"
@@ -133,10 +133,10 @@
 
 def test_cluster_figures_come_from_the_decisions(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoints = [ScriptedWorker(st.served) for _ in range(4)]
+        endpoints = [ScriptedWorker(st.serves) for _ in range(4)]
         async with start_dispatcher(tmp_path, *endpoints, mgmt=MGMT) as s:
             listed = [st.target_entry(f"s-{n}", e.address) for n, e in enumerate(endpoints)]
-            s.discovery.say(2, listed[0] | {"state": "draining"}, listed[1] | {"state": "removed"})
+            s.discovery.send_update(2, listed[0] | {"state": "draining"}, listed[1] | {"state": "removed"})
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             s.dispatcher._decisions._policy.workers["s-2"].trust = 0.1
             found = await stats(s)
@@ -152,7 +152,7 @@
     monkeypatch.setattr(phase, "REJECT_DELAY", timedelta(hours=1))
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served, st.silent)
+        endpoint = ScriptedWorker(st.serves, st.never_responds)
         async with start_dispatcher(tmp_path, endpoint, mgmt=MGMT) as s:
             idle, busy = await s.connect(), await s.connect()
             assert (await s.exchange(idle, READY))[0] == 200
@@ -162,7 +162,7 @@
             assert (await s.exchange(await s.connect(), READY))[0] == 503
             # The front has not heard yet: connections are served as ever, and nothing is lost later on.
             busy[1].write(s.request())
-            await wait_until(lambda: len(endpoint.seen) == 2)
+            await wait_until(lambda: len(endpoint.paths) == 2)
             s.dispatcher._service._closing_from = s.dispatcher._clock.now()
             assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""
             s.dispatcher._service._rejecting_from = s.dispatcher._clock.now()
@@ -182,9 +182,9 @@
 
 def test_leaving_is_final_also_for_the_end_of_a_drain(tmp_path: Path) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MGMT) as s:
             await call(s, "drain/start", "POST")
-            s.discovery.say(2)  # what else goes on goes on amid a drain
+            s.discovery.send_update(2)  # what else goes on goes on amid a drain
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             usual = await s.connect()
             assert (await s.exchange(usual, s.request()))[0] == 200
@@ -212,7 +212,7 @@
         new = Dispatcher(load(st.environment(folder, [], where, **changes) | place))
         starting = asyncio.create_task(new.start())
         try:
-            await wait_until(lambda: len(discovery.asked) == 1)
+            await wait_until(lambda: len(discovery.targets) == 1)
             both = DispatcherFixture(new, old.port, discovery)
             both._request_numbers = old._request_numbers
             yield old, both, discovery
@@ -224,12 +224,12 @@
 
 def test_upgrade_loses_no_connection_and_the_old_process_ends_what_it_has(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served, st.silent, st.served)
+        endpoint = ScriptedWorker(st.serves, st.never_responds, st.serves)
         async with upgrade(tmp_path, endpoint) as (old, new, discovery):
             idle, busy = await old.connect(), await old.connect()
             assert (await old.exchange(idle, old.request()))[0] == 200
             busy[1].write(text := old.request())
-            await wait_until(lambda: len(endpoint.seen) == 2)
+            await wait_until(lambda: len(endpoint.paths) == 2)
             # No yes before the list is current; the old one serves.
             assert (await call(new, "readiness"))[0] == 503
             assert (await old.exchange(await old.connect(), READY))[0] == 200
@@ -237,7 +237,7 @@
             old.dispatcher._inbound._server.close()  # type: ignore[union-attr]  # waits in the queue now:
             waiting = await old.connect()
             waiting[1].write(old.request("/unlock"))
-            discovery.say(7, listed, whole=True)
+            discovery.send_update(7, listed, whole=True)
             await wait_until(lambda: new.dispatcher._service.is_ready)
             assert (await asyncio.wait_for(waiting[0].readline(), LIMIT)).startswith(b"HTTP/1.1 200")
             assert new.dispatcher._stats.text().count(":1|c") == 2  # answered and sent there
@@ -269,7 +269,7 @@
     """It has the listening socket already, and was just waiting for its list."""
 
     async def story() -> None:
-        async with upgrade(tmp_path, ScriptedWorker(st.served)) as (old, new, _):
+        async with upgrade(tmp_path, ScriptedWorker(st.serves)) as (old, new, _):
             streams = await old.connect()
             assert (await old.exchange(streams, old.request()))[0] == 200
             await new.dispatcher.close()
@@ -284,7 +284,7 @@
     """The old one kept it for as long as its jobs ran, and the new one decided deaf and dumb."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent, st.served)
+        endpoint = ScriptedWorker(st.never_responds, st.serves)
         peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         peer.bind(("127.0.0.1", 0))
         peer.settimeout(LIMIT)
@@ -298,7 +298,7 @@
             busy[1].write(old.request())
             assert len(await asyncio.to_thread(peer.recv, 512)) == 4  # word of that job
             host, _, port = places[0].partition(":")
-            discovery.say(7, st.target_entry("s-0", endpoint.address), whole=True)
+            discovery.send_update(7, st.target_entry("s-0", endpoint.address), whole=True)
             await wait_until(lambda: old.dispatcher._service.is_handed_over)
             for serial in range(20):  # all of it reaches the new one alone, while the old one still runs
                 peer.sendto(b"odd" + bytes([serial]), (host, int(port)))
@@ -325,7 +325,7 @@
     monkeypatch.setattr(dispatcher, "HANDOVER_TIMEOUT", timedelta(milliseconds=100))
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent)
+        endpoint = ScriptedWorker(st.never_responds)
         async with upgrade(tmp_path, endpoint) as (old, new, _):
             busy = await old.connect()
             busy[1].write(old.request())
@@ -339,9 +339,9 @@
 
 def test_process_told_to_end_before_it_took_over_leaves_the_old_one_in_place(tmp_path: Path) -> None:
     async def story() -> None:
-        async with upgrade(tmp_path, ScriptedWorker(st.served)) as (old, new, discovery):
+        async with upgrade(tmp_path, ScriptedWorker(st.serves)) as (old, new, discovery):
             new.dispatcher.begin_shutdown()
-            discovery.say(7, whole=True)
+            discovery.send_update(7, whole=True)
             await wait_until(lambda: new.dispatcher._destinations.revision == 7)
             await asyncio.sleep(0.1)
             assert old.dispatcher._service.is_ready and not old.dispatcher._service.is_handed_over
@@ -365,7 +365,7 @@
 @pytest.mark.parametrize("text", ["{}", "[]", "", '{"ids": 3}', '{"ids": [], "decisions": {"form": 99}}'])
 def test_unsound_memory_of_the_old_process_stops_no_start(tmp_path: Path, text: str) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             s.dispatcher._restore_learned_state(text.encode())
             assert (await s.send_request())[0] == 200
 
@@ -387,7 +387,7 @@
                 peer.bind(str(place))
             if left == "a process that hangs":
                 peer.listen()
-            async with start_dispatcher(tmp_path, ScriptedWorker(st.served), tmpdir=tmp_path) as s:
+            async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), tmpdir=tmp_path) as s:
                 assert (await s.send_request())[0] == 200
                 assert place.is_socket()  # its own: the next can take over from it
         assert not place.exists()
@@ -408,7 +408,7 @@
     """Else who writes for long is taken for a repeat that is late already, and refused."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             text, streams = s.request(timeout=8.0), await s.connect()
             streams[1].write(text[:-1])
@@ -421,7 +421,7 @@
 
 def test_full_house_lets_go_of_who_stalls_not_of_who_writes_slowly(tmp_path: Path) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), limits={"sockets": 128}) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), limits={"sockets": 128}) as s:
             text, slow = s.request(body=b"x" * 200), await s.connect()
             slow[1].write(text[:-100])
             crowd = []
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -25,7 +25,7 @@
     monkeypatch.setattr(inbound, "FIRST_REQUEST_TIMEOUT", timedelta(milliseconds=200))
 
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             usual = await s.connect()
             assert (await s.exchange(usual, s.request()))[0] == 200
             reader, writer = await s.connect()
@@ -39,7 +39,7 @@
 
 def test_crowd_that_says_nothing_costs_no_usual_client_its_connection(tmp_path: Path) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), limits={"sockets": 128}) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), limits={"sockets": 128}) as s:
             usual = [await s.connect() for _ in range(20)]
             for streams in usual:
                 assert (await s.exchange(streams, s.request()))[0] == 200
@@ -61,7 +61,7 @@
 def test_bodies_in_hand_are_bounded_by_memory(tmp_path: Path) -> None:
     async def story() -> None:
         limits = {"sockets": 256, "memory_mb": 1}  # an eighth of it holds two bodies
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served), limits=limits) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), limits=limits) as s:
             request = s.request(body=b"x" * 65536)
             held = [await s.connect() for _ in range(2)]
             for _, writer in held:
@@ -78,28 +78,28 @@
 
 def test_id_that_was_here_is_turned_away(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent, st.served)
+        endpoint = ScriptedWorker(st.never_responds, st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             text = s.request("/unlock")
             reader, writer = await s.connect()
             writer.write(text)
-            await wait_until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.paths) == 1)
             assert (await s.exchange(await s.connect(), text))[0] == 409
             endpoint.resume.set()
             assert b"late" in await asyncio.wait_for(reader.readuntil(b"late"), LIMIT)
             assert (await s.exchange(await s.connect(), text))[0] == 409  # nor may it run again later
-            assert len(endpoint.seen) == 1
+            assert len(endpoint.paths) == 1
 
     play(story())
 
 
 def test_request_that_no_endpoint_can_use_costs_none_its_trust(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.status(400), st.served)
+        endpoint = ScriptedWorker(st.status(400), st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             assert (await s.send_request())[0] == 400
             policy = s.dispatcher._decisions._policy
-            assert (len(endpoint.seen), policy.workers["s-0"].trust, policy.used_slots) == (1, 1.0, 0.0)
+            assert (len(endpoint.paths), policy.workers["s-0"].trust, policy.used_slots) == (1, 1.0, 0.0)
 
     play(story())
 
@@ -108,14 +108,14 @@
     """Drops each connection after its first answer without a word: what comes then is reset."""
 
     def __init__(self, patience: float) -> None:
-        super().__init__(st.served)
+        super().__init__(st.serves)
         self.patience, self.resets = patience, 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         start, headers, _ = await st.read_message(reader)
-        self.seen.append(start.split()[1])
-        await st.served(self, writer, headers["request-id"])
+        self.paths.append(start.split()[1])
+        await st.serves(self, writer, headers["request-id"])
         if await reader.read(1):
             await asyncio.sleep(self.patience)  # until then the whole request has come, or not
             self.resets += 1
@@ -130,7 +130,7 @@
         async with start_dispatcher(tmp_path, endpoint) as s:
             for n in range(3):
                 assert (await s.send_request(f"/unlock?k={n}"))[0] == 200
-            assert len(endpoint.seen) == 3
+            assert len(endpoint.paths) == 3
             assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
 
     play(story())
@@ -167,7 +167,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             monkeypatch.setattr(s.dispatcher._endpoints, "max_connections", 0)
             status, headers, _ = await s.send_request("/unlock")
             assert (status, "retry-after" in headers) == (503, True)
@@ -176,7 +176,9 @@
     play(story())
 
 
-@pytest.mark.parametrize(("path", "scripts", "status"), [("/page", [st.silent], 504), ("/page", [], 503)])
+@pytest.mark.parametrize(
+    ("path", "scripts", "status"), [("/page", [st.never_responds], 504), ("/page", [], 503)]
+)
 def test_request_that_came_late_is_answered_before_the_program_is_killed(
     tmp_path: Path, path: str, scripts: list[Script], status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -207,21 +209,21 @@
             data = json.loads(place.read_text())
             async with st.dispatcher_process(environ) as (child, _, _):
                 assert child.stderr
-                await wait_until(lambda: len(old.asked) == 1)
+                await wait_until(lambda: len(old.targets) == 1)
                 place.write_text(json.dumps(data | {"discovery": second}))
                 child.send_signal(signal.SIGHUP)
-                await wait_until(lambda: len(new.asked) == 1)
-                assert new.asked == ["/api/targets"]
-                new.say(0, whole=True)
-                await wait_until(lambda: len(new.asked) == 2)
-                assert new.asked[1] == "/api/targets?follow=1&since=0"
+                await wait_until(lambda: len(new.targets) == 1)
+                assert new.targets == ["/api/targets"]
+                new.send_update(0, whole=True)
+                await wait_until(lambda: len(new.targets) == 2)
+                assert new.targets[1] == "/api/targets?follow=1&since=0"
                 place.write_text(json.dumps(data | {"discovery": 5}))
                 child.send_signal(signal.SIGHUP)
                 while b"not taken over: discovery: " not in (text := await child.stderr.readline()):
                     assert text, "it ended on SIGHUP"
                 place.write_text(json.dumps(data))
                 child.send_signal(signal.SIGHUP)
-                await wait_until(lambda: len(old.asked) == 2)
+                await wait_until(lambda: len(old.targets) == 2)
                 child.send_signal(signal.SIGTERM)
                 child.send_signal(signal.SIGHUP)
                 assert await asyncio.wait_for(child.wait(), LIMIT) == 0
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -35,27 +35,27 @@
 @pytest.mark.parametrize(
     ("path", "scripts", "status", "attempts"),
     [
-        ("/page", [st.served], 200, 1),
-        ("/page", [st.breaks, st.served], 200, 2),
-        ("/page", [st.ends("lost"), st.served], 200, 2),
-        ("/page", [st.status(500), st.served], 200, 2),
+        ("/page", [st.serves], 200, 1),
+        ("/page", [st.breaks_off, st.serves], 200, 2),
+        ("/page", [st.ends_with("lost"), st.serves], 200, 2),
+        ("/page", [st.status(500), st.serves], 200, 2),
         # What may have run and is unsafe is failed, never refused and never sent again.
-        ("/unlock", [st.breaks, st.served], 502, 1),
-        ("/unlock", [st.ends("lost"), st.served], 502, 1),
-        ("/unlock", [st.ends("failed"), st.served], 502, 1),
-        ("/unlock", [st.status(500), st.served], 502, 1),
-        ("/unlock", [st.status(503), st.served], 502, 1),
-        ("/unlock", [st.writes(st.HEAD + b"3\r\n{}\n\r\n0\r\n\r\n"), st.served], 502, 1),
-        ("/unlock", [st.writes(st.HEAD + b"4\r\nodd\n\r\n0\r\n\r\n"), st.served], 502, 1),
-        ("/unlock", [st.writes(st.HEAD + b"0\r\n\r\n"), st.served], 502, 1),
-        ("/unlock", [st.writes(DEEP), st.served], 502, 1),  # more than the stack holds
-        ("/unlock", [st.writes(b"HTTP/9 what\r\n\r\n"), st.served], 502, 1),
-        ("/unlock", [st.ends("done", id="another", result="x"), st.served], 502, 1),
-        ("/unlock", [st.ends("done"), st.served], 502, 1),  # done, but without a result
+        ("/unlock", [st.breaks_off, st.serves], 502, 1),
+        ("/unlock", [st.ends_with("lost"), st.serves], 502, 1),
+        ("/unlock", [st.ends_with("failed"), st.serves], 502, 1),
+        ("/unlock", [st.status(500), st.serves], 502, 1),
+        ("/unlock", [st.status(503), st.serves], 502, 1),
+        ("/unlock", [st.writes(st.HEAD + b"3\r\n{}\n\r\n0\r\n\r\n"), st.serves], 502, 1),
+        ("/unlock", [st.writes(st.HEAD + b"4\r\nodd\n\r\n0\r\n\r\n"), st.serves], 502, 1),
+        ("/unlock", [st.writes(st.HEAD + b"0\r\n\r\n"), st.serves], 502, 1),
+        ("/unlock", [st.writes(DEEP), st.serves], 502, 1),  # more than the stack holds
+        ("/unlock", [st.writes(b"HTTP/9 what\r\n\r\n"), st.serves], 502, 1),
+        ("/unlock", [st.ends_with("done", id="another", result="x"), st.serves], 502, 1),
+        ("/unlock", [st.ends_with("done"), st.serves], 502, 1),  # done, but without a result
         # What never ran may go elsewhere.
-        ("/unlock", [st.ends("returned"), st.served], 200, 2),
-        ("/unlock", [st.status(503, "Not-Started: 1"), st.served], 200, 2),
-        ("/unlock", [st.status(504, "Not-Started: 1"), st.served], 200, 2),
+        ("/unlock", [st.ends_with("returned"), st.serves], 200, 2),
+        ("/unlock", [st.status(503, "Not-Started: 1"), st.serves], 200, 2),
+        ("/unlock", [st.status(504, "Not-Started: 1"), st.serves], 200, 2),
     ],
 )
 def test_what_an_endpoint_answers(
@@ -65,9 +65,9 @@
         endpoint = ScriptedWorker(*scripts)
         async with start_dispatcher(tmp_path, endpoint) as s:
             found, _, body = await s.send_request(path + "?k=7&x=%20")
-            assert (found, len(endpoint.seen)) == (status, attempts)
+            assert (found, len(endpoint.paths)) == (status, attempts)
             assert (body == b"page") == (status == 200)
-            assert set(endpoint.seen) == {path + "?k=7&x=%20"}
+            assert set(endpoint.paths) == {path + "?k=7&x=%20"}
             assert {h["request-id"] for h in endpoint.headers} == {"r1"}
             assert all(float(h["request-timeout"]) < 8 for h in endpoint.headers)
             assert (await s.send_request("/unlock"))[0] == 200  # and the next is not affected
@@ -90,7 +90,7 @@
     tmp_path: Path, path: str, values: list[bytes]
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.ends("returned"), st.served)
+        endpoint = ScriptedWorker(st.ends_with("returned"), st.serves)
         roster = st.job_class("roster", "keyed", group="zone", window=30_000_000)
         lanes = [*SETTINGS["lanes"], roster]
         async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"lanes": lanes}) as s:
@@ -104,11 +104,11 @@
 
 def test_slots_named_by_a_request_are_counted_at_its_endpoint(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent)
+        endpoint = ScriptedWorker(st.never_responds)
         async with start_dispatcher(tmp_path, endpoint) as s:
             _, writer = await s.connect()
             writer.write(s.request(more=b"Request-Info: slots=3,memory=2\r\n"))
-            await wait_until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.paths) == 1)
             assert s.dispatcher._decisions._policy.workers["s-0"].used_slots == 3
             writer.close()
 
@@ -117,7 +117,7 @@
 
 def test_refused_connection_is_an_attempt_that_never_ran(tmp_path: Path) -> None:
     async def story() -> None:
-        dead, alive = ScriptedWorker(st.served), ScriptedWorker(st.served)
+        dead, alive = ScriptedWorker(st.serves), ScriptedWorker(st.serves)
         async with st.listening(dead) as dead.address:
             pass  # nobody listens there any more
         async with start_dispatcher(tmp_path, dead, alive) as s:
@@ -127,13 +127,13 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "connections"), [(st.served, 1), (st.serves_and_closes, 2), (st.serves_and_writes_more, 2)]
+    ("first", "connections"), [(st.serves, 1), (st.serves_and_closes, 2), (st.serves_and_writes_more, 2)]
 )
 def test_connection_is_kept_only_while_it_is_open_and_quiet(
     tmp_path: Path, first: Script, connections: int
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(first, st.served)
+        endpoint = ScriptedWorker(first, st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             assert (await s.send_request("/unlock"))[0] == 200
             if first is st.serves_and_closes:
@@ -146,7 +146,7 @@
 
 def test_connection_that_stood_idle_too_long_is_not_used_again(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         bounds = SETTINGS["bounds"] | {"conn-idle": 1000}
         async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"bounds": bounds}) as s:
             for _ in range(2):
@@ -159,11 +159,11 @@
 
 def test_client_that_goes_away_ends_its_attempt(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent, st.served)
+        endpoint = ScriptedWorker(st.never_responds, st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             _, writer = await s.connect()
             writer.write(s.request())
-            await wait_until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.paths) == 1)
             writer.close()
             await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize(("path", "status"), [("/page", 503), ("/unlock", 504)])
 def test_silent_endpoint_is_given_up_before_the_client_does(tmp_path: Path, path: str, status: int) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent)
+        endpoint = ScriptedWorker(st.never_responds)
         async with start_dispatcher(tmp_path, endpoint) as s:
             loop = asyncio.get_running_loop()
             start = loop.time()
@@ -201,7 +201,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             monkeypatch.setattr(s.dispatcher._decisions._policy, "handle", lambda now, event: [])
             assert (await s.send_request(timeout=0.2))[0] == 504
             assert s.dispatcher._decisions.open_requests == 0
@@ -214,7 +214,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             policy = s.dispatcher._decisions._policy
             good = policy.handle
 
@@ -273,7 +273,7 @@
     tmp_path: Path, data: bytes, status: int
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint) as s:
             streams = await s.connect()
             found, headers, _ = await s.exchange(streams, data)
@@ -283,14 +283,14 @@
             else:
                 assert await asyncio.wait_for(streams[0].read(), LIMIT) == b""
             assert (await s.send_request("/page?k=last"))[0] == 200
-            assert endpoint.seen in (["/page?k=last"], ["/page?k=7", "/page?k=last"])
+            assert endpoint.paths in (["/page?k=last"], ["/page?k=7", "/page?k=last"])
 
     play(story())
 
 
 def test_answer_to_head_has_no_body(tmp_path: Path) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             reader, writer = await s.connect()
             writer.write(b"HEAD /page HTTP/1.1\r\nHost: api\r\n\r\n")
             head = await asyncio.wait_for(reader.read(), LIMIT)
@@ -301,7 +301,7 @@
 
 def test_more_clients_than_descriptors_are_still_answered(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, endpoint, limits={"sockets": 128}) as s:
             kept = [await s.connect() for _ in range(70)]  # more than the bound on this side
             for streams in kept:
@@ -320,11 +320,11 @@
 
 def test_requests_over_the_bound_are_refused_at_once(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent, st.served)
+        endpoint = ScriptedWorker(st.never_responds, st.serves)
         bounds = SETTINGS["bounds"] | {"max-open": 1, "max-retry-after": 1_500_000}
         async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"bounds": bounds}) as s:
             first = asyncio.ensure_future(s.send_request())
-            await wait_until(lambda: len(endpoint.seen) == 1)
+            await wait_until(lambda: len(endpoint.paths) == 1)
             status, headers, _ = await s.send_request()
             assert (status, headers["retry-after"]) == (503, "1.500")
             endpoint.resume.set()
@@ -335,24 +335,24 @@
 
 def test_list_follows_discovery_through_bad_lines_and_broken_watches(tmp_path: Path) -> None:
     async def story() -> None:
-        old, new = ScriptedWorker(st.served), ScriptedWorker(st.ends("done", result="new"))
+        old, new = ScriptedWorker(st.serves), ScriptedWorker(st.ends_with("done", result="new"))
         rules = SETTINGS["rules"] | {"drain-grace": 0}
         changed = SETTINGS | {"rules": rules}
         async with start_dispatcher(tmp_path, old, settings=changed) as s, st.listening(new) as address:
             assert (await s.send_request())[2] == b"page"  # discovery has not said a word yet
-            s.discovery.say(
+            s.discovery.send_update(
                 2, st.target_entry("s-9", address), st.target_entry("s-0", old.address, "draining")
             )
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             assert (await s.send_request())[2] == b"new"
             s.discovery.lines.put_nowait(b"\n")  # a sign of life
             s.discovery.lines.put_nowait(b'{"rev":3,"all":false,"targets":[{"uid":4}]}\n')
-            await wait_until(lambda: len(s.discovery.asked) == 2)
-            assert s.discovery.asked == [f"/api/targets?follow=1&since={n}" for n in (1, 2)]
+            await wait_until(lambda: len(s.discovery.targets) == 2)
+            assert s.discovery.targets == [f"/api/targets?follow=1&since={n}" for n in (1, 2)]
             assert (await s.send_request())[2] == b"new"  # the list stays
             s.discovery.lines.put_nowait(None)
-            await wait_until(lambda: len(s.discovery.asked) == 3)
-            s.discovery.say(4, st.target_entry("s-0", old.address), whole=True)
+            await wait_until(lambda: len(s.discovery.targets) == 3)
+            s.discovery.send_update(4, st.target_entry("s-0", old.address), whole=True)
             await wait_until(lambda: s.dispatcher._destinations.revision == 4)
             assert (await s.send_request())[2] == b"page"
             assert [s.dispatcher._destinations.accepts(uid) for uid in ("s-0", "s-9")] == [True, False]
@@ -375,7 +375,7 @@
 )
 def test_load_comes_by_probes(tmp_path: Path, load: bytes, slots: int) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.served)
+        endpoint = ScriptedWorker(st.serves)
         endpoint.load = load
         bounds = SETTINGS["bounds"] | {"probes": True}
         changed = SETTINGS | {"bounds": bounds, "load-report": {"how": "pull"}}
@@ -391,19 +391,19 @@
 @pytest.mark.parametrize(
     ("script", "slots"),
     [
-        (st.ends("done", result="page", load={"x0": 7, "util": 0.2}), 7),
-        (st.ends("failed", load={"x0": 7}), 7),
+        (st.ends_with("done", result="page", load={"x0": 7, "util": 0.2}), 7),
+        (st.ends_with("failed", load={"x0": 7}), 7),
         (st.status(500, "Server-Load: inflight=0,queue=0,x0=7"), 7),
         (st.status(503, "Not-Started: 1", "Server-Load: x0=7,util=0.61"), 7),
-        (st.ends("done", result="page"), 4),  # none told: as if never heard
-        (st.ends("done", result="page", load={"x0": "many"}), 4),  # and what is unsound costs no answer
-        (st.ends("done", result="page", load=[[7]]), 4),
+        (st.ends_with("done", result="page"), 4),  # none told: as if never heard
+        (st.ends_with("done", result="page", load={"x0": "many"}), 4),  # and what is unsound costs no answer
+        (st.ends_with("done", result="page", load=[[7]]), 4),
         (st.status(500, "Server-Load: x0=nan"), 4),
     ],
 )
 def test_load_told_with_an_answer_reaches_the_decisions(tmp_path: Path, script: Script, slots: int) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(script, st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(script, st.serves)) as s:
             assert (await s.send_request("/page"))[0] == 200
             policy = s.dispatcher._decisions._policy
             assert policy.load_exchange.slots_of(policy.workers["s-0"]) == slots
@@ -428,7 +428,7 @@
     tmp_path: Path, headers: bytes, tenant: str | None, hint: int | None
 ) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.served)) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             policy, seen = s.dispatcher._decisions._policy, list[api.Request]()
             handle = policy.event_handlers[api.Request]
 
@@ -493,7 +493,7 @@
 
 def test_endpoint_told_to_drain_while_connecting_gets_nothing() -> None:
     async def story() -> None:
-        endpoint, clock = ScriptedWorker(st.served), Clock()
+        endpoint, clock = ScriptedWorker(st.serves), Clock()
         async with st.listening(endpoint) as address:
             pool = EndpointPool(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
             result = await pool.attempt(
@@ -506,7 +506,7 @@
                 repeatable=True,
             )
             await pool.close()
-            assert (result.outcome, endpoint.seen) == (AttemptOutcome.NOT_SENT, [])
+            assert (result.outcome, endpoint.paths) == (AttemptOutcome.NOT_SENT, [])
 
     play(story())
 
@@ -516,7 +516,7 @@
     monkeypatch.setattr(endpoints, "SWEEP_INTERVAL", timedelta(0))
 
     async def story() -> None:
-        endpoint, clock = ScriptedWorker(st.served), Clock()
+        endpoint, clock = ScriptedWorker(st.serves), Clock()
         async with st.listening(endpoint) as address:
             pool = EndpointPool(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
             outgoing = WorkerRequest("a", b"/page", "api", None, b"")
@@ -562,14 +562,14 @@
 
 def test_sigterm_hands_over_and_loses_nothing(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.silent, st.served)
+        endpoint = ScriptedWorker(st.never_responds, st.serves)
         async with st.listening(endpoint) as address, st.listening(st.Discovery()) as discovery:
             listed = [st.target_entry("s-0", address)]
             async with st.dispatcher_process(st.environment(tmp_path, listed, discovery)) as (child, s, _):
                 assert child.stderr
                 idle = await s.connect()
                 first = asyncio.ensure_future(s.send_request())
-                await wait_until(lambda: len(endpoint.seen) == 1)
+                await wait_until(lambda: len(endpoint.paths) == 1)
                 child.send_signal(signal.SIGTERM)
                 while b" leaving" not in await child.stderr.readline():
                     pass
