--- a/rookwood/net/clock.py
+++ b/rookwood/net/clock.py
@@ -1,4 +1,4 @@
-"""One clock: Unix time taken once, then carried on by the monotonic clock, so it never runs back."""
+"""A clock that never runs backwards: Unix time is read once, and the monotonic clock advances it."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 
 
 class Clock:
+    """Returns the current time in UTC; adjustments of the system clock after the start have no effect."""
+
     def __init__(self) -> None:
         self._wall_start, self._monotonic_start_ns = datetime.now(UTC), time.monotonic_ns()
 
@@ -18,5 +20,5 @@
         )
 
     def seconds_until(self, moment: datetime) -> float:
-        """What asyncio's timers want; never negative."""
+        """Return the delay to a moment in the form that asyncio's timers take; 0 if it has passed."""
         return max(0.0, (moment - self.now()).total_seconds())
--- a/rookwood/net/policy_driver.py
+++ b/rookwood/net/policy_driver.py
@@ -1,8 +1,8 @@
-"""The door to the decision module: sole owner of the policy and its timers. It knows no HTTP.
+"""Drives the policy: the only owner of `rookwood.policy.Policy` and its timers. It knows nothing of HTTP.
 
-Whatever brings requests in (HTTP now, another protocol beside it) calls `admit`, then asks the ticket
-for decisions and tells it what became of each attempt. Only here do the module's words and integer
-microseconds appear.
+The code that receives requests, over HTTP or another protocol, calls `admit`, awaits decisions from the
+ticket and reports to it how each attempt ended. Only this module converts to the types of
+`rookwood.interface` and to integer microseconds.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended, in the network's words."""
+    """How an attempt ended, as the network side sees it."""
 
     SERVED = "served"
     ERROR = "error"
@@ -37,13 +37,13 @@
     TIMED_OUT = "timed out"
     CANCELLED = "called off"
     NOT_SENT = "never sent"
-    STALE_CONNECTION = "stale"  # a kept connection turned out to be dead; it may have run all the same
-    INVALID_REQUEST = "unfit"  # the endpoint says that nobody could use the request
+    STALE_CONNECTION = "stale"  # a reused connection turned out to be closed; the request may still have run
+    INVALID_REQUEST = "unfit"  # according to the worker, no worker could run the request
 
 
 @dataclass(frozen=True, slots=True)
 class RequestProfile:
-    """What the decisions need to know of a request."""
+    """The properties of a request that the policy decides by."""
 
     job_class: str
     deadline: datetime
@@ -57,42 +57,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """Decision: try this endpoint."""
+    """Decision: send the request to this worker."""
 
-    number: int
-    uid: str
+    number: int  # from 0 for each request
+    uid: str  # of the worker
     deadline: datetime
-    is_retry_safe: bool  # running it twice would do no harm
-    start_by: datetime | None = None  # for a repeat of what may have run: the end of its window
+    is_retry_safe: bool  # whether the request may safely run twice
+    start_by: datetime | None = None  # latest start of a retry after an attempt that may have run
 
 
 @dataclass(frozen=True, slots=True)
 class RejectDecision:
-    """Decision: refuse; a new try does no harm."""
+    """Decision: reject the request; it has not run, so the client may safely send it again."""
 
     retry_after: timedelta | None
 
 
 @dataclass(frozen=True, slots=True)
 class FailDecision:
-    """Decision: fail, with no promise about the effect."""
+    """Decision: fail the request, without a statement whether it has run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """No decision any more: a front has taken the request back, to serve it in another way."""
+    """Not a decision of the policy: an extension withdrew the request and serves it in another way."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint tells of its load."""
+    """Load values that a worker reported, by name."""
 
     values: tuple[tuple[str, float], ...]
 
 
 Decision = Attempt | RejectDecision | FailDecision | Withdrawn
 
-POLICY_OUTCOMES = {
+POLICY_OUTCOMES = {  # CANCELLED is the only outcome after which a request may have run at no cost in trust
     AttemptOutcome.SERVED: api.Outcome.OK,
     AttemptOutcome.ERROR: api.Outcome.FAILED,
     AttemptOutcome.REJECTED: api.Outcome.QUEUE_FULL,
@@ -101,10 +101,13 @@
     AttemptOutcome.TIMED_OUT: api.Outcome.TIMED_OUT,
     AttemptOutcome.CANCELLED: api.Outcome.CANCELLED,
     AttemptOutcome.NOT_SENT: api.Outcome.IGNORED,
-    AttemptOutcome.STALE_CONNECTION: api.Outcome.CANCELLED,  # may have run, but costs no trust
+    AttemptOutcome.STALE_CONNECTION: api.Outcome.CANCELLED,
     AttemptOutcome.INVALID_REQUEST: api.Outcome.CANCELLED,
 }
-LOAD_NAMES = {"inflight": "outstanding", "queue": "backlog"}  # seen under either name; the rest as it is
+LOAD_NAMES = {
+    "inflight": "outstanding",
+    "queue": "backlog",
+}  # workers use either name; others stay as they are
 WORKER_HEALTH = {
     State.UP: api.Health.SERVING,
     State.DRAINING: api.Health.DRAINING,
@@ -112,23 +115,26 @@
 }
 
 
-NEVER_RAN = frozenset(end for end, ending in POLICY_OUTCOMES.items() if ending in api.NEVER_RAN)
+NEVER_RAN = frozenset(outcome for outcome, known in POLICY_OUTCOMES.items() if known in api.NEVER_RAN)
 
 
 def micros(span: timedelta) -> int:
+    """Return a duration in whole microseconds."""
     return span // timedelta(microseconds=1)
 
 
 def hash_key(text: str | None) -> int | None:
-    """Any text becomes the same number at every dispatcher."""
+    """Hash a routing key; all dispatchers compute the same number."""
     return None if text is None else int.from_bytes(hashlib.blake2b(text.encode(), digest_size=6).digest())
 
 
 def load_values(load: LoadReport | None) -> dict[str, float] | None:
+    """Return the values of a load report under the names that the policy uses."""
     return {LOAD_NAMES.get(name, name): value for name, value in load.values} if load else None
 
 
 def policy_worker(endpoint: Endpoint) -> api.Worker:
+    """Convert an endpoint of the destination list to the policy's worker."""
     return api.Worker(
         id=endpoint.uid,
         health=WORKER_HEALTH[endpoint.state],
@@ -141,21 +147,21 @@
 
 
 class Ticket:
-    """One request's place at the door, from `admit` to the end of the `with` block."""
+    """A request that the policy manages, from `admit` to the end of the `with` block."""
 
-    def __init__(self, door: PolicyDriver, number: int, job: RequestProfile) -> None:
-        self._driver, self._number, self._profile = door, number, job
+    def __init__(self, driver: PolicyDriver, number: int, profile: RequestProfile) -> None:
+        self._driver, self._number, self._profile = driver, number, profile
         self._decisions: asyncio.Queue[Decision] = asyncio.Queue()
         self._attempt_count = 0
-        self._current_attempt: tuple[Attempt, datetime] | None = None
-        self._is_finished = False  # the module has let go of the request
-        self._retry_window_end: datetime | None = None  # once an attempt may have run
+        self._current_attempt: tuple[Attempt, datetime] | None = None  # with its start
+        self._is_finished = False  # the policy no longer manages the request
+        self._retry_window_end: datetime | None = None  # set once an attempt may have run
 
     def __enter__(self) -> Ticket:
         return self
 
     def __exit__(self, *_: object) -> None:
-        """The one place of release: the module is told of everything that it still counts on."""
+        """End the request; the only place that tells the policy what it still waits for has been cancelled."""
         self._driver.remove_request(self._number)
         try:
             if not self._is_finished:
@@ -166,15 +172,16 @@
                 self.end_attempt(AttemptOutcome.CANCELLED)
 
     async def next_decision(self) -> Decision:
+        """Wait for the next decision."""
         return await self._decisions.get()
 
     @property
     def is_waiting(self) -> bool:
-        """Held: neither decided nor out at an endpoint."""
+        """Whether the policy holds the request: it is neither decided nor at a worker."""
         return not (self._is_finished or self._current_attempt)
 
     def withdraw(self) -> bool:
-        """Takes the request back while it is held; the next decision says so. False: it is too late."""
+        """Take a held request back; the next decision is then `Withdrawn`. False if it is no longer held."""
         if not self.is_waiting:
             return False
         self._is_finished = True
@@ -183,9 +190,11 @@
         return True
 
     def report_started(self) -> None:
+        """Tell the policy that the worker has started to run the request."""
         self._send_progress(started=True)
 
     def report_progress(self) -> None:
+        """Tell the policy that the worker still runs the request."""
         self._send_progress(started=False)
 
     def _send_progress(self, started: bool) -> None:
@@ -193,14 +202,15 @@
             attempt, _ = self._current_attempt
             self._driver.handle_event(api.AttemptProgress(self._number, attempt.number, attempt.uid, started))
 
-    def end_attempt(self, end: AttemptOutcome, load: LoadReport | None = None) -> None:
+    def end_attempt(self, outcome: AttemptOutcome, load: LoadReport | None = None) -> None:
+        """Tell the policy how the current attempt ended; another decision follows unless it was served."""
         assert self._current_attempt
         (attempt, since), self._current_attempt = self._current_attempt, None
-        self._is_finished = self._is_finished or end is AttemptOutcome.SERVED
+        self._is_finished = self._is_finished or outcome is AttemptOutcome.SERVED
         latency = micros(self._driver.clock.now() - since)
-        ending = POLICY_OUTCOMES[end]
+        policy_outcome = POLICY_OUTCOMES[outcome]
         if (
-            end not in NEVER_RAN
+            outcome not in NEVER_RAN
             and not self._retry_window_end
             and self._profile.job_class in self._driver.retry_windows
         ):
@@ -210,30 +220,30 @@
                 self._number,
                 attempt.number,
                 attempt.uid,
-                ending,
+                policy_outcome,
                 latency,
                 self._is_finished,
                 load_values(load),
             )
         )
-        self._driver.on_attempt_ended(attempt.uid, end)
+        self._driver.on_attempt_ended(attempt.uid, outcome)
 
     def deliver(self, action: api.Send | api.Reject | api.Fail) -> None:
-        """Called by the door alone."""
+        """Deliver a decision of the policy; only the driver calls this."""
         match action:
             case api.Send(_, uid, timeout):
                 now = self._driver.clock.now()
-                until = now + timedelta(microseconds=timeout) if timeout else self._profile.deadline
-                repeatable = self._profile.job_class not in self._driver.unsafe_classes
-                until = min(until, self._profile.deadline)
-                attempt = Attempt(self._attempt_count, uid, until, repeatable, self._retry_window_end)
+                deadline = now + timedelta(microseconds=timeout) if timeout else self._profile.deadline
+                is_retry_safe = self._profile.job_class not in self._driver.unsafe_classes
+                deadline = min(deadline, self._profile.deadline)
+                attempt = Attempt(self._attempt_count, uid, deadline, is_retry_safe, self._retry_window_end)
                 self._attempt_count += 1
                 self._current_attempt = (attempt, now)
                 self._decisions.put_nowait(attempt)
-            case api.Reject(_, advice):
+            case api.Reject(_, retry_after):
                 self._is_finished = True
                 self._decisions.put_nowait(
-                    RejectDecision(self._driver.capped_retry_after(timedelta(microseconds=advice)))
+                    RejectDecision(self._driver.capped_retry_after(timedelta(microseconds=retry_after)))
                 )
             case api.Fail():
                 self._is_finished = True
@@ -241,22 +251,26 @@
 
 
 class PolicyDriver:
+    """Passes events to the policy and carries out the actions that it returns.
+
+    `start_probe`, `on_attempt_ended` and `send_hints` are callbacks; until they are set, they do nothing.
+    """
+
     def __init__(
-        self, settings: api.Settings, seed: int, clock: Clock, most_retry_after: timedelta = timedelta(0)
+        self, settings: api.Settings, seed: int, clock: Clock, max_retry_after: timedelta = timedelta(0)
     ) -> None:
-        self.clock, self._max_retry_after = clock, most_retry_after
-        self.start_probe: Callable[[str], None] = lambda uid: None  # who carries probes out
-        self.on_attempt_ended: Callable[[str, AttemptOutcome], None] = (
-            lambda uid, end: None
-        )  # how each attempt ended, and where
+        self.clock, self._max_retry_after = clock, max_retry_after
+        self.start_probe: Callable[[str], None] = lambda uid: None
+        self.on_attempt_ended: Callable[[str, AttemptOutcome], None] = lambda uid, outcome: None
         self.send_hints: Callable[[Sequence[int], Sequence[api.Hint]], None] = lambda to, hints: None
         self.unsafe_classes = frozenset(
             c.name for c in settings.classes if c.repeat is not api.RetrySafety.SAFE
         )
-        # So long after its first attempt a keyed request may be sent again; what is sent takes its time.
-        kept = timedelta(microseconds=2 * settings.tick)
+        # How long after the start of the first attempt that may have run a keyed request may be retried.
+        # Workers deduplicate only within their window, so the time that sending takes is subtracted.
+        sending_time = timedelta(microseconds=2 * settings.tick)
         keyed = (c for c in settings.classes if c.repeat is api.RetrySafety.KEYED)
-        self.retry_windows = {c.name: timedelta(microseconds=c.window) - kept for c in keyed}
+        self.retry_windows = {c.name: timedelta(microseconds=c.window) - sending_time for c in keyed}
         self._policy = Policy(settings, seed)
         self._request_numbers = itertools.count(1)
         self._tickets: dict[int, Ticket] = {}
@@ -266,70 +280,81 @@
 
     @property
     def open_requests(self) -> int:
+        """The number of requests that were admitted and have not ended."""
         return len(self._tickets)
 
     def save_learned_state(self) -> dict[str, Any]:
-        """What was learned here, for the process that follows."""
+        """Return what the policy has learned, for the next process."""
         return save_learned_state(self._policy)
 
-    def restore_learned_state(self, memory: dict[str, Any]) -> None:
-        restore_learned_state(self._policy, memory, self._last_event_us)
+    def restore_learned_state(self, state: dict[str, Any]) -> None:
+        """Restore what the policy of the previous process had learned."""
+        restore_learned_state(self._policy, state, self._last_event_us)
 
     def site_load(self) -> api.SiteLoad:
+        """Return how full the workers of this site are."""
         return pressure(self._policy)
 
     def cluster_health(self) -> api.ClusterHealth:
+        """Return how many workers are listed and how many of them are avoided."""
         return self._policy.cluster_health()
 
     def close(self) -> None:
+        """Cancel all timers."""
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
 
     def capped_retry_after(self, wait: timedelta) -> timedelta | None:
-        """When a refused client is told to come back; None where clients are told nothing."""
+        """Limit the Retry-After of a rejected request; None if responses carry none."""
         return min(wait, self._max_retry_after) or None
 
-    def update_workers(self, told: DestinationUpdate, kept: bool = False) -> None:
-        whole = api.WorkerListKind.CACHED if kept else api.WorkerListKind.FULL
-        workers = tuple(policy_worker(endpoint) for endpoint in told.endpoints)
+    def update_workers(self, update: DestinationUpdate, is_cached: bool = False) -> None:
+        """Pass a list of workers, or its changes, to the policy."""
+        full = api.WorkerListKind.CACHED if is_cached else api.WorkerListKind.FULL
+        workers = tuple(policy_worker(endpoint) for endpoint in update.endpoints)
         self.handle_event(
-            api.WorkersChanged(whole if told.is_full or kept else api.WorkerListKind.CHANGES, workers)
+            api.WorkersChanged(full if update.is_full or is_cached else api.WorkerListKind.CHANGES, workers)
         )
 
-    def record_probe(self, uid: str, end: AttemptOutcome, load: LoadReport | None) -> None:
-        self.handle_event(api.ProbeResult(uid, POLICY_OUTCOMES[end], load_values(load)))
+    def record_probe(self, uid: str, outcome: AttemptOutcome, load: LoadReport | None) -> None:
+        """Pass the result of a probe to the policy."""
+        self.handle_event(api.ProbeResult(uid, POLICY_OUTCOMES[outcome], load_values(load)))
 
     def receive_hints(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
+        """Pass hints of another dispatcher to the policy."""
         self.handle_event(api.HintsReceived(sender, hints))
 
-    def admit(self, job: RequestProfile) -> Ticket:
+    def admit(self, profile: RequestProfile) -> Ticket:
+        """Pass a new request to the policy; decisions come by the ticket."""
         number = next(self._request_numbers)
-        ticket = self._tickets[number] = Ticket(self, number, job)
-        left = max(0, micros(job.deadline - self.clock.now()))
+        ticket = self._tickets[number] = Ticket(self, number, profile)
+        time_left = max(0, micros(profile.deadline - self.clock.now()))
         try:
             self.handle_event(
                 api.Request(
                     id=number,
-                    job_class=job.job_class,
-                    time_left=left,
-                    slots=job.slots,
-                    memory=job.memory,
-                    key=hash_key(job.key),
-                    is_retry=job.is_retry,
-                    tenant=job.tenant,
-                    work_hint=micros(job.duration_hint) if job.duration_hint else None,
+                    job_class=profile.job_class,
+                    time_left=time_left,
+                    slots=profile.slots,
+                    memory=profile.memory,
+                    key=hash_key(profile.key),
+                    is_retry=profile.is_retry,
+                    tenant=profile.tenant,
+                    work_hint=micros(profile.duration_hint) if profile.duration_hint else None,
                 )
             )
         except BaseException:
-            with ticket:  # a defect of the module must not leave the request behind
+            with ticket:  # a defect of the policy must not leave the request open
                 raise
         return ticket
 
     def remove_request(self, number: int) -> None:
+        """Remove a request that has ended; only its ticket calls this."""
         self._tickets.pop(number, None)
 
     def handle_event(self, event: api.Event, not_before: int = 0) -> None:
+        """Pass an event to the policy, at `not_before` at the earliest, and carry out its actions."""
         now = micros(self.clock.now() - EPOCH)
         self._last_event_us = max(self._last_event_us, now, not_before)
         for action in self._policy.handle(self._last_event_us, event):
@@ -342,25 +367,25 @@
                 case api.SetTimer(token, delay):
                     self._set_timer(token, delay)
                 case api.Log(text):
-                    log.info("decisions: %s", text)
+                    log.info("policy: %s", text)
                 case api.Probe(uid):
                     self.start_probe(uid)
                 case api.SendHints(to, hints):
                     self.send_hints(to, hints)
                 case api.Cancel() | api.Subscribe():
-                    pass  # an abandoned attempt is ended by its request; the watch is always on
+                    pass  # a request cancels its own attempt, and the watch on discovery always runs
 
     def _set_timer(self, token: int, delay: int) -> None:
-        serial, due = next(self._timer_numbers), self._last_event_us + delay
+        number, due = next(self._timer_numbers), self._last_event_us + delay
 
         def elapsed() -> None:
-            del self._timers[serial]
+            del self._timers[number]
             try:
-                # asyncio may call a hair early, but the module waits for the very microsecond
-                # it named: told of an earlier one it would set no further timer.
+                # asyncio may call a little early, but the policy expects the exact microsecond that it
+                # set: it ignores an earlier event and would set no further timer.
                 self.handle_event(api.Timer(token), not_before=due)
             except Exception:
-                log.exception("the decision module failed at a timer")
+                log.exception("the policy failed to handle a timer")
 
         wait = (due - micros(self.clock.now() - EPOCH)) / 1_000_000
-        self._timers[serial] = asyncio.get_running_loop().call_later(max(0.0, wait), elapsed)
+        self._timers[number] = asyncio.get_running_loop().call_later(max(0.0, wait), elapsed)
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -385,17 +385,17 @@
     for seed in range(2000):
         pace = RetryPacer(True, seed)
         for word in (SECOND / 100, SECOND / 5, SECOND):
-            first = pace.delay_after(word, heard=True)
-            worst = max(worst, first + pace.delay_after(destinations.SHARED_SERVICE_TIMEOUT, heard=False))
+            first = pace.delay_after(word, succeeded=True)
+            worst = max(worst, first + pace.delay_after(destinations.SHARED_SERVICE_TIMEOUT, succeeded=False))
     assert destinations.SILENCE_TIMEOUT + worst + destinations.SHARED_SERVICE_TIMEOUT < TOLD
     # And after an outage: the call that was out when discovery came back fails, and so does the next.
     for seed in range(2000):
         pace, span = RetryPacer(True, seed), timedelta()
         for _ in range(9):
-            pace.delay_after(SECOND / 100, heard=False)
+            pace.delay_after(SECOND / 100, succeeded=False)
         for _ in range(2):
             span += destinations.SHARED_SERVICE_TIMEOUT + pace.delay_after(
-                destinations.SHARED_SERVICE_TIMEOUT, heard=False
+                destinations.SHARED_SERVICE_TIMEOUT, succeeded=False
             )
         assert span < TOLD
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -445,17 +445,20 @@
 
 def test_discovery_that_all_ask_is_asked_again_spread_and_the_less_the_slower_it_is() -> None:
     second = timedelta(seconds=1)
-    agent = RetryPacer(asked=False, seed=1)
-    assert {agent.delay_after(n * second, heard=False) for n in range(5)} == {RETRY_DELAY}
-    firsts = [RetryPacer(True, seed).delay_after(second / 10, heard=True) for seed in range(200)]
+    agent = RetryPacer(shared_service=False, seed=1)
+    assert {agent.delay_after(n * second, succeeded=False) for n in range(5)} == {RETRY_DELAY}
+    firsts = [RetryPacer(True, seed).delay_after(second / 10, succeeded=True) for seed in range(200)]
     assert len({round(first / RETRY_DELAY, 1) for first in firsts}) > 15 and max(firsts) <= 2 * RETRY_DELAY
     for seed in range(50):
         pace = RetryPacer(True, seed)
         assert all(
-            RETRY_DELAY / 4 <= pace.delay_after(n * second, heard=False) <= MAX_RETRY_DELAY for n in range(20)
+            RETRY_DELAY / 4 <= pace.delay_after(n * second, succeeded=False) <= MAX_RETRY_DELAY
+            for n in range(20)
         )
-        assert pace.delay_after(second / 10, heard=True) <= 2 * RETRY_DELAY  # one word, and it is well again
-    slow = [RetryPacer(True, seed).delay_after(second, heard=True) for seed in range(200)]
+        assert (
+            pace.delay_after(second / 10, succeeded=True) <= 2 * RETRY_DELAY
+        )  # one word, and it is well again
+    slow = [RetryPacer(True, seed).delay_after(second, succeeded=True) for seed in range(200)]
     assert sum(slow, timedelta()) > 4 * sum(firsts, timedelta())
 
 
@@ -481,7 +484,12 @@
                 stack.callback(server.close)
                 where = destinations.Address(*server.sockets[0].getsockname())
                 watched = destinations.Destinations(
-                    Clock(), timedelta(seconds=1), lambda told, kept: None, where, asked=service, seed=1
+                    Clock(),
+                    timedelta(seconds=1),
+                    lambda told, kept: None,
+                    where,
+                    shared_service=service,
+                    seed=1,
                 )
                 watched.start()
                 stack.push_async_callback(watched.close)
