--- a/rookwood/net/__init__.py
+++ b/rookwood/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real dispatcher: the decisions of ``rookwood.policy`` on sockets."""
+"""A dispatcher on real sockets: carries out the decisions of `rookwood.policy`."""
--- a/rookwood/net/connection_limits.py
+++ b/rookwood/net/connection_limits.py
@@ -1,27 +1,31 @@
-"""How the file descriptors of one process are dealt out. What is kept back goes by their number."""
+"""Divides the file descriptors of a process among its kinds of connections."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Standard streams, the loop's own, two listeners, the peers' datagrams, the watch and the one after it, and
-# the sockets of a handover.
+# For the standard streams, the event loop, two listeners, the datagram socket of the peers, the watch on
+# discovery and its successor, and the sockets of a handover.
 RESERVED_DESCRIPTORS = 16
-MANAGEMENT_ACCEPT_BATCH = 4  # callers taken in before those taken are counted
+MANAGEMENT_ACCEPT_BATCH = 4  # management connections accepted before they are counted
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    management_connections: int  # at the second address, at once
-    accept_batch: int  # clients taken in before those taken are counted
-    excess_clients: int  # clients beyond the bound, who are told so or are just being let go
-    per_side: int  # for clients, and as many for endpoints: a request in hand takes one on either side
+    """How many connections of each kind may be open at once."""
+
+    management_connections: int  # at the management address
+    accept_batch: int  # clients' connections accepted before they are counted
+    excess_clients: int  # clients over the limit, which are rejected or whose connections are being closed
+    per_side: int  # clients, and likewise connections to workers: an open request takes one on either side
 
 
 def divide_descriptors(sockets: int) -> ConnectionLimits:
-    def part(divisor: int, least: int, most: int) -> int:
-        return max(least, min(most, sockets // divisor))
+    """Return the limits for a process that may open so many descriptors."""
+
+    def share(divisor: int, minimum: int, maximum: int) -> int:
+        return max(minimum, min(maximum, sockets // divisor))
 
-    callers, accepts, spare = part(24, 4, 12), part(24, 4, 16), part(16, 4, 32)
-    left = sockets - RESERVED_DESCRIPTORS - MANAGEMENT_ACCEPT_BATCH - callers - accepts - spare
-    return ConnectionLimits(callers, accepts, spare, max(4, left // 2))
+    management, accepted, excess = share(24, 4, 12), share(24, 4, 16), share(16, 4, 32)
+    rest = sockets - RESERVED_DESCRIPTORS - MANAGEMENT_ACCEPT_BATCH - management - accepted - excess
+    return ConnectionLimits(management, accepted, excess, max(4, rest // 2))
--- a/rookwood/net/destinations.py
+++ b/rookwood/net/destinations.py
@@ -171,7 +171,7 @@
         self._watches: set[asyncio.Task[None]] = set()  # the current one, and those that are ending
         self._endpoints: dict[str, Endpoint] = {}
         self._unavailable = set[str]()  # draining or removed
-        # Extensions may know sooner that an endpoint must not be used: each check returns since when, or None.
+        # Extensions may know sooner that an endpoint must not be used: a check returns since when, or None.
         self.exclusion_checks: list[Callable[[str], datetime | None]] = []
         self.revision = 0
         self.up_to_date = asyncio.Event()  # set once discovery has sent its state since the start
@@ -251,8 +251,8 @@
                 await self._receive_updates()
                 log.info("the discovery watch ended; opening another one")
             except (OSError, h11.RemoteProtocolError, TooLargeError, InvalidSettingError) as error:
-                # Calls are retried several times a second, so an outage is logged as a warning only twice: for
-                # the watch that broke and for the first failed call.
+                # Calls are retried several times a second, so an outage is logged as a warning only twice:
+                # for the watch that broke and for the first failed call.
                 level = logging.WARNING if succeeded or self._received_at is not before else logging.DEBUG
                 reason = type(error).__name__, str(error) or "silent"
                 log.log(level, "the discovery watch broke: %s: %s", *reason)
--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -1,4 +1,4 @@
-"""One real dispatcher, put together: who owns what, and in which order it starts and ends."""
+"""Assembles a dispatcher of its parts, and starts and ends them in order."""
 
 from __future__ import annotations
 
@@ -31,22 +31,21 @@
 
 log = logging.getLogger(__name__)
 
-# After SIGTERM: SIGKILL comes no sooner than the longest deadline, or `COUNTED` where that is less, and KILL.
+# After SIGTERM, SIGKILL follows at the earliest after the longest deadline of a job class, of which at most
+# `MAX_COUNTED_DEADLINE` counts, plus `KILL_DELAY`. The two margins count back from that moment.
 MAX_COUNTED_DEADLINE, KILL_DELAY = timedelta(seconds=3), timedelta(milliseconds=700)
-LAST_RESPONSE_MARGIN = timedelta(
-    milliseconds=250
-)  # so long before, the last request that came late has its answer
-UP_TO_DATE_TIMEOUT = timedelta(seconds=4)  # a new process has 6 s to be ready; discovery may be down
-HANDOVER_TIMEOUT = timedelta(seconds=4.5)  # so long the jobs of the process before are waited for
-CLIENT_CLOSE_MARGIN = timedelta(
-    milliseconds=1400
-)  # so long before, clients are moved off: jobs started now would be cut
-BODY_MEMORY_DIVISOR = 8  # one part in so many of the memory is for bodies in hand; each is there about twice
+# Requests that came after SIGTERM have their responses by then.
+LAST_RESPONSE_MARGIN = timedelta(milliseconds=250)
+# Clients' connections are closed from then on, since SIGKILL would cut off jobs that start later.
+CLIENT_CLOSE_MARGIN = timedelta(milliseconds=1400)
+UP_TO_DATE_TIMEOUT = timedelta(seconds=4)  # a new process must be ready in 6 s, even if discovery is down
+HANDOVER_TIMEOUT = timedelta(seconds=4.5)  # how long a new process waits for the jobs of the previous one
+BODY_MEMORY_DIVISOR = 8  # this fraction of the memory is for request bodies; each is held about twice
 
 
 @dataclass(frozen=True, slots=True)
 class DispatcherContext:
-    """What another front works with."""
+    """The parts of a dispatcher that an extension may use."""
 
     name: str
     clock: Clock
@@ -59,41 +58,49 @@
     request_handler: RequestHandler
     stats: RequestStats
     service: ServiceState
-    management_calls: dict[
-        tuple[bytes, bytes], Callable[[], Response]
-    ]  # of the second address; fronts add theirs
-    begin_shutdown: Callable[[], None]  # as after SIGTERM
+    # Calls of the management address by method and path; extensions add their own.
+    management_calls: dict[tuple[bytes, bytes], Callable[[], Response]]
+    begin_shutdown: Callable[[], None]  # the same as on SIGTERM
 
 
 class Extension(Protocol):
-    """A further way for requests to come in or go out, beside `Inbound`."""
+    """An optional component, such as the gateway, through which requests come in or go out."""
 
     def filter_update(self, update: DestinationUpdate, kept: bool) -> DestinationUpdate:
-        """Discovery has spoken; returns what of it the decisions are to know."""
+        """Handle an update of the destination list; return the part of it that the policy is to see.
 
-    async def start(self) -> None: ...
+        `kept` is true for the cached list of the configuration file.
+        """
 
-    def reload(self) -> None: ...
+    async def start(self) -> None:
+        """Start listening, after the dispatcher does."""
+
+    def reload(self) -> None:
+        """Read the extension's settings again."""
 
     def handed_over(self) -> None:
-        """The next process has taken over."""
+        """Stop listening, since the next process has taken over."""
 
-    def begin_shutdown(self) -> None: ...
+    def begin_shutdown(self) -> None:
+        """Prepare for the end of the process, which is about to drain."""
 
     async def wait_drained(self) -> None:
-        """Returns once nothing of others is in hand here."""
+        """Return once no request that came through the extension is open."""
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """Close all connections and end all tasks."""
 
 
 class Dispatcher:
-    def __init__(self, config: Config, *fronts: Callable[[DispatcherContext], Extension]) -> None:
+    """Owns all parts of a dispatcher, from the start of the process to its end."""
+
+    def __init__(self, config: Config, *extensions: Callable[[DispatcherContext], Extension]) -> None:
         clock, bounds = Clock(), config.bounds
         self._clock = clock
-        room = divide_descriptors(bounds.sockets)
+        limits = divide_descriptors(bounds.sockets)
         self._config = config
-        longest = bounds.max_retry_after if bounds.retry_after else timedelta(0)
-        self._decisions = PolicyDriver(config.settings, config.seed, clock, longest)
+        max_retry_after = bounds.max_retry_after if bounds.retry_after else timedelta(0)
+        self._decisions = PolicyDriver(config.settings, config.seed, clock, max_retry_after)
         self._destinations = Destinations(
             clock,
             bounds.drain_grace,
@@ -102,7 +109,7 @@
             config.settings.subscribe,
             config.seed,
         )
-        self._endpoints = EndpointPool(clock, bounds.connect_timeout, bounds.idle, room.per_side)
+        self._endpoints = EndpointPool(clock, bounds.connect_timeout, bounds.idle, limits.per_side)
         self._probes = Probes(self._decisions, self._destinations, self._endpoints)
         self._peers = Peers(self._decisions, config.peer_listen, config.peers)
         self._service = ServiceState(clock)
@@ -112,17 +119,17 @@
         )
         self._stats.extra_sources.append(self._destinations.stats_lines)
         parts = (self._decisions, self._destinations, self._endpoints, self._stats)
-        self._requests = RequestHandler(clock, *parts, longest or None)
+        self._requests = RequestHandler(clock, *parts, max_retry_after or None)
         self._inbound = Inbound(
             clock,
             self._requests.serve,
             classes,
-            room,
-            full=lambda: self._decisions.open_requests >= bounds.max_open,
-            retry_after=longest or None,
-            most_bytes=bounds.memory // BODY_MEMORY_DIVISOR,
+            limits,
+            is_full=lambda: self._decisions.open_requests >= bounds.max_open,
+            retry_after=max_retry_after or None,
+            max_body_bytes=bounds.memory // BODY_MEMORY_DIVISOR,
             service=self._service,
-            figures=self._stats,
+            stats=self._stats,
         )
         calls = {
             (b"GET", b"/ops/readiness"): self._readiness,
@@ -130,16 +137,19 @@
             (b"POST", b"/ops/drain/start"): self._drain,
             (b"POST", b"/ops/drain/stop"): self._resume,
         }
-        self._management = Management(clock, calls, room)
+        self._management = Management(clock, calls, limits)
         self._handover = Handover(
-            config.handover, self._save_learned_state, self._handed_over, alone=self._predecessor_ended
+            config.handover,
+            self._save_learned_state,
+            self._handed_over,
+            on_predecessor_end=self._predecessor_ended,
         )
-        by_name = {c.name: c for c in config.settings.classes}
-        core = DispatcherContext(
+        classes_by_name = {c.name: c for c in config.settings.classes}
+        context = DispatcherContext(
             *(
                 config.name,
                 clock,
-                by_name,
+                classes_by_name,
                 config.settings.zone,
                 DispatcherGroup(config.settings.dispatchers),
                 bounds,
@@ -148,31 +158,36 @@
             *(calls, self.begin_shutdown),
         )
         self._handover.datagram_descriptor = self._peers.descriptor
-        self._extensions = [front(core) for front in fronts]
+        self._extensions = [extension(context) for extension in extensions]
         self._is_shutting_down = False
         self._created_at = clock.now()
-        self._predecessor_deadline: datetime | None = (
-            None  # there is a process before; it is waited for until then
-        )
+        # During an upgrade: until when this process waits for the jobs of the previous one.
+        self._predecessor_deadline: datetime | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self.management_port: int | None = None  # the port of the second address
+        self.management_port: int | None = None
 
     async def start(self) -> int:
-        """The kept list first: from the first connection on, requests are decided by it."""
+        """Start all parts; return the port for clients, or 0 if SIGTERM came before the takeover.
+
+        The cached list is applied first, since the policy needs it from the first connection on.
+        """
         config = self._config
-        self._destinations.apply_update(config.known, kept=True)
+        self._destinations.apply_update(config.known, is_cached=True)
         self._destinations.start()
         self._tasks = [asyncio.create_task(self._endpoints.sweep())]
         if config.mgmt:
-            caller = bind_listener(config.mgmt)
-            self.management_port = int(caller.getsockname()[1])
-            await self._management.listen(caller)
-            log.info("%s is run from %s:%d", config.name, config.mgmt.host, self.management_port)
+            management = bind_listener(config.mgmt)
+            self.management_port = int(management.getsockname()[1])
+            await self._management.listen(management)
+            log.info(
+                "%s accepts management calls at %s:%d", config.name, config.mgmt.host, self.management_port
+            )
         listener = await self._handover.inherit_listener(config.listen)
         if not listener:
             await self._peers.start()
         if listener:
-            # The process before serves meanwhile. A list as old as the file would break the rules on drains.
+            # The previous process serves until this one has the current list: the cached one may be too old
+            # to know of drains.
             self._predecessor_deadline = self._created_at + HANDOVER_TIMEOUT
             self._split_descriptors(2)
             with contextlib.suppress(TimeoutError):
@@ -180,7 +195,7 @@
                     self._destinations.up_to_date.wait(), UP_TO_DATE_TIMEOUT.total_seconds()
                 )
             self._restore_learned_state(await self._handover.receive_learned_state())
-            if self._service.phase is Phase.LEAVING:  # told to end before it took over: the other one stays
+            if self._service.phase is Phase.LEAVING:  # SIGTERM came first, so the previous process goes on
                 listener.close()
                 if self._handover.inherited_datagram_socket:
                     self._handover.inherited_datagram_socket.close()
@@ -192,31 +207,36 @@
         self._service.start()
         self._handover.confirm_takeover()
         await self._handover.offer_listener(listener)
-        for front in self._extensions:
-            await front.start()
+        for extension in self._extensions:
+            await extension.start()
         log.info("%s listens on %s:%d", config.name, config.listen.host, port)
         return port
 
-    def _apply_destinations(self, told: DestinationUpdate, kept: bool) -> None:
-        self._peers.add_workers(told, kept)
-        for front in self._extensions:
-            told = front.filter_update(told, kept)
-        self._decisions.update_workers(told, kept)
+    def _apply_destinations(self, update: DestinationUpdate, is_cached: bool) -> None:
+        """Pass an update of the destination list to the parts that use it."""
+        self._peers.add_workers(update, is_cached)
+        for extension in self._extensions:
+            update = extension.filter_update(update, is_cached)
+        self._decisions.update_workers(update, is_cached)
 
     def reload(self, config: Config) -> None:
-        """Takes over what may change while requests are in hand; the rest waits for the next start."""
+        """Apply what may change while requests are open; the rest takes effect at the next start."""
         log.info("the configuration was read again; discovery is %s", config.discovery)
         self._destinations.switch_discovery(config.discovery)
-        for front in self._extensions:
-            front.reload()
+        for extension in self._extensions:
+            extension.reload()
 
     def _predecessor_ended(self) -> None:
-        """The process before has ended."""
+        """The previous process has ended, so this one may use all descriptors."""
         self._predecessor_deadline = None
         self._split_descriptors(1)
 
     def _readiness(self) -> Response:
-        """Amid an upgrade a yes is the sign to end the process before: its jobs should have ended by then."""
+        """Respond to a readiness call.
+
+        During an upgrade the platform ends the previous process once this one is ready, so it does not
+        report readiness before the jobs of the previous one have ended or the timeout is over.
+        """
         if (
             self._predecessor_deadline
             and self._clock.now() < self._predecessor_deadline
@@ -226,76 +246,80 @@
         return readiness_response(self._service)
 
     def _drain(self) -> Response:
+        """Begin to drain."""
         self._service.drain()
         return Response(200, f"{self._service.phase.value}\n".encode())
 
     def _resume(self) -> Response:
-        back = self._service.resume()
-        return Response(200 if back else 409, f"{self._service.phase.value}\n".encode())
+        """End a drain."""
+        resumed = self._service.resume()
+        return Response(200 if resumed else 409, f"{self._service.phase.value}\n".encode())
 
     def _split_descriptors(self, processes: int) -> None:
-        """Amid an upgrade two processes take what one may."""
+        """Limit connections to this process's share; during an upgrade two processes share one limit."""
         self._inbound.max_connections = self._endpoints.max_connections = divide_descriptors(
             self._config.bounds.sockets // processes
         ).per_side
 
     def _save_learned_state(self) -> bytes:
-        """For the process that follows. An upgrade goes on without it, so no fault here may stop one."""
+        """Encode the learned state for the next process; an error must not stop the upgrade."""
         try:
             ids, learned = self._requests.save_known_ids(), self._decisions.save_learned_state()
             return json.dumps({"ids": ids, "decisions": learned}).encode()
         except Exception:
-            log.exception("nothing is remembered")
+            log.exception("the learned state could not be saved")
             return b"{}"
 
     def _restore_learned_state(self, text: bytes) -> None:
+        """Decode and apply what the previous process learned; an error must not stop the start."""
         try:
-            memory = json.loads(text)
-            self._requests.restore_known_ids([str(name) for name in memory["ids"]])
-            self._decisions.restore_learned_state(memory["decisions"])
+            state = json.loads(text)
+            self._requests.restore_known_ids([str(name) for name in state["ids"]])
+            self._decisions.restore_learned_state(state["decisions"])
         except Exception as error:
-            log.warning("not all is recalled: %s: %s", type(error).__name__, error)
+            log.warning("the learned state was not fully restored: %s: %s", type(error).__name__, error)
 
     def _handed_over(self) -> None:
-        """The next process serves the same listener: whoever is here moves there, and this one ends."""
+        """The next process serves the listener: close the clients' connections and shut down."""
         log.info("%s has handed over", self._config.name)
         self._service.is_handed_over = True
         self._peers.handed_over()
         self._inbound.stop()
-        for front in self._extensions:
-            front.handed_over()
+        for extension in self._extensions:
+            extension.handed_over()
         self._endpoints.max_connections = divide_descriptors(self._config.bounds.sockets // 2).per_side
         self._service.begin_shutdown(timedelta(0))
 
     def begin_shutdown(self) -> None:
-        """The end is near: SIGTERM has come."""
+        """Begin to shut down on SIGTERM: serve until clients must be moved off, and finish before SIGKILL."""
         if self._is_shutting_down:
             return
         self._is_shutting_down = True
-        log.info("%s is leaving", self._config.name)
-        longest = max((c.give_up for c in self._config.settings.classes), default=0)
-        end = min(timedelta(microseconds=longest), MAX_COUNTED_DEADLINE) + KILL_DELAY
-        self._requests.begin_shutdown(self._clock.now() + end - LAST_RESPONSE_MARGIN)
-        self._service.begin_shutdown(end - CLIENT_CLOSE_MARGIN)
-        for front in self._extensions:
-            front.begin_shutdown()
+        log.info("%s is shutting down", self._config.name)
+        longest_deadline = max((c.give_up for c in self._config.settings.classes), default=0)
+        time_to_kill = min(timedelta(microseconds=longest_deadline), MAX_COUNTED_DEADLINE) + KILL_DELAY
+        self._requests.begin_shutdown(self._clock.now() + time_to_kill - LAST_RESPONSE_MARGIN)
+        self._service.begin_shutdown(time_to_kill - CLIENT_CLOSE_MARGIN)
+        for extension in self._extensions:
+            extension.begin_shutdown()
 
     async def wait_drained(self) -> None:
-        """Returns once this process is to leave and everything that was taken has its answer."""
+        """Return once the process is shutting down and every accepted request has its response."""
         await self._service.wait_shutdown()
         await self._service.wait_closing_clients()
         await self._inbound.wait_empty()
-        for front in self._extensions:
-            await front.wait_drained()
-        await self._inbound.wait_empty()  # who came while the fronts emptied
+        for extension in self._extensions:
+            await extension.wait_drained()
+        await self._inbound.wait_empty()  # clients that connected while the extensions drained
         self._inbound.stop()
-        await self._inbound.wait_empty()  # and who was just accepted: from here on nobody comes
+        await self._inbound.wait_empty()  # connections accepted just before the listener closed
 
     async def close(self) -> None:
+        """Close all connections and end all tasks."""
         await self._handover.close()
         await self._inbound.close()
-        for front in self._extensions:
-            await front.close()
+        for extension in self._extensions:
+            await extension.close()
         await self._management.close()
         await self._destinations.close()
         for task in self._tasks:
--- a/rookwood/net/dispatcher_group.py
+++ b/rookwood/net/dispatcher_group.py
@@ -1,8 +1,9 @@
-"""What a dispatcher knows of the others of its site: how many there are, and who does what alone.
+"""What a dispatcher knows of the group of dispatchers of its site: their number and their duties.
 
-By default a fixed number, and nobody does anything alone. Whatever knows better takes the place of these.
-Rules that all dispatchers keep together (the cold budget, the ledger's vouching) go by the fixed number in
-any case: a member that is taken for dead may live, and goes on spending its part.
+By default the group has the configured number of dispatchers, and no duty has a single holder; an extension
+that knows more replaces the callbacks. Limits that all dispatchers share (the budget for cold workers and the
+ledger's vouching) are always divided by the configured number, since a member that is believed dead may be
+alive and still use its share.
 """
 
 from __future__ import annotations
@@ -14,13 +15,16 @@
 
 @dataclass(slots=True)
 class DispatcherGroup:
-    configured_count: int  # dispatchers, by the platform's settings
+    """The number of dispatchers, and who holds a duty."""
+
+    configured_count: int  # from the platform's settings
     count_alive: Callable[[], int] | None = None
-    # Of a duty: True, it is held here; False, by another; None, nobody is known to hold it.
+    # True if this dispatcher holds a duty, False if another one does, None if no holder is known.
     holds_duty: Callable[[str], bool | None] = lambda duty: None
-    # A store that lives on the dispatchers of the site, and takes their links: `replicas.peers.PeersStore`.
+    # The store that the dispatchers replicate over the links of the duties: a `replicas.peers.PeersStore`.
     member_store: Any = None
 
     @property
     def count(self) -> int:
+        """The number of dispatchers that are alive, as far as known; at least 1."""
         return max(1, self.count_alive()) if self.count_alive else self.configured_count
--- a/rookwood/net/handover.py
+++ b/rookwood/net/handover.py
@@ -1,6 +1,7 @@
-"""Upgrades: the clients' listening socket passes from the running process to the next, by a Unix socket.
+"""Upgrades: the running process passes the clients' listening socket to the next one, over a Unix socket.
 
-Closing a SO_REUSEPORT listener resets what waits in its queue. With one socket in both hands nothing is lost.
+Closing one of several SO_REUSEPORT listeners resets the connections in its queue. Here both processes hold
+the same listening socket, so no connection is lost.
 """
 
 from __future__ import annotations
@@ -19,23 +20,21 @@
 
 log = logging.getLogger(__name__)
 
-RESPONSE_TIMEOUT = timedelta(seconds=1)  # who runs here but hangs must not hold up who comes to help
-SUCCESSOR_TIMEOUT = timedelta(seconds=30)  # to take over, for who has asked
+RESPONSE_TIMEOUT = timedelta(seconds=1)  # a process that hangs must not delay the start of the next one
+SUCCESSOR_TIMEOUT = timedelta(seconds=30)  # from the offer of the listener to the takeover
 MAX_LEARNED_STATE, CHUNK = 4 * 1024 * 1024, 64 * 1024
-OFFER, STATE_REQUEST, TAKEN_OVER = (
-    b"L",
-    b"M",
-    b"T",
-)  # here is the listener; what was learned? it is served now
+# The messages: with the listener (from the running process), request of the learned state, takeover.
+OFFER, STATE_REQUEST, TAKEN_OVER = b"L", b"M", b"T"
 
 
 def is_same_user(peer: socket.socket) -> bool:
-    """Of this user: nobody else is to get the socket, nor to put another in its place."""
+    """Whether the peer is of the same user; another user must neither get the listener nor offer one."""
     _, uid, _ = struct.unpack("3i", peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return bool(uid == os.getuid())
 
 
 async def wait_readable(peer: socket.socket) -> None:
+    """Wait until the socket has data or its end."""
     loop, ready = asyncio.get_running_loop(), asyncio.Event()
     loop.add_reader(peer, ready.set)
     try:
@@ -45,72 +44,74 @@
 
 
 class Handover:
-    """Owns the Unix sockets: one towards the process before this one, one that offers to the next."""
+    """Takes the listener over from the previous process, and offers it to the next one.
+
+    Owns the connection to the previous process and the Unix socket that the next one connects to.
+    """
 
     def __init__(
         self,
-        place: Path | None,
-        remember: Callable[[], bytes],
-        succeeded: Callable[[], None],
-        alone: Callable[[], None],
+        socket_path: Path | None,
+        save_learned_state: Callable[[], bytes],
+        on_taken_over: Callable[[], None],
+        on_predecessor_end: Callable[[], None],
     ) -> None:
         self._socket_path, self._save_learned_state, self._on_taken_over, self._on_predecessor_end = (
-            place,
-            remember,
-            succeeded,
-            alone,
+            socket_path,
+            save_learned_state,
+            on_taken_over,
+            on_predecessor_end,
         )
         self._predecessor: socket.socket | None = None
-        self.datagram_descriptor: Callable[[], int | None] = (
-            lambda: None
-        )  # the socket that goes along, if there is one
-        self.inherited_datagram_socket: socket.socket | None = None  # that of the process before
+        # Returns the descriptor of the datagram socket to pass on with the listener, if there is one.
+        self.datagram_descriptor: Callable[[], int | None] = lambda: None
+        self.inherited_datagram_socket: socket.socket | None = None  # from the previous process
         self._watch: asyncio.Task[None] | None = None
         self._server: asyncio.Server | None = None
         self._inode = 0
         self._successors: set[asyncio.Task[None]] = set()
 
     async def inherit_listener(self, listen: Address) -> socket.socket | None:
-        """The listener of the process that runs here already, if there is one and it is at this address."""
+        """Return the listener of the running process, or None if there is none at this address."""
         if not self._socket_path:
             return None
         try:
-            before = socket.socket(socket.AF_UNIX)
+            predecessor = socket.socket(socket.AF_UNIX)
         except OSError as error:
-            log.info("no Unix sockets here, so upgrades share the address instead: %s", error)
+            log.info("Unix sockets are not available, so an upgrade shares the address instead: %s", error)
             return None
-        before.setblocking(False)
-        handles: list[int] = []
+        predecessor.setblocking(False)
+        descriptors: list[int] = []
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT.total_seconds()):
-                await asyncio.get_running_loop().sock_connect(before, str(self._socket_path))
-                await wait_readable(before)
-            word, handles, _, _ = socket.recv_fds(before, 1, 2)
-            if word != OFFER or not handles or not is_same_user(before):
+                await asyncio.get_running_loop().sock_connect(predecessor, str(self._socket_path))
+                await wait_readable(predecessor)
+            message, descriptors, _, _ = socket.recv_fds(predecessor, 1, 2)
+            if message != OFFER or not descriptors or not is_same_user(predecessor):
                 raise ConnectionError("no listener was offered")
-        except OSError as error:  # TimeoutError is one
-            before.close()
-            for handle in handles:
-                os.close(handle)
+        except OSError as error:  # also TimeoutError, which is a subclass
+            predecessor.close()
+            for descriptor in descriptors:
+                os.close(descriptor)
             if not isinstance(error, FileNotFoundError):
-                log.info("no process hands its listener over: %s", error or "no answer")
+                log.info("no process hands its listener over: %s", error or "no response")
             return None
-        listener, *others = (socket.socket(fileno=handle) for handle in handles)
-        for handed in (listener, *others):
-            handed.setblocking(False)
+        listener, *others = (socket.socket(fileno=descriptor) for descriptor in descriptors)
+        for inherited in (listener, *others):
+            inherited.setblocking(False)
         host, port, *_ = listener.getsockname()
         if host != listen.host or listen.port not in (0, port):
-            for handed in (listener, *others):
-                handed.close()
-            before.close()
+            for inherited in (listener, *others):
+                inherited.close()
+            predecessor.close()
             return None
-        self._predecessor, self.inherited_datagram_socket = before, next(iter(others), None)
+        self._predecessor, self.inherited_datagram_socket = predecessor, next(iter(others), None)
         return listener
 
     async def receive_learned_state(self) -> bytes:
-        """What the process before has learned up to now; nothing if it does not say."""
+        """Return what the previous process has learned so far; empty or incomplete if it does not respond."""
         text = b""
-        with contextlib.suppress(OSError):  # TimeoutError is one
+        with contextlib.suppress(OSError):  # also TimeoutError, which is a subclass
             if self._predecessor:
                 self._predecessor.send(STATE_REQUEST)
                 async with asyncio.timeout(RESPONSE_TIMEOUT.total_seconds()):
@@ -122,23 +123,23 @@
         return text
 
     def confirm_takeover(self) -> None:
-        """This process serves the listener: the one before may stop."""
+        """Tell the previous process that this one serves the listener now."""
         if self._predecessor:
             with contextlib.suppress(OSError):
                 self._predecessor.send(TAKEN_OVER)
             self._watch = asyncio.create_task(self._watch_predecessor(self._predecessor))
 
-    async def _watch_predecessor(self, before: socket.socket) -> None:
-        await wait_readable(before)  # it says nothing more: this is its end
-        log.info("the process before has ended")
+    async def _watch_predecessor(self, predecessor: socket.socket) -> None:
+        await wait_readable(predecessor)  # the process sends nothing more, so this is the end of the stream
+        log.info("the previous process has ended")
         self._on_predecessor_end()
 
     async def offer_listener(self, listener: socket.socket) -> None:
-        """From now on the next process may take the listener over."""
+        """Allow the next process to take the listener over from now on."""
         if not self._socket_path:
             return
 
-        async def heir(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_successor(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.current_task()
             assert task
             self._successors.add(task)
@@ -146,14 +147,16 @@
                 with writer.get_extra_info("socket").dup() as peer:
                     if not is_same_user(peer):
                         return
-                    along = self.datagram_descriptor()
-                    socket.send_fds(peer, [OFFER], [listener.fileno(), *([] if along is None else [along])])
-                async with asyncio.timeout(SUCCESSOR_TIMEOUT.total_seconds()) as limit:
-                    while word := await reader.read(1):
-                        if word == STATE_REQUEST:
+                    datagrams = self.datagram_descriptor()
+                    socket.send_fds(
+                        peer, [OFFER], [listener.fileno(), *([] if datagrams is None else [datagrams])]
+                    )
+                async with asyncio.timeout(SUCCESSOR_TIMEOUT.total_seconds()) as timeout:
+                    while message := await reader.read(1):
+                        if message == STATE_REQUEST:
                             writer.write(self._save_learned_state() + b"\n")
-                        elif word == TAKEN_OVER:
-                            limit.reschedule(None)  # the connection's end will tell it of this process's
+                        elif message == TAKEN_OVER:
+                            timeout.reschedule(None)  # the connection stays open until this process ends
                             self._on_taken_over()
             except (OSError, ValueError, asyncio.CancelledError) as error:
                 log.info("a handover ended: %s: %s", type(error).__name__, error)
@@ -163,19 +166,19 @@
 
         try:
             with contextlib.suppress(FileNotFoundError):
-                self._socket_path.unlink()  # of the process before, or of one that was killed
-            self._server = await asyncio.start_unix_server(heir, self._socket_path)
+                self._socket_path.unlink()  # left by the previous process, or by one that was killed
+            self._server = await asyncio.start_unix_server(serve_successor, self._socket_path)
             self._inode = self._socket_path.stat().st_ino
-        except OSError as error:  # it serves all the same; only the next upgrade is rougher
+        except OSError as error:  # the process serves clients; only the next upgrade is less smooth
             log.warning("no handover at %s: %s", self._socket_path, error)
 
     async def close(self) -> None:
+        """Withdraw the offer and close the connections."""
         if self._server:
             self._server.close()
             with contextlib.suppress(OSError):
-                if (
-                    self._socket_path and self._socket_path.stat().st_ino == self._inode
-                ):  # else it is the next one's
+                # With another inode, the socket belongs to the next process.
+                if self._socket_path and self._socket_path.stat().st_ino == self._inode:
                     self._socket_path.unlink()
         tasks = [*self._successors, *([self._watch] if self._watch else [])]
         for task in tasks:
--- a/rookwood/net/inbound.py
+++ b/rookwood/net/inbound.py
@@ -1,4 +1,4 @@
-"""The client's side: connections in, one request at a time on each, answers out."""
+"""Serves the clients' connections: one request at a time on each, and its response."""
 
 from __future__ import annotations
 
@@ -33,24 +33,25 @@
 log = logging.getLogger(__name__)
 
 IDLE_TIMEOUT = timedelta(seconds=120)  # between requests
-# From connecting to the end of the first request. Some write it for 2 s; others are owed an end within 3 s.
+# From connecting to the end of the first request: some clients write it for 2 s, and a connection without a
+# request must be closed within 3 s.
 FIRST_REQUEST_TIMEOUT = timedelta(seconds=2.6)
-READ_TIMEOUT = timedelta(seconds=3)  # for the rest of a later request that has begun, however it trickles in
+READ_TIMEOUT = timedelta(seconds=3)  # from the first bytes of a later request to its end, however slow it is
 WRITE_TIMEOUT = timedelta(seconds=10)
-LINGER_TIMEOUT = timedelta(milliseconds=500)  # so that a client still sending can read its answer
-MAX_LINGER_BYTES = 512 * 1024  # read and dropped meanwhile; who sends more is cut off
-MAX_READ_AHEAD = 128 * 1024  # bytes kept of what comes while a request is served; clients send one at a time
+LINGER_TIMEOUT = timedelta(milliseconds=500)  # lets a client that is still sending read its response
+MAX_LINGER_BYTES = 512 * 1024  # read and dropped meanwhile; a client that sends more is cut off
+MAX_READ_AHEAD = 128 * 1024  # bytes kept while a request is served; clients send one request at a time
 DISCARD_PAUSE = timedelta(
     milliseconds=2
-)  # between two reads of what is dropped: 64 KiB each, some 30 MB a second
+)  # between reads of dropped data: at 64 KiB each, some 30 MB a second
 POLL_INTERVAL = timedelta(milliseconds=20)
-ACCEPT_DELAY = timedelta(milliseconds=100)
-NEW_CLIENT_GRACE = timedelta(milliseconds=300)
+ACCEPT_DELAY = timedelta(milliseconds=100)  # until the handler of a connection just accepted has begun
+NEW_CLIENT_GRACE = timedelta(milliseconds=300)  # for the first bytes of a new connection to arrive
 READINESS_PATH = b"/-/ready"
 
 
 def readiness_response(service: ServiceState) -> Response:
-    """The same at either address."""
+    """Return the response to a readiness check, the same at the clients' and the management address."""
     return Response(200 if service.is_ready else 503, f"{service.phase.value}\n".encode())
 
 
@@ -58,74 +59,78 @@
 
 
 class Inbound:
-    """Owns the listener and every client connection."""
+    """Owns the listener for clients and all their connections."""
 
     def __init__(
         self,
         clock: Clock,
         serve: ServeRequest,
         classes: Collection[str],
-        room: ConnectionLimits,
-        full: Callable[[], bool],
+        limits: ConnectionLimits,
+        is_full: Callable[[], bool],
         retry_after: timedelta | None,
-        most_bytes: int,
+        max_body_bytes: int,
         service: ServiceState,
-        figures: RequestStats,
+        stats: RequestStats,
     ) -> None:
         self._clock, self._serve, self._classes = clock, serve, classes
         self.max_connections, self._limits, self._is_full, self._retry_after = (
-            room.per_side,
-            room,
-            full,
+            limits.per_side,
+            limits,
+            is_full,
             retry_after,
         )
-        self._service, self._stats = service, figures
-        self._body_bytes_left = most_bytes  # for the bodies of requests in hand
+        self._service, self._stats = service, stats
+        self._body_bytes_left = max_body_bytes  # for the bodies of all open requests
         self._streams: set[HttpStream] = set()
-        # Waiting for a request, longest first, with their time limits: who brought a job before; who did not.
+        # Connections that wait for a request, with their timeouts, longest first: those that have sent a job
+        # before, and the others.
         self._idle_usual: dict[HttpStream, asyncio.Timeout] = {}
         self._idle_unproven: dict[HttpStream, asyncio.Timeout] = {}
-        self._first_request_due: dict[
-            HttpStream, datetime
-        ] = {}  # owes its first request until then, longest first
-        self._usual_clients: set[HttpStream] = set()  # has brought a job
-        self._lingering: dict[HttpStream, None] = {}  # told to go, but still there
+        # Until when a new connection has to complete its first request; oldest first.
+        self._first_request_due: dict[HttpStream, datetime] = {}
+        self._usual_clients: set[HttpStream] = set()  # connections that have sent a job
+        self._lingering: dict[HttpStream, None] = {}  # ended from this side, but not yet closed
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         self._closer: asyncio.Task[None] | None = None
 
     async def listen(self, listener: socket.socket) -> None:
+        """Accept connections on the listener."""
         self._server = await start_server(listener, self._handle_connection, self._limits.accept_batch)
         self._closer = asyncio.create_task(self._close_idle_clients())
 
     async def _close_idle_clients(self) -> None:
-        """Moves clients off while the process drains or leaves: as their answers go out, and whoever stands
-        idle. Nobody is cut off: what has just come in is still served."""
+        """Close idle connections while the process drains or shuts down.
+
+        Busy connections end with their response instead. A request that has just arrived is still served.
+        """
         while True:
             await self._service.wait_closing_clients()
-            for stream, limit in (*self._idle_unproven.items(), *self._idle_usual.items()):
-                # A newcomer's first bytes are on their way: closing now would lose its job.
-                young = (
+            for stream, timeout in (*self._idle_unproven.items(), *self._idle_usual.items()):
+                # The first bytes of a new connection are on their way: closing it now would lose the job.
+                is_new = (
                     stream in self._first_request_due
                     and self._clock.now()
                     < self._first_request_due[stream] - FIRST_REQUEST_TIMEOUT + NEW_CLIENT_GRACE
                 )
-                if not (young or limit.expired()):
-                    limit.reschedule(0)  # its own task ends the connection, or finds that a request has come
+                if not (is_new or timeout.expired()):
+                    timeout.reschedule(0)  # its own task closes the connection, unless a request has arrived
             await asyncio.sleep(POLL_INTERVAL.total_seconds())
 
     def stop(self) -> None:
-        """Accepts no more; who is here is still served."""
+        """Accept no further connections; those that are open are still served."""
         if self._server:
             self._server.close()
 
     async def wait_empty(self) -> None:
-        """Returns once every client's connection has ended."""
-        await asyncio.sleep(ACCEPT_DELAY.total_seconds())  # what was just accepted is not counted at once
+        """Return once all clients' connections have ended."""
+        await asyncio.sleep(ACCEPT_DELAY.total_seconds())  # connections just accepted are counted later
         while self._streams:
             await asyncio.sleep(POLL_INTERVAL.total_seconds())
 
     async def close(self) -> None:
+        """Close the listener and all connections."""
         self.stop()
         tasks = [*self._tasks, *([self._closer] if self._closer else [])]
         for task in tasks:
@@ -149,7 +154,7 @@
         except (OSError, NotWrittenError, h11.ProtocolError) as error:
             log.debug("a client's connection broke: %s: %s", type(error).__name__, error)
         except asyncio.CancelledError:
-            pass  # only `close` does that
+            pass  # only `close` cancels this task
         except Exception:
             log.exception("a client's connection failed")
         finally:
@@ -160,104 +165,110 @@
             self._tasks.discard(task)
 
     def _evict_client(self) -> None:
-        """Who was turned away or brought no job goes first: a crowd of these must not cost a usual client."""
-        waiting = (
+        """Close one connection, if there is one to spare, to make room for a new one.
+
+        Lingering connections and those without a job so far go first, so that a crowd of them does not cost
+        usual clients their connections.
+        """
+        idle = (
             stream for stream in itertools.chain(self._idle_unproven, self._idle_usual) if stream.is_idle()
         )
-        # Then newcomers amid a request: one that writes slowly is heard now and then, one that stalls is not.
+        # Next are new connections amid their first request, the one that sent nothing for longest first: a
+        # stalled client goes before one that writes slowly.
         stalled = sorted(self._first_request_due, key=lambda stream: stream.last_read)
-        victim = next(itertools.chain(self._lingering, waiting, stalled), None)
+        victim = next(itertools.chain(self._lingering, idle, stalled), None)
         if victim:
-            for kept in (self._lingering, self._idle_unproven, self._idle_usual, self._first_request_due):
-                kept.pop(victim, None)
-            # Its own task lets go of it a little later; counted until then, it would keep the house full.
+            for streams in (self._lingering, self._idle_unproven, self._idle_usual, self._first_request_due):
+                streams.pop(victim, None)
+            # Its own task removes it a little later; if it counted until then, the limit would stay reached.
             self._streams.discard(victim)
             victim.writer.transport.close()
 
     async def _exchange(self, stream: HttpStream) -> bool:
-        """One request and its answer; false when the connection is to end."""
+        """Serve one request; return False when the connection is to end."""
         if not await self._wait_for_request(stream):
             return False
-        asked, taken, size = None, None, 0
+        received_head, request, reserved = None, None, 0
         try:
-            until = self._first_request_due.get(stream, self._clock.now() + READ_TIMEOUT)
-            async with asyncio.timeout(self._clock.seconds_until(until)):
+            due = self._first_request_due.get(stream, self._clock.now() + READ_TIMEOUT)
+            async with asyncio.timeout(self._clock.seconds_until(due)):
                 head = await stream.next_event()
                 if not isinstance(head, h11.Request):
                     return False
-                asked = head
-                if (room := max_body_length(head)) > self._body_bytes_left:
+                received_head = head
+                if (length := max_body_length(head)) > self._body_bytes_left:
                     raise InvalidRequestError(503, "full")
-                size = room
-                self._body_bytes_left -= size
-                taken = await self._read_request(stream, head)
-            answer = await self._respond(stream, taken)
-            if answer is None:
+                reserved = length
+                self._body_bytes_left -= reserved
+                request = await self._read_request(stream, head)
+            response = await self._respond(stream, request)
+            if response is None:
                 return False
         except InvalidRequestError as error:
-            answer = Response(error.status, f"{error}\n".encode(), allow=error.allow)
+            response = Response(error.status, f"{error}\n".encode(), allow=error.allow)
         except TooLargeError:
-            answer = Response(413, f"over {MAX_BODY} bytes\n".encode())
+            response = Response(413, f"over {MAX_BODY} bytes\n".encode())
         except TimeoutError:
-            answer = Response(408, b"the request did not end\n")
+            response = Response(408, b"the request did not end\n")
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint if error.error_status_hint in REASONS else 400
-            answer = Response(status, b"malformed\n")
+            response = Response(status, b"malformed\n")
         finally:
-            self._body_bytes_left += size
-        if asked:
-            with contextlib.suppress(InvalidRequestError):  # no job
-                self._stats.count_response(parse_job_class(asked, self._classes), answer.status)
-        # What cannot be used ends the connection, whatever else waits on it: what follows may be
-        # part of it, and who is told no and asks again at once is to pay for a new connection.
-        unfit = taken is None or 400 <= answer.status < 500 or stream.has_overflowed
-        # What a client has sent ahead was taken, so it is answered before the connection may end.
-        close = unfit or (
+            self._body_bytes_left += reserved
+        if received_head:
+            with contextlib.suppress(InvalidRequestError):  # not a job, so it is not counted
+                self._stats.count_response(parse_job_class(received_head, self._classes), response.status)
+        # An invalid request ends the connection whatever follows on it: the following bytes may belong to it,
+        # and a client that sends it again at once should pay for a new connection.
+        is_invalid = request is None or 400 <= response.status < 500 or stream.has_overflowed
+        # Requests that the client sent ahead were read, so they are answered before the connection may end.
+        close = is_invalid or (
             (self._service.is_closing_clients or len(self._streams) > self.max_connections)
             and stream.is_idle()
         )
         data = encode_response(
-            stream, answer, close, bodiless=taken is not None and taken.head.method == b"HEAD"
+            stream, response, close, bodiless=request is not None and request.head.method == b"HEAD"
         )
         async with asyncio.timeout(WRITE_TIMEOUT.total_seconds()):
             await stream.write(data)
         return not close and stream.http.our_state is h11.DONE and stream.http.their_state is h11.DONE
 
     async def _wait_for_request(self, stream: HttpStream) -> bool:
-        """Waits for the first bytes of a request."""
+        """Wait for the first bytes of a request; return False if none arrive."""
         if stream.http.trailing_data[0]:
             return True
-        until = self._first_request_due.get(stream, self._clock.now() + IDLE_TIMEOUT)
-        waiting = self._idle_usual if stream in self._usual_clients else self._idle_unproven
+        due = self._first_request_due.get(stream, self._clock.now() + IDLE_TIMEOUT)
+        idle = self._idle_usual if stream in self._usual_clients else self._idle_unproven
         try:
-            async with asyncio.timeout(self._clock.seconds_until(until)) as limit:
-                waiting[stream] = limit
+            async with asyncio.timeout(self._clock.seconds_until(due)) as timeout:
+                idle[stream] = timeout
                 return await stream.read_once() > 0
         except TimeoutError:
-            return not stream.is_idle()  # it has come in this very moment, and is served
+            return not stream.is_idle()  # a request that arrived at this very moment is served
         finally:
-            waiting.pop(stream, None)
+            idle.pop(stream, None)
 
     async def _read_request(self, stream: HttpStream, head: h11.Request) -> RawRequest:
+        """Read the body of a request, sending 100 Continue first if the client waits for it."""
         if stream.http.they_are_waiting_for_100_continue:
             await stream.write(stream.encode(h11.InformationalResponse(status_code=100, headers=[])))
         body = await stream.read_body()
         self._first_request_due.pop(stream, None)
         return RawRequest(head, body)
 
-    async def _respond(self, stream: HttpStream, taken: RawRequest) -> Response | None:
-        """None: the client has gone, and nobody is left to answer."""
-        if taken.head.target == READINESS_PATH:
-            if taken.head.method != b"GET":
+    async def _respond(self, stream: HttpStream, raw: RawRequest) -> Response | None:
+        """Return the response to a request; None if the client has disconnected."""
+        if raw.head.target == READINESS_PATH:
+            if raw.head.method != b"GET":
                 raise InvalidRequestError(405, "only GET here", allow="GET")
-            # The next process has this address as well: whoever asks here asks about both.
+            # After a handover the next process listens at this address too, so the check is for either one.
             return (
                 Response(200, b"ready\n")
                 if self._service.is_handed_over
                 else readiness_response(self._service)
             )
-        request = parse_request(taken, self._classes, self._clock)
-        # One that was sent ahead has waited behind the others since its last byte came.
+        request = parse_request(raw, self._classes, self._clock)
+        # A request that was sent ahead has waited for the previous ones since its last byte arrived.
         request = replace(
             request,
             deadline=request.deadline - stream.time_since_message(),
@@ -269,9 +280,9 @@
         if self._is_full() or len(self._streams) > self.max_connections:
             return Response(503, b"full\n", self._retry_after)
         serving = asyncio.ensure_future(self._serve(request))
-        gone = asyncio.ensure_future(self._wait_for_disconnect(stream))
+        disconnect = asyncio.ensure_future(self._wait_for_disconnect(stream))
         try:
-            await asyncio.wait((serving, gone), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((serving, disconnect), return_when=asyncio.FIRST_COMPLETED)
             if not serving.done():
                 return None
             return serving.result()
@@ -279,13 +290,17 @@
             log.exception("a request failed")
             return Response(500, b"failed\n")
         finally:
-            for task in (serving, gone):
+            for task in (serving, disconnect):
                 task.cancel()
-            await asyncio.gather(serving, gone, return_exceptions=True)
+            await asyncio.gather(serving, disconnect, return_exceptions=True)
 
     async def _wait_for_disconnect(self, stream: HttpStream) -> None:
-        """Ends when the client closes. What it sends ahead is kept for later; what is far too much of that is
-        read all the same, since the end comes behind it, but no request can be made out in it any more."""
+        """Return when the client closes the connection.
+
+        What it sends ahead is kept up to `MAX_READ_AHEAD`. Data beyond that is read and dropped, since the
+        end of the stream comes after it; later requests are then lost, so the connection ends with the
+        response.
+        """
         kept = len(stream.http.trailing_data[0])
         self._body_bytes_left -= kept
         try:
@@ -295,15 +310,16 @@
                     kept, self._body_bytes_left = kept + part, self._body_bytes_left - part
                     stream.has_overflowed = part < size or kept > MAX_READ_AHEAD
                 while stream.has_overflowed and await stream.reader.read(MAX_BODY):
-                    await asyncio.sleep(
-                        DISCARD_PAUSE.total_seconds()
-                    )  # however fast it sends, others are served
+                    # The pause lets other clients be served however fast this one sends.
+                    await asyncio.sleep(DISCARD_PAUSE.total_seconds())
         finally:
             self._body_bytes_left += kept
 
     async def _linger(self, stream: HttpStream) -> None:
-        """The end of a connection from this side. Closing on unread bytes would reset it and take an answer
-        on its way along; what comes after the shutdown is read, and none of it served."""
+        """End a connection from this side: send the end of the stream, then read and drop what still arrives.
+
+        Closing a socket with unread bytes would reset the connection, and a response under way would be lost.
+        """
         self._lingering[stream] = None
         try:
             stream.writer.write_eof()
--- a/rookwood/net/peers.py
+++ b/rookwood/net/peers.py
@@ -1,6 +1,6 @@
-"""Datagrams between the dispatchers of a site: hints out, and in, where anything odd is dropped and counted.
+"""Exchanges hints with the other dispatchers of a site by datagrams; invalid ones are dropped and counted.
 
-A datagram may come late, twice, or never, and from anybody; nothing that is heard here can break a rule.
+A datagram may arrive late, twice or never, and from any sender; no hint can make the policy break a rule.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 log = logging.getLogger(__name__)
 
 SocketAddress = tuple[str, int]
-BIND_RETRY_DELAY = timedelta(seconds=1)  # between tries to get the address
+BIND_RETRY_DELAY = timedelta(seconds=1)
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Owns the one datagram socket. Without an address to hear at, nothing is told either."""
+    """Owns the datagram socket; without an address to receive at, no hints are sent either."""
 
     def __init__(
         self,
@@ -42,12 +42,15 @@
         self._peers: list[SocketAddress] = [(peer.host, peer.port) for peer in peers]
         self._codec = HintCodec()
         self._transport: asyncio.DatagramTransport | None = None
-        self._send_only_socket: socket.socket | None = None  # for sending alone, once the next process hears
+        self._send_only_socket: socket.socket | None = None  # used once the next process receives
         self.dropped: Counter[str] = Counter()  # by reason
 
     async def start(self, inherited: socket.socket | None = None) -> None:
-        """What is refused costs nothing but the hints. `inherited`: the socket of the process before; if it
-        has none to give it may have the address still, and that is tried again until it has ended."""
+        """Start to exchange hints, on the socket inherited from the previous process if there is one.
+
+        A failure to bind costs only the hints. It is retried, since a previous process that passed no socket
+        on may use the address until it ends.
+        """
         if not (self._own and len(self._peers) > 1):
             if inherited:
                 inherited.close()
@@ -56,28 +59,29 @@
             self._bind_retry = asyncio.create_task(self._retry_bind())
 
     def descriptor(self) -> int | None:
-        """The descriptor of the socket, for the process that follows."""
+        """Return the descriptor of the socket, to pass on to the next process."""
         return self._transport.get_extra_info("socket").fileno() if self._transport else None
 
     def handed_over(self) -> None:
-        """The next process hears now. What ends here is still told, by a descriptor of the same socket."""
+        """Stop receiving, as the next process does it now; a duplicate of the socket still sends hints."""
         if self._transport and not self._transport.is_closing():
             with contextlib.suppress(OSError):
                 self._send_only_socket = self._transport.get_extra_info("socket").dup()
             self._transport.close()
 
     async def _bind(
-        self, complain: Callable[[str, OSError], None], inherited: socket.socket | None = None
+        self, log_failure: Callable[[str, OSError], None], inherited: socket.socket | None = None
     ) -> bool:
+        """Open the socket, or use the inherited one; return False if that fails."""
         loop = asyncio.get_running_loop()
         try:
             if inherited and inherited.getsockname() != self._own:
-                inherited.close()  # the file names another address now
+                inherited.close()  # the configured address has changed
                 inherited = None
-            where: Any = {"sock": inherited} if inherited else {"local_addr": self._own}
-            self._transport, _ = await loop.create_datagram_endpoint(lambda: self, **where)
+            source: Any = {"sock": inherited} if inherited else {"local_addr": self._own}
+            self._transport, _ = await loop.create_datagram_endpoint(lambda: self, **source)
         except OSError as error:
-            complain("no hints between dispatchers: %s", error)
+            log_failure("no hints between dispatchers: %s", error)
             return False
         self._decisions.send_hints = self._send_hints
         return True
@@ -88,21 +92,23 @@
             if await self._bind(log.debug):
                 return
 
-    def add_workers(self, told: DestinationUpdate, kept: bool) -> None:
-        self._codec.add_workers((endpoint.uid for endpoint in told.endpoints), told.is_full or kept)
+    def add_workers(self, update: DestinationUpdate, is_cached: bool) -> None:
+        """Make the workers of an update known to the codec, which encodes them as short marks."""
+        self._codec.add_workers((endpoint.uid for endpoint in update.endpoints), update.is_full or is_cached)
 
     def _send_hints(self, to: Sequence[int], hints: Sequence[Hint]) -> None:
         data = self._codec.encode(hints)
         for number in to:
-            if number >= len(self._peers):  # the settings and the list of peers differ
+            if number >= len(self._peers):  # the settings name more dispatchers than the list of peers has
                 continue
             if self._send_only_socket:
-                with contextlib.suppress(OSError):  # full, or refused: a hint may be lost
+                with contextlib.suppress(OSError):  # a hint may be lost
                     self._send_only_socket.sendto(data, self._peers[number])
             elif self._transport and not self._transport.is_closing():
                 self._transport.sendto(data, self._peers[number])
 
     def datagram_received(self, data: bytes, addr: SocketAddress) -> None:
+        """Decode the hints of a datagram and pass them to the policy."""
         if addr[:2] == self._own:
             return
         number = self._numbers.get(addr[:2])
@@ -110,18 +116,20 @@
             if number is None:
                 raise InvalidHintError("of a stranger")
             hints = self._codec.decode(data)
-        except InvalidHintError as odd:
-            self.dropped[str(odd)[:40] if number is not None else "of a stranger"] += 1
+        except InvalidHintError as error:
+            self.dropped[str(error)[:40] if number is not None else "of a stranger"] += 1
             return
         try:
             self._decisions.receive_hints(number or 0, hints)
         except Exception:
-            log.exception("a hint failed")
+            log.exception("hints could not be handled")
 
     def error_received(self, exc: Exception) -> None:
-        log.debug("a hint was not taken: %s", exc)
+        """Log that a hint could not be delivered."""
+        log.debug("a hint could not be delivered: %s", exc)
 
     async def close(self) -> None:
+        """Close the socket."""
         if self._bind_retry:
             self._bind_retry.cancel()
             await asyncio.gather(self._bind_retry, return_exceptions=True)
@@ -130,4 +138,4 @@
         if self._send_only_socket:
             self._send_only_socket.close()
         if self.dropped:
-            log.info("odd hints dropped: %s", dict(self.dropped.most_common(5)))
+            log.info("invalid hints dropped: %s", dict(self.dropped.most_common(5)))
--- a/rookwood/net/policy_driver.py
+++ b/rookwood/net/policy_driver.py
@@ -161,7 +161,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End the request; the only place that tells the policy what it still waits for has been cancelled."""
+        """End the request; the only place where the policy is told to give up what it still waits for."""
         self._driver.remove_request(self._number)
         try:
             if not self._is_finished:
--- a/rookwood/net/stats.py
+++ b/rookwood/net/stats.py
@@ -1,4 +1,4 @@
-"""The figures of this process: the one place where requests and attempts are counted, from 0 at the start."""
+"""Counts requests and attempts since the start of the process, and writes them as the text of /ops/stats."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def counter_for_status(status: int) -> str | None:
-    """None: a request that was no job."""
+    """Return the counter for a response; None for a request that was not a valid job."""
     if status == 200:
         return ANSWERED
     if status in (429, 503):
@@ -19,32 +19,38 @@
 
 
 class RequestStats:
+    """Counters by job class, and gauges of the policy and of the sources that other parts add."""
+
     def __init__(
-        self, classes: Collection[str], current: Callable[[], int], cluster: Callable[[], api.ClusterHealth]
+        self,
+        classes: Collection[str],
+        open_requests: Callable[[], int],
+        cluster_health: Callable[[], api.ClusterHealth],
     ) -> None:
-        self._open_requests, self._cluster = current, cluster
-        self.extra_sources: list[Callable[[], Iterable[str]]] = []  # lines of other fronts
-        # Those who read need every class from the start: a figure that is missing is no 0.
+        self._open_requests, self._cluster_health = open_requests, cluster_health
+        self.extra_sources: list[Callable[[], Iterable[str]]] = []  # each yields lines without the prefix
+        # Every class is listed from the start, since readers do not take a missing counter for 0.
         outcomes = (ANSWERED, DEFERRED, ERRORED, SENDS)
         self._counts = {job_class: dict.fromkeys(outcomes, 0) for job_class in sorted(classes)}
 
     def count_response(self, job_class: str, status: int) -> None:
-        """The one final answer to a client is settled. Whose client has left is not counted."""
+        """Count the response to a client's request; requests of clients that disconnected are not counted."""
         if outcome := counter_for_status(status):
             self._counts[job_class][outcome] += 1
 
     def count_sent(self, job_class: str) -> None:
-        """An attempt was written whole to an endpoint."""
+        """Count an attempt whose request was written completely to a worker."""
         self._counts[job_class][SENDS] += 1
 
     def text(self) -> str:
+        """Return all lines, each a name, a value and a type: c for a counter, g for a gauge."""
         return "".join(f"dispatcher.{line}\n" for line in self._lines())
 
     def _lines(self) -> Iterator[str]:
         for job_class, counts in self._counts.items():
             for outcome, count in counts.items():
                 yield f"transactions.{job_class}.{outcome}:{count}|c"
-        cluster = self._cluster()
+        cluster = self._cluster_health()
         yield f"current:{self._open_requests()}|g"
         yield f"cluster_size:{cluster.listed}|g"
         yield f"cluster_unhealthy:{cluster.avoided}|g"
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -656,7 +656,9 @@
             changes: dict[str, Any] = {"limits": {"sockets": 64}, "mgmt": "127.0.0.1:0"}
             environ = st.environment(tmp_path, listed, where, **changes)
             child, s, said = await stack.enter_async_context(st.dispatcher_process(environ, descriptors=64))
-            (mgmt,) = (int(line.rsplit(":", 1)[1]) for line in said if " is run from " in line)
+            (mgmt,) = (
+                int(line.rsplit(":", 1)[1]) for line in said if " accepts management calls at " in line
+            )
             for _ in range(120):
                 held.append(await s.connect())
                 stack.callback(held[-1][1].transport.abort)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -579,7 +579,7 @@
                 first = asyncio.ensure_future(s.send_request())
                 await wait_until(lambda: len(endpoint.paths) == 1)
                 child.send_signal(signal.SIGTERM)
-                while b" leaving" not in await child.stderr.readline():
+                while b" is shutting down" not in await child.stderr.readline():
                     pass
                 assert (await s.send_request())[0] == 200  # a connection that came after the signal
                 # There may be nobody else to go to yet: who has a connection is served on it.
