--- a/rookwood/net/management.py
+++ b/rookwood/net/management.py
@@ -1,4 +1,4 @@
-"""The second address, for those who run the dispatcher: readiness, figures, drain. One call a connection."""
+"""The management address for operators: readiness, stats and drains, with one call a connection."""
 
 from __future__ import annotations
 
@@ -19,24 +19,26 @@
 
 log = logging.getLogger(__name__)
 
-CALL_TIMEOUT = timedelta(milliseconds=800)  # from connecting to the end: later than 1 s is too late
-MAX_CALL_BODY = 4096  # bytes of a call's body; there is no use for any
+CALL_TIMEOUT = timedelta(milliseconds=800)  # from connecting to the end; callers give up after 1 s
+MAX_CALL_BODY = 4096  # bytes; no call uses its body
 
 CallTable = Mapping[tuple[bytes, bytes], Callable[[], Response]]  # by method and path
 
 
 class Management:
-    """Owns the second listener and every connection on it."""
+    """Owns the listener of the management address and all its connections."""
 
-    def __init__(self, clock: Clock, calls: CallTable, room: ConnectionLimits) -> None:
-        self._clock, self._calls, self._limits = clock, calls, room
+    def __init__(self, clock: Clock, calls: CallTable, limits: ConnectionLimits) -> None:
+        self._clock, self._calls, self._limits = clock, calls, limits
         self._server: asyncio.Server | None = None
-        self._connections: dict[asyncio.Task[None], None] = {}  # longest here first
+        self._connections: dict[asyncio.Task[None], None] = {}  # oldest first
 
     async def listen(self, listener: socket.socket) -> None:
+        """Accept connections on the listener."""
         self._server = await start_server(listener, self._handle_connection, MANAGEMENT_ACCEPT_BATCH)
 
     async def close(self) -> None:
+        """Close the listener and all connections."""
         if self._server:
             self._server.close()
         for task in self._connections:
@@ -47,32 +49,33 @@
         task = asyncio.current_task()
         assert task
         if len(self._connections) >= self._limits.management_connections:
-            # Calls take next to no time, so the longest here says nothing: it must not keep others out.
-            longest = next(iter(self._connections))
-            del self._connections[longest]
-            longest.cancel()
+            # Calls take almost no time, so the oldest connection sends none and must not block others.
+            oldest = next(iter(self._connections))
+            del self._connections[oldest]
+            oldest.cancel()
         self._connections[task] = None
         stream = HttpStream(h11.Connection(h11.SERVER), reader, writer)
         try:
             async with asyncio.timeout(CALL_TIMEOUT.total_seconds()):
                 await stream.write(encode_response(stream, await self._respond(stream), close=True))
-                # Closing on unread bytes would reset the connection and take the answer along.
+                # Closing with unread bytes would reset the connection, and the response would be lost.
                 writer.write_eof()
                 while await reader.read(MAX_CALL_BODY):
                     pass
         except (OSError, NotWrittenError, h11.ProtocolError, asyncio.CancelledError) as error:
-            log.debug("a call ended early: %s: %s", type(error).__name__, error)
+            log.debug("a management call ended early: %s: %s", type(error).__name__, error)
         except Exception:
-            log.exception("a call failed")
+            log.exception("a management call failed")
         finally:
             self._connections.pop(task, None)
             await stream.close()
 
     async def _respond(self, stream: HttpStream) -> Response:
+        """Read a call and return its response."""
         try:
             head = await stream.next_event()
             if not isinstance(head, h11.Request):
-                raise ConnectionResetError("no call came")
+                raise ConnectionResetError("closed before a call was received")
             await stream.read_body(MAX_CALL_BODY)
             return self._call(head.method, head.target.partition(b"?")[0])
         except InvalidRequestError as error:
@@ -84,13 +87,14 @@
             return Response(status, b"malformed\n")
 
     def _call(self, method: bytes, path: bytes) -> Response:
+        """Carry out a call; raises `InvalidRequestError` for an unknown one."""
         if call := self._calls.get((method, path)):
             try:
                 return call()
             except Exception:
-                log.exception("a call failed")
+                log.exception("a management call failed")
                 return Response(500, b"failed\n")
-        allowed = [known.decode() for known, place in self._calls if place == path]
+        allowed = [known.decode() for known, known_path in self._calls if known_path == path]
         if not allowed:
             raise InvalidRequestError(404, "no such call")
         raise InvalidRequestError(405, f"only {allowed[0]} here", allow=allowed[0])
--- a/rookwood/net/messages.py
+++ b/rookwood/net/messages.py
@@ -1,4 +1,4 @@
-"""Clients' messages: decoded once into small typed values, answers encoded once. No connection is touched."""
+"""Parses clients' requests into typed values, and encodes responses; does no I/O."""
 
 from __future__ import annotations
 
@@ -16,61 +16,66 @@
 from rookwood.net.http1 import MAX_BODY, HttpStream, TooLargeError
 from rookwood.net.request import InboundRequest, Response
 
-MAX_ID = 128
+MAX_ID = 128  # characters
 MAX_TIMEOUT = timedelta(hours=1)
 MAX_HINT = 86_400e6  # microseconds: a day
 
 
 class InvalidRequestError(Exception):
-    """A request that is answered without asking the decisions."""
+    """A request that is answered with an error without reaching the policy."""
 
-    def __init__(self, status: int, why: str, allow: str | None = None) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, allow: str | None = None) -> None:
+        super().__init__(reason)
         self.status, self.allow = status, allow
 
 
 @dataclass(frozen=True, slots=True)
 class RawRequest:
-    """A whole request off the stream, not yet understood."""
+    """A complete request as received, not yet parsed."""
 
     head: h11.Request
     body: bytes
 
 
 class Headers:
+    """The headers of a request, by name in any case."""
+
     def __init__(self, head: h11.Request) -> None:
         self._pairs = [(name.decode(), value.decode("latin-1")) for name, value in head.headers]
 
     def first(self, name: str) -> str | None:
-        """As it came, for whoever understands it later."""
+        """Return the first value of a header, unchecked; None if it is missing."""
         return next((value for key, value in self._pairs if key == name.lower()), None)
 
     def get_single(self, name: str) -> str | None:
-        found = [value for key, value in self._pairs if key == name.lower()]
-        if len(found) > 1:
+        """Return the value of a header that may occur only once; None if it is missing."""
+        values = [value for key, value in self._pairs if key == name.lower()]
+        if len(values) > 1:
             raise InvalidRequestError(400, f"{name} comes more than once")
-        if found and not found[0].isascii():  # it could not be passed on
+        if values and not values[0].isascii():  # it could not be passed on to a worker
             raise InvalidRequestError(400, f"{name} is not ASCII")
-        return found[0] if found else None
+        return values[0] if values else None
 
 
-NUMBER = re.compile(r"-?[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]+)?")  # `float` takes more: 1_0, nan, infinity
+NUMBER = re.compile(r"-?[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]+)?")  # `float` accepts more: 1_0, nan, infinity
 
 
-def parse_number(text: str, name: str, most: float = math.inf) -> float:
+def parse_number(text: str, name: str, maximum: float = math.inf) -> float:
+    """Parse a number from 0 to a maximum; raises `InvalidRequestError` with the name."""
     if not NUMBER.fullmatch(text):
         raise InvalidRequestError(400, f"{name} is not a number")
     value = float(text)
-    if not (math.isfinite(value) and 0 <= value <= most):
+    if not (math.isfinite(value) and 0 <= value <= maximum):
         raise InvalidRequestError(400, f"{name} is out of range")
     return value
 
 
 def max_body_length(head: h11.Request) -> int:
-    """Bytes that the body may take at most, from the head alone; refuses what is not worth reading."""
+    """Return the largest size that the body may have, by the head alone; raises if it must not be read."""
     headers = dict(head.headers)
     if b"transfer-encoding" in headers:
-        # h11 would go by the coding alone: who goes by the length sees another message in the body.
+        # h11 would use only the coding; a recipient that uses the length would find another message in the
+        # body (request smuggling).
         if b"content-length" in headers or head.http_version != b"1.1":
             raise InvalidRequestError(400, "the body's length is ambiguous")
         return MAX_BODY
@@ -81,17 +86,18 @@
 
 
 def parse_request_info(text: str) -> dict[str, float]:
-    found = {}
+    """Parse the numbers of a `Request-Info` header."""
+    numbers = {}
     for pair in filter(None, (part.strip() for part in text.split(","))):
         name, equals, value = pair.partition("=")
         if not equals:
             raise InvalidRequestError(400, "Request-Info is not name=value")
-        found[name.strip()] = parse_number(value.strip(), f"Request-Info {name.strip()}")
-    return found
+        numbers[name.strip()] = parse_number(value.strip(), f"Request-Info {name.strip()}")
+    return numbers
 
 
 def parse_duration_hint(text: str | None) -> timedelta | None:
-    """`Work-Hint`, in microseconds. It is a guess at best, so one that is no guess costs nobody an answer."""
+    """Parse `Work-Hint`, in microseconds; an invalid value is ignored, since it is only an estimate."""
     if text is None or not NUMBER.fullmatch(text):
         return None
     try:
@@ -101,6 +107,7 @@
 
 
 def parse_job_class(head: h11.Request, classes: Collection[str]) -> str:
+    """Return the job class that the path names; raises `InvalidRequestError` if it is unknown."""
     path, _, _ = head.target.decode("latin-1").partition("?")
     job_class = unquote(path.lstrip("/").split("/", 1)[0])
     if job_class not in classes:
@@ -108,13 +115,13 @@
     return job_class
 
 
-def parse_request(taken: RawRequest, classes: Collection[str], clock: Clock) -> InboundRequest:
-    """The one place where a client's request is understood. Its time runs from its last byte, just read."""
-    job_class = parse_job_class(taken.head, classes)
-    _, _, query = taken.head.target.decode("latin-1").partition("?")
-    if taken.head.method != b"POST":
+def parse_request(raw: RawRequest, classes: Collection[str], clock: Clock) -> InboundRequest:
+    """Parse a client's request; its timeout counts from now, right after its last byte was read."""
+    job_class = parse_job_class(raw.head, classes)
+    _, _, query = raw.head.target.decode("latin-1").partition("?")
+    if raw.head.method != b"POST":
         raise InvalidRequestError(405, "jobs come by POST", allow="POST")
-    headers = Headers(taken.head)
+    headers = Headers(raw.head)
     request_id, timeout = headers.get_single("Request-Id"), headers.get_single("Request-Timeout")
     if not request_id:
         raise InvalidRequestError(400, "Request-Id is missing")
@@ -122,23 +129,23 @@
         raise InvalidRequestError(400, "Request-Id is too long")
     if timeout is None:
         raise InvalidRequestError(400, "Request-Timeout is missing")
-    left = timedelta(seconds=parse_number(timeout, "Request-Timeout", MAX_TIMEOUT.total_seconds()))
+    time_left = timedelta(seconds=parse_number(timeout, "Request-Timeout", MAX_TIMEOUT.total_seconds()))
     info = parse_request_info(headers.get_single("Request-Info") or "")
     key = parse_qs(query).get("k")
     return InboundRequest(
         job_class=job_class,
-        deadline=clock.now() + left,
+        deadline=clock.now() + time_left,
         slots=info.get("slots", 1.0),
         memory=info.get("memory"),
         key=key[0] if key else None,
         is_retry=headers.get_single("Client-Retry") == "1",
         worker_request=WorkerRequest(
             request_id=request_id,
-            target=taken.head.target,
+            target=raw.head.target,
             host=headers.get_single("Host") or "",
             content_type=headers.get_single("Content-Type"),
-            body=taken.body,
-            idempotency_keys=tuple(value for name, value in taken.head.headers if name == b"idempotency-key"),
+            body=raw.body,
+            idempotency_keys=tuple(value for name, value in raw.head.headers if name == b"idempotency-key"),
         ),
         idempotency_key=headers.first("Idempotency-Key"),
         tenant=headers.first("Tenant"),
@@ -152,15 +159,16 @@
 REASONS |= {503: "Service Unavailable", 504: "Gateway Timeout"}
 
 
-def encode_response(stream: HttpStream, answer: Response, close: bool, bodiless: bool = False) -> bytes:
-    headers = [("Content-Length", str(len(answer.body)))]
-    if answer.retry_after is not None:
-        headers.append(("Retry-After", f"{answer.retry_after.total_seconds():.3f}"))
-    if answer.replayed:
+def encode_response(stream: HttpStream, response: Response, close: bool, bodiless: bool = False) -> bytes:
+    """Encode a response; `bodiless` leaves the body out, as for HEAD, but keeps its length."""
+    headers = [("Content-Length", str(len(response.body)))]
+    if response.retry_after is not None:
+        headers.append(("Retry-After", f"{response.retry_after.total_seconds():.3f}"))
+    if response.replayed:
         headers.append(("Idempotency-Replayed", "true"))
-    if answer.allow is not None:
-        headers.append(("Allow", answer.allow))
+    if response.allow is not None:
+        headers.append(("Allow", response.allow))
     if close:
         headers.append(("Connection", "close"))
-    head = h11.Response(status_code=answer.status, headers=headers, reason=REASONS[answer.status])
-    return stream.encode(head, h11.Data(data=b"" if bodiless else answer.body), h11.EndOfMessage())
+    head = h11.Response(status_code=response.status, headers=headers, reason=REASONS[response.status])
+    return stream.encode(head, h11.Data(data=b"" if bodiless else response.body), h11.EndOfMessage())
--- a/rookwood/net/request.py
+++ b/rookwood/net/request.py
@@ -1,4 +1,4 @@
-"""The life of one request, from the question to the decisions up to its one final answer."""
+"""Serves requests: carries out the policy's decisions for each of them and returns its one response."""
 
 from __future__ import annotations
 
@@ -28,17 +28,15 @@
 
 log = logging.getLogger(__name__)
 
-LAST_ATTEMPT_MARGIN = timedelta(milliseconds=20)  # the last attempt ends so long before the client gives up
-RESPONSE_MARGIN = timedelta(
-    milliseconds=8
-)  # and whatever the decisions do, the answer goes out so long before
-SHUTDOWN_GRACE = timedelta(milliseconds=500)  # who asks sooner after SIGTERM may still wait for all its time
-MAX_KNOWN_IDS = 4096  # ids; many times more than are in hand
+LAST_ATTEMPT_MARGIN = timedelta(milliseconds=20)  # attempts end this long before the client gives up
+RESPONSE_MARGIN = timedelta(milliseconds=8)  # the response is sent this long before, whatever the policy does
+SHUTDOWN_GRACE = timedelta(milliseconds=500)  # requests that come sooner after SIGTERM keep their deadline
+MAX_KNOWN_IDS = 4096  # many times the number of open requests
 
 
 @dataclass(frozen=True, slots=True)
 class InboundRequest:
-    """A client's request, decoded."""
+    """A client's request, parsed."""
 
     job_class: str
     deadline: datetime  # when the client gives up
@@ -47,153 +45,175 @@
     key: str | None
     is_retry: bool
     worker_request: WorkerRequest
-    idempotency_key: str | None = None  # the header as it came
+    idempotency_key: str | None = None  # the header as received
     tenant: str | None = None
-    duration_hint: timedelta | None = None  # how long it may run, as its client guesses
-    is_client_gone: Callable[[], bool] = lambda: False  # its client has gone
+    duration_hint: timedelta | None = None  # the client's estimate of the time that the job runs
+    is_client_gone: Callable[[], bool] = lambda: False  # whether the client has disconnected
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
+    """A response to a client, or to a management call."""
+
     status: int
     body: bytes = b""
     retry_after: timedelta | None = None
     allow: str | None = None
-    replayed: bool = False  # of an earlier try with the same key
+    replayed: bool = False  # whether it repeats the response to an earlier request with the same key
 
 
 class RequestProgress:
-    """Whether a request may have run so far, for those who must know. A front may refuse the last byte."""
+    """Keeps whether a request may have run so far.
+
+    Extensions override its methods to follow a request, and to stop an attempt before its last byte.
+    """
 
     def __init__(self) -> None:
-        self.attempt_may_have_run = False  # an attempt has ended that may have run
-        self.may_be_running = False  # the last byte of one may have left
-        self.has_attempt_begun = False  # an attempt has begun
-        self.is_forwarded = False  # it is out elsewhere, where only that side knows whether it has run
+        self.attempt_may_have_run = False  # whether an attempt ended that may have run
+        self.may_be_running = False  # whether the last byte of the current attempt may have been sent
+        self.has_attempt_begun = False
+        self.is_forwarded = False  # whether it is at another site, which alone knows whether it has run
 
     @property
     def may_have_run(self) -> bool:
+        """Whether an attempt at a worker of this site may have run, or may be running."""
         return self.attempt_may_have_run or self.may_be_running
 
     def on_waiting(self, ticket: Ticket) -> None:
-        """The decisions hold it; a front may take it back by `Ticket.pass_on`."""
+        """Called while the policy holds the request; `Ticket.withdraw` takes it back."""
 
     def allow_last_byte(self) -> bool:
+        """Called right before the last byte of an attempt is sent; False stops the attempt."""
         self.may_be_running = True
         return True
 
-    def attempt_ended(self, end: AttemptOutcome) -> None:
+    def attempt_ended(self, outcome: AttemptOutcome) -> None:
+        """Called after each attempt."""
         self.attempt_may_have_run, self.may_be_running = (
-            self.attempt_may_have_run or end not in NEVER_RAN,
+            self.attempt_may_have_run or outcome not in NEVER_RAN,
             False,
         )
 
 
 class ForwardOutcome(Enum):
-    """What came of a request elsewhere."""
+    """How a request ended that was to be forwarded to another site."""
 
     SERVED = "served"
-    RUN_LOCALLY = "home"  # it may run here: nothing has run that must not run again, and nothing runs now
+    RUN_LOCALLY = "home"  # it is not running, and it has not run unless it may run twice: it may run here
     FAILED = "failed"
     NOT_SENT = "never left"
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardResult:
+    """The outcome of a forwarded request, and the body of its response."""
+
     outcome: ForwardOutcome
     body: bytes = b""
 
 
 class RequestForwarder(Protocol):
-    """One request's way to endpoints that are not in the list here."""
+    """Forwards one request to another site if that is better than to hold it here."""
 
     def offer(self, ticket: Ticket) -> None:
-        """It is held; whoever can place it elsewhere takes it by `Ticket.pass_on`."""
+        """Offer a held request; to forward it, the forwarder first calls `Ticket.withdraw`."""
 
     async def result(self) -> ForwardResult:
-        """After it was taken: how it ended there."""
+        """Wait for the result of the request after it was withdrawn."""
 
     def close(self, late: bool) -> ForwardOutcome | None:
-        """The one place of release; `late` if the time is up. What is known then; None: it never crossed."""
+        """End the forwarding; `late` if the request's time is over.
+
+        Returns the outcome as far as it is known, or None if the request was not forwarded.
+        """
 
 
 class IdempotencyGuard(Protocol):
-    """Where requests that must not run twice are claimed, whichever dispatcher a retry meets."""
+    """Makes requests with the same idempotency key run only once, at whichever dispatcher they arrive."""
 
-    def applies_to(self, request: InboundRequest) -> bool: ...
+    def applies_to(self, request: InboundRequest) -> bool:
+        """Whether the request has to be guarded."""
 
     async def serve_once(
         self, request: InboundRequest, run: Callable[[RequestProgress], Awaitable[Response]]
-    ) -> Response: ...
+    ) -> Response:
+        """Run the request, or return the response to an earlier one with its key."""
 
 
 class Forwarding(Protocol):
-    def forwarder_for(self, request: InboundRequest) -> RequestForwarder: ...
+    """Forwards requests to other sites."""
+
+    def forwarder_for(self, request: InboundRequest) -> RequestForwarder:
+        """Return the forwarder of a new request."""
 
 
 class RequestHandler:
+    """Serves requests by the decisions of the policy, at workers of this site or by forwarding them."""
+
     def __init__(
         self,
         clock: Clock,
         decisions: PolicyDriver,
         destinations: Destinations,
         endpoints: EndpointPool,
-        figures: RequestStats,
+        stats: RequestStats,
         retry_after: timedelta | None,
     ) -> None:
         self._clock, self._decisions, self._retry_after = clock, decisions, retry_after
-        self._destinations, self._endpoints, self._stats = destinations, endpoints, figures
-        self.forwarding: Forwarding | None = None  # where else requests may go
-        self.idempotency_guard: IdempotencyGuard | None = (
-            None  # asked before anything else is done for a request
-        )
-        self._shutdown: tuple[datetime, datetime] | None = None  # since when, and the last answer by then
-        self._known_ids: dict[str, None] = {}  # of requests in hand or lately here, longest first
+        self._destinations, self._endpoints, self._stats = destinations, endpoints, stats
+        self.forwarding: Forwarding | None = None  # set by an extension
+        self.idempotency_guard: IdempotencyGuard | None = None  # set by an extension
+        self._shutdown: tuple[datetime, datetime] | None = None  # its start, and the last response's time
+        self._known_ids: dict[str, None] = {}  # ids of open and of recent requests, oldest first
 
     def save_known_ids(self) -> list[str]:
+        """Return the ids of open and of recent requests, for the next process."""
         return list(self._known_ids)
 
     def restore_known_ids(self, ids: list[str]) -> None:
-        """Of the process before: it may still have these in hand, so they must not run here as well."""
+        """Add the ids of the previous process, where the requests may still run, so that none runs twice."""
         self._known_ids = dict.fromkeys(ids) | self._known_ids
 
-    def begin_shutdown(self, until: datetime) -> None:
-        self._shutdown = (self._clock.now(), until)
+    def begin_shutdown(self, last_response: datetime) -> None:
+        """Respond to requests that come from now on before the process ends."""
+        self._shutdown = (self._clock.now(), last_response)
 
     def _response_deadline(self, request: InboundRequest) -> datetime:
-        """Before the client gives up and, once the end of this program is known, before that end."""
-        last = request.deadline - RESPONSE_MARGIN
+        """Return the time of the response: before the client gives up and before this process ends."""
+        deadline = request.deadline - RESPONSE_MARGIN
         if self._shutdown and self._clock.now() > self._shutdown[0] + SHUTDOWN_GRACE:
-            last = min(last, self._shutdown[1])
-        return last
+            deadline = min(deadline, self._shutdown[1])
+        return deadline
 
-    async def serve(self, request: InboundRequest, course: RequestProgress | None = None) -> Response:
-        """With a `course` the request is another front's guest, and goes nowhere but to endpoints here."""
-        # A client makes a new id for each request: one that comes again could have its job run twice.
+    async def serve(self, request: InboundRequest, progress: RequestProgress | None = None) -> Response:
+        """Serve a request; one with a `progress` came from an extension and runs only at this site."""
+        # Clients use a new id for each request, so a known id means that the job could run twice.
         request_id = request.worker_request.request_id
         if request_id in self._known_ids:
             return Response(409, b"a request with this id is here already\n")
         self._known_ids[request_id] = None
         if len(self._known_ids) > MAX_KNOWN_IDS:
             del self._known_ids[next(iter(self._known_ids))]
-        if self._clock.now() >= request.deadline:  # it has waited behind others of its connection
+        if self._clock.now() >= request.deadline:  # it waited too long behind others on its connection
             return Response(503, b"too late\n", self._retry_after)
-        if course:
-            return await self._run(request, course, None)
+        if progress:
+            return await self._run(request, progress, None)
         if self.idempotency_guard and self.idempotency_guard.applies_to(request):
             return await self.idempotency_guard.serve_once(
-                request, lambda course: self._serve_own(request, course)
+                request, lambda progress: self._serve_own(request, progress)
             )
         return await self._serve_own(request, RequestProgress())
 
-    async def _serve_own(self, request: InboundRequest, course: RequestProgress) -> Response:
-        crossing = self.forwarding.forwarder_for(request) if self.forwarding else None
-        return await self._run(request, course, crossing)
+    async def _serve_own(self, request: InboundRequest, progress: RequestProgress) -> Response:
+        """Run a client's request, which may be forwarded."""
+        forwarder = self.forwarding.forwarder_for(request) if self.forwarding else None
+        return await self._run(request, progress, forwarder)
 
     async def _run(
-        self, request: InboundRequest, course: RequestProgress, crossing: RequestForwarder | None
+        self, request: InboundRequest, progress: RequestProgress, forwarder: RequestForwarder | None
     ) -> Response:
-        job = RequestProfile(
+        """Run a request here or elsewhere, and return its response before the deadline."""
+        profile = RequestProfile(
             job_class=request.job_class,
             deadline=request.deadline - LAST_ATTEMPT_MARGIN,
             slots=request.slots,
@@ -203,82 +223,95 @@
             tenant=request.tenant,
             duration_hint=request.duration_hint,
         )
-        last, late = self._response_deadline(request), False
+        deadline, is_late = self._response_deadline(request), False
         try:
-            async with asyncio.timeout(self._clock.seconds_until(last)):
-                while (answer := await self._run_locally(request, job, course, crossing)) is None:
-                    if crossing is None:
+            async with asyncio.timeout(self._clock.seconds_until(deadline)):
+                while (response := await self._run_locally(request, profile, progress, forwarder)) is None:
+                    if forwarder is None:
                         return Response(503, b"held too long\n", self._retry_after)
-                    course.is_forwarded = True
-                    carried = await crossing.result()
-                    course.is_forwarded = carried.outcome is not ForwardOutcome.RUN_LOCALLY
-                    if carried.outcome is ForwardOutcome.SERVED:
-                        return Response(200, carried.body)
-                    if carried.outcome is not ForwardOutcome.RUN_LOCALLY:
+                    progress.is_forwarded = True
+                    forwarded = await forwarder.result()
+                    progress.is_forwarded = forwarded.outcome is not ForwardOutcome.RUN_LOCALLY
+                    if forwarded.outcome is ForwardOutcome.SERVED:
+                        return Response(200, forwarded.body)
+                    if forwarded.outcome is not ForwardOutcome.RUN_LOCALLY:
                         return Response(502, b"failed\n")
-                    crossing.close(late=False)
-                    crossing = None  # it crosses at most once
-                return answer
+                    forwarder.close(late=False)
+                    forwarder = None  # a request is forwarded at most once
+                return response
         except TimeoutError:
-            late = True
-            fate = crossing.close(late) if crossing else None
-            tried = course.may_have_run or course.has_attempt_begun or fate is ForwardOutcome.FAILED
-            if last < request.deadline - RESPONSE_MARGIN:  # cut short, since this program is about to end
-                return Response(504, b"failed\n") if tried else Response(503, b"leaving\n", self._retry_after)
-            if fate is ForwardOutcome.NOT_SENT:
+            is_late = True
+            forward_outcome = forwarder.close(is_late) if forwarder else None
+            was_attempted = (
+                progress.may_have_run
+                or progress.has_attempt_begun
+                or forward_outcome is ForwardOutcome.FAILED
+            )
+            if deadline < request.deadline - RESPONSE_MARGIN:  # shortened, since this process is about to end
+                return (
+                    Response(504, b"failed\n")
+                    if was_attempted
+                    else Response(503, b"leaving\n", self._retry_after)
+                )
+            if forward_outcome is ForwardOutcome.NOT_SENT:
                 return Response(503, b"refused\n", self._retry_after)
-            if fate is None:
+            if forward_outcome is None:
                 log.error("no decision before the deadline of a %s request", request.job_class)
             return Response(504, b"failed\n")
         finally:
-            if crossing and not late:
-                crossing.close(late=False)
+            if forwarder and not is_late:
+                forwarder.close(late=False)
 
     async def _run_locally(
         self,
         request: InboundRequest,
-        job: RequestProfile,
-        course: RequestProgress,
-        crossing: RequestForwarder | None,
+        profile: RequestProfile,
+        progress: RequestProgress,
+        forwarder: RequestForwarder | None,
     ) -> Response | None:
-        """By endpoints of the list here. None: while it was held it was taken elsewhere."""
-        end = AttemptOutcome.NOT_SENT
-        # Leaving the block, also when the client has gone, tells the decisions of the end.
-        with self._decisions.admit(job) as ticket:
+        """Run a request at workers listed here; return None if it was withdrawn while it was held."""
+        outcome = AttemptOutcome.NOT_SENT
+        # Leaving the block tells the policy that the request has ended, also when the task is cancelled
+        # because the client has disconnected.
+        with self._decisions.admit(profile) as ticket:
             while True:
                 if ticket.is_waiting:
-                    course.on_waiting(ticket)
-                    if crossing and not course.may_have_run:
-                        crossing.offer(ticket)
+                    progress.on_waiting(ticket)
+                    if forwarder and not progress.may_have_run:
+                        forwarder.offer(ticket)
                 match await ticket.next_decision():
                     case Withdrawn():
                         return None
                     case RejectDecision(retry_after):
                         return Response(503, b"refused\n", retry_after)
                     case FailDecision():
-                        return Response(504 if end is AttemptOutcome.TIMED_OUT else 502, b"failed\n")
+                        return Response(504 if outcome is AttemptOutcome.TIMED_OUT else 502, b"failed\n")
                     case Attempt() as attempt:
-                        course.has_attempt_begun = True
-                        result = await self._attempt(request, attempt, ticket, course)
-                        end = result.outcome
-                        course.attempt_ended(end)
-                        if (
-                            end is AttemptOutcome.INVALID_REQUEST
-                        ):  # the client's doing: the endpoint keeps its trust
+                        progress.has_attempt_begun = True
+                        result = await self._attempt(request, attempt, ticket, progress)
+                        outcome = result.outcome
+                        progress.attempt_ended(outcome)
+                        # An invalid request is the client's fault, so the worker loses no trust.
+                        if outcome is AttemptOutcome.INVALID_REQUEST:
                             return Response(400, b"no endpoint can use this request\n")
-                        ticket.end_attempt(end, result.load)
-                        if end is AttemptOutcome.SERVED:
+                        ticket.end_attempt(outcome, result.load)
+                        if outcome is AttemptOutcome.SERVED:
                             return Response(200, result.body)
 
     async def _attempt(
-        self, request: InboundRequest, attempt: Attempt, ticket: Ticket, course: RequestProgress
+        self, request: InboundRequest, attempt: Attempt, ticket: Ticket, progress: RequestProgress
     ) -> AttemptResult:
-        def sign(stage: Stage) -> None:
+        """Send the request to the worker that the policy chose."""
+
+        def report(stage: Stage) -> None:
             (ticket.report_started if stage is Stage.STARTED else ticket.report_progress)()
 
-        def wanted() -> bool:
-            """Asked right before the first byte. Connecting takes a while: by now the endpoint may have been
-            told to drain, the window for repeats may be over, or the client gone."""
+        def should_send() -> bool:
+            """Whether to send the request, now that the connection is open.
+
+            While it was being opened, the worker may have begun to drain, the retry window may have ended, or
+            the client may have disconnected.
+            """
             in_window = attempt.start_by is None or self._clock.now() < attempt.start_by
             return in_window and self._destinations.accepts(attempt.uid) and not request.is_client_gone()
 
@@ -286,9 +319,9 @@
             request.worker_request,
             self._destinations.address(attempt.uid),
             attempt.deadline,
-            still_wanted=wanted,
-            sign=sign,
-            leaving=course.allow_last_byte,
-            written=lambda: self._stats.count_sent(request.job_class),
-            repeatable=attempt.is_retry_safe,
+            should_send=should_send,
+            on_progress=report,
+            allow_last_byte=progress.allow_last_byte,
+            on_sent=lambda: self._stats.count_sent(request.job_class),
+            is_retry_safe=attempt.is_retry_safe,
         )
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -508,10 +508,10 @@
                 WorkerRequest("a", b"/page", "api", None, b""),
                 address,
                 clock.now() + timedelta(seconds=2),
-                still_wanted=lambda: False,
-                sign=lambda stage: None,
-                written=lambda: None,
-                repeatable=True,
+                should_send=lambda: False,
+                on_progress=lambda stage: None,
+                on_sent=lambda: None,
+                is_retry_safe=True,
             )
             await pool.close()
             assert (result.outcome, endpoint.paths) == (AttemptOutcome.NOT_SENT, [])
