--- a/rookwood/httpclient/__init__.py
+++ b/rookwood/httpclient/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP connections to workers, for both programs.
+"""An HTTP client for workers, used by both programs.
 
-`connections` decides when an answer is whole and when a connection may be used again; `session` opens a
-client on such connections that never sends a request a second time. All that depends on the inside of
-aiohttp stands in `connections`; `tests/test_httpclient_library.py` fails when the library changes there.
+`connections` decides when a response is complete and when a connection may be reused. `client` sends requests
+on such connections, each at most once. Everything that depends on internals of aiohttp is in `connections`;
+`tests/test_httpclient_library.py` fails when the library changes there.
 """
--- a/rookwood/httpclient/client.py
+++ b/rookwood/httpclient/client.py
@@ -1,4 +1,4 @@
-"""A client that sends each request at most once and never takes a broken answer for a whole one."""
+"""A client that sends each request at most once and never returns an incomplete response as complete."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-FIRST_FINAL_STATUS = 200  # below are interim answers, and 101, which nobody here asks for
-HTTP_VERSION = "HTTP/1."  # looked for first, since it is much cheaper
+FIRST_FINAL_STATUS = 200  # lower ones are of interim responses, or 101, which no request here asks for
+HTTP_VERSION = "HTTP/1."  # searched before `STATUS_LINE`, since that is much cheaper
 STATUS_LINE = re.compile(r"HTTP/1\.[01] \d{3}")
 
 
@@ -24,7 +24,7 @@
 
 
 class Response:
-    """The head of an answer, and its body as far as it is read."""
+    """The head of a response, and its body as far as it is read."""
 
     def __init__(self, response: DiscardableResponse) -> None:
         self._response = response
@@ -36,7 +36,7 @@
 
     @property
     def headers(self) -> CIMultiDictProxy[str]:
-        """The headers as they came."""
+        """The headers as received."""
         return self._response.headers
 
     @property
@@ -45,7 +45,7 @@
         return self._response.content_type
 
     async def read_all(self) -> bytes | ResponseLost:
-        """Read the whole body; the connection is given up if that fails."""
+        """Read the complete body; the connection is closed if that fails."""
         try:
             return await self._response.read()
         except (aiohttp.ClientError, OSError) as error:
@@ -56,23 +56,23 @@
             raise
 
     async def read_some(self) -> bytes | ResponseLost:
-        """Read what has arrived, waiting for at least one byte; empty at the end of a whole body."""
+        """Read what has arrived, waiting for at least one byte; empty at the end of a complete body."""
         try:
             return await self._response.content.readany()
         except (aiohttp.ClientError, OSError) as error:
             return ResponseLost(repr(error))
 
     def close(self) -> None:
-        """Give the answer up; its connection ends unless the whole answer was read."""
+        """Release the response; its connection is closed unless the complete response was read."""
         self._response.close()
 
     def discard(self) -> None:
-        """Give the answer up as one that is not for its request; its connection ends in any case."""
+        """Drop the response as one that belongs to another request; its connection is closed in any case."""
         self._response.discard()
 
 
 class HttpClient:
-    """HTTP connections; what comes of a request is a value."""
+    """Sends requests over a pool of connections; failures are returned as values, not raised."""
 
     def __init__(self, *, connections: int, idle_limit: float, connect_limit: float) -> None:
         self._connector = ResponseConnector(limit=connections, keepalive_timeout=idle_limit)
@@ -91,13 +91,13 @@
         await self._session.close()
 
     def limit_idle(self, seconds: float) -> None:
-        """Use connections again that have rested for at most so long."""
+        """Reuse only connections that were idle for at most this time."""
         self._connector.limit_idle(seconds)
 
     async def send(
         self, method: str, url: URL, headers: Mapping[str, str], body: bytes | None
     ) -> Response | NotSent | ResponseLost:
-        """Send a request and wait for the head of its answer."""
+        """Send a request and wait for the head of its response."""
         try:
             response = await self._session.request(
                 method, url, data=body, headers=headers, allow_redirects=False
@@ -115,9 +115,9 @@
 
 
 async def send_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
-    """Keep the library from sending a request again after a kept connection broke under it.
+    """Keep the library from sending a request again when a reused connection breaks.
 
-    It repeats some methods after two kinds of errors; the error raised here in their place is neither.
+    It retries some methods after two kinds of errors; the error raised here instead is neither of them.
     """
     try:
         return await handler(request)
@@ -128,10 +128,11 @@
 
 
 def find_head_flaw(response: aiohttp.ClientResponse) -> str | None:
-    """Why a head can't be that of one final answer, if so.
+    """Return why a head cannot be that of a single final response; None if it can.
 
-    Where a surplus answer breaks off in its head, the next one continues it: the status is then the first
-    answer's and the headers are the second one's, whose status line stands in a reason or a header value.
+    If a surplus response breaks off within its head, the next response continues it: the status is then that
+    of the first response and the headers are those of the second one, whose status line is part of a reason
+    phrase or of a header value.
     """
     if response.status < FIRST_FINAL_STATUS:
         return f"status {response.status} is no final answer"
--- a/rookwood/httpclient/connections.py
+++ b/rookwood/httpclient/connections.py
@@ -1,8 +1,8 @@
-"""Connections that tell a whole answer from one that broke off.
+"""Connections that tell a complete response from one that broke off.
 
-aiohttp ends a body that has neither a length nor chunks with a plain end of file, whatever ended the
-connection, and keeps what a server sends after its answer for the next request on the connection. Here
-such a body is whole only after the peer's orderly end of file, and bytes after an answer end the connection.
+If a body has neither a length nor chunks, aiohttp takes any end of the connection for its end. It also keeps
+bytes that a server sends after a response for the next request on the connection. Here such a body is
+complete only after an orderly end of file from the peer, and bytes after a response close the connection.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ResponseProtocol(ResponseHandler):
-    """One connection, which carries one request and its one answer at a time."""
+    """A connection that carries one request and its response at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop=loop)
@@ -29,12 +29,12 @@
         self._response_body: StreamReader | None = None
 
     def set_response_params(self, **parameters: Any) -> None:
-        """A request begins: the answer to come is its own."""
+        """Begin a request, to which the next response belongs."""
         self._response_body = None
         super().set_response_params(**parameters)
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
-        """Take the head of an answer from the parser."""
+        """Receive the head of a response from the parser."""
         message, body = data
         if message.code not in INTERIM_STATUSES:
             if self._response_body is not None:
@@ -46,40 +46,40 @@
         super().feed_data(data, size)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the peer; those after a whole answer belong to no request."""
+        """Receive bytes from the peer; those after a complete response belong to no request."""
         if data and self._response_body is not None and self._response_body.is_eof():
             self._drop_connection()
             return
         super().data_received(data)
 
     def eof_received(self) -> None:
-        """The peer ended its side in order."""
+        """Handle an orderly end of file from the peer."""
         self._peer_finished = True
         super().eof_received()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The connection ended; only the peer's orderly end may complete an answer."""
+        """Handle the end of the connection; only an orderly end from the peer completes a response."""
         if exc is not None or not self._peer_finished:
             self._break_answer(exc)
         super().connection_lost(exc)
 
     def close(self) -> None:
-        """End the connection from this side, which completes no answer."""
+        """Close the connection from this side, which completes no response."""
         self._break_answer(None)
         super().close()
 
     def abort(self) -> None:
-        """End the connection from this side at once, which completes no answer."""
+        """Abort the connection from this side, which completes no response."""
         self._break_answer(None)
         super().abort()
 
     def end_after(self, body: StreamReader) -> None:
-        """End the connection, unless it carries another request than the one with this answer by now."""
+        """Close the connection unless it carries another request by now than the one with this response."""
         if self._response_body is body:
             self._drop_connection()
 
     def _request_is_pending(self) -> bool:
-        """Whether a part of the request has not been handed to the kernel yet."""
+        """Whether a part of the request has not been passed to the kernel yet."""
         if self.transport is None:
             return True
         return self.writing_paused or self.transport.get_write_buffer_size() > 0
@@ -88,7 +88,7 @@
         body = self._response_body
         if body is None or body.is_eof() or body.exception() is not None:
             return
-        error = ClientPayloadError(f"connection lost before the end of the answer: {cause!r}")
+        error = ClientPayloadError(f"connection lost before the end of the response: {cause!r}")
         if cause is None:
             body.set_exception(error)
         else:
@@ -101,21 +101,21 @@
 
 
 class DiscardableResponse(ClientResponse):
-    """An answer that can still end its connection when its body is whole.
+    """A response that can still close its connection when its body is complete.
 
-    The library gives a connection back to the pool with the last byte of an answer, whomever that was for.
+    The library returns a connection to the pool with the last byte of a response, for whichever request.
     """
 
     _response_protocol: ResponseProtocol | None = None
 
     async def start(self, connection: Connection) -> ClientResponse:
-        """Read the head, and keep hold of the connection."""
+        """Read the head, and keep a reference to the connection."""
         assert isinstance(connection.protocol, ResponseProtocol)
         self._response_protocol = connection.protocol
         return await super().start(connection)
 
     def discard(self) -> None:
-        """Give up the answer and its connection: what comes on it now may be for any request."""
+        """Drop the response and close its connection, on which data for any request may arrive now."""
         body = self.content
         self.close()
         if self._response_protocol is not None:
@@ -123,7 +123,7 @@
 
 
 class ResponseConnector(TCPConnector):
-    """A pool of such connections."""
+    """A pool of `ResponseProtocol` connections."""
 
     def __init__(self, *, limit: int, keepalive_timeout: float) -> None:
         super().__init__(limit=limit, keepalive_timeout=keepalive_timeout, use_dns_cache=False)
@@ -131,8 +131,8 @@
         self._factory = functools.partial(_new_protocol, self._loop)
 
     def limit_idle(self, seconds: float) -> None:
-        """Use connections again that have rested for so long, also those that rest now."""
-        self._keepalive_timeout = seconds  # The library takes it when it is made, and reads it at each use.
+        """Reuse only connections that were idle for at most this time, including those idle now."""
+        self._keepalive_timeout = seconds  # The library sets it once, but reads it at each use.
 
 
 def _new_protocol(loop: asyncio.AbstractEventLoop) -> ResponseHandler:
--- a/rookwood/httpclient/outcomes.py
+++ b/rookwood/httpclient/outcomes.py
@@ -1,4 +1,4 @@
-"""What may come of a request instead of an answer."""
+"""Outcomes of a request that has no response."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No connection came up: the peer saw nothing of the request."""
+    """No connection could be opened, so the peer has received nothing of the request."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseLost:
-    """The request was sent and no whole true answer came: it may have run."""
+    """The request was sent, but no complete and valid response was received: it may have run."""
 
     reason: str
--- a/rookwood/metrics/__init__.py
+++ b/rookwood/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""A process's own figures: cheap to count, and told as text when somebody asks."""
+"""Metrics of a process: counting is cheap, and the text is only built when it is scraped."""
--- a/rookwood/metrics/exposition.py
+++ b/rookwood/metrics/exposition.py
@@ -1,6 +1,6 @@
-"""The text of all figures: a registry whose only collector asks the parts of the process.
+"""Builds the text of all metrics, with a registry whose only collector reads the sources of the process.
 
-The library's collectors of process, platform and garbage collector are left out.
+The library's own collectors of process, platform and garbage collector are left out.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 
 
 class FamilySourceCollector(Collector):
-    """Asks each source in turn at every scrape, so that counting needs nothing of the library."""
+    """Reads all sources at every scrape, so that counting does not need the library."""
 
     def __init__(self, sources: Iterable[FamilySource]) -> None:
         self._sources = tuple(sources)
 
     def collect(self) -> Iterator[Metric]:
-        """The families of all sources."""
+        """Yield the metric families of all sources."""
         for source in self._sources:
             yield from source()
 
 
 def render(sources: Iterable[FamilySource]) -> bytes:
-    """The families of these sources as text."""
+    """Return the metric families of these sources as text."""
     registry = CollectorRegistry()
     registry.register(FamilySourceCollector(sources))
     return generate_latest(registry)
 
 
 def loop_families(lag: LoopLag) -> Iterator[Metric]:
-    """The lag of the event loop."""
+    """Yield the metric families of the event loop's lag."""
     samples = (
         Sample({"kind": "last"}, lag.last),
         Sample({"kind": "recent_maximum"}, lag.recent_maximum),
@@ -51,7 +51,7 @@
 
 
 def process_families() -> Iterator[Metric]:
-    """Memory, processor time and descriptors of this process."""
+    """Yield the metric families of this process's memory, processor time and descriptors."""
     usage = ProcessUsage.read()
     yield gauge("process_resident_bytes", "Resident memory.", usage.resident_bytes)
     yield counter("process_processor_seconds", "Processor time used.", usage.processor_seconds)
--- a/rookwood/metrics/families.py
+++ b/rookwood/metrics/families.py
@@ -1,7 +1,7 @@
-"""Building metric families from plain values; the only module that knows the library's metric classes.
+"""Builds metric families from plain values; the only module that uses the library's metric classes.
 
-`prometheus_client` is pinned to the last release that can be imported without `ssl`, which both programs
-leave out (`cluster/startup.py`). Its import costs a dispatcher 0.6 MB and 13-20 ms.
+`prometheus_client` is pinned to the last release that can be imported without `ssl`, since both programs skip
+that import (`cluster/startup.py`). Its own import costs a dispatcher 0.6 MB and 13-20 ms.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 
 
 def gauge(name: str, meaning: str, value: float) -> Metric:
-    """A value that goes up and down."""
+    """Return a metric whose value goes up and down."""
     return GaugeMetricFamily(PREFIX + name, meaning, value=value)
 
 
 def counter(name: str, meaning: str, value: float) -> Metric:
-    """A value that only rises; the library appends `_total` to its name."""
+    """Return a metric whose value only rises; the library appends `_total` to its name."""
     return CounterMetricFamily(PREFIX + name, meaning, value=value)
 
 
 def gauges(name: str, meaning: str, labels: tuple[str, ...], samples: Iterable[Sample]) -> Metric:
-    """Values that go up and down, told apart by labels."""
+    """Return a metric with a value for each combination of labels, which goes up and down."""
     family = GaugeMetricFamily(PREFIX + name, meaning, labels=labels)
     for sample in samples:
         family.add_metric([sample.labels[label] for label in labels], sample.value)
@@ -42,7 +42,7 @@
 
 
 def counters(name: str, meaning: str, labels: tuple[str, ...], samples: Iterable[Sample]) -> Metric:
-    """Values that only rise, told apart by labels."""
+    """Return a metric with a value for each combination of labels, which only rises."""
     family = CounterMetricFamily(PREFIX + name, meaning, labels=labels)
     for sample in samples:
         family.add_metric([sample.labels[label] for label in labels], sample.value)
--- a/rookwood/metrics/loop_lag.py
+++ b/rookwood/metrics/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late the event loop runs what is due: everything else in the process waits as long."""
+"""Measures how late the event loop runs tasks that are due; everything in the process waits as long."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LoopLag:
-    """The lag seen by a task that wakes periodically."""
+    """The lag of a task that wakes periodically."""
 
     def __init__(self) -> None:
         self.last = 0.0
@@ -22,7 +22,7 @@
 
     @property
     def recent_maximum(self) -> float:
-        """The largest lag of the present window and the one before."""
+        """The largest lag of the current window and the previous one."""
         return max(self._window_maximum, self._previous_maximum)
 
     async def run(self) -> None:
@@ -35,7 +35,7 @@
             self.observe(now - due, now)
 
     def observe(self, lag: float, now: float) -> None:
-        """Take in one measurement."""
+        """Record one measurement."""
         self.last = max(0.0, lag)
         self.measurements += 1
         self.total += self.last
--- a/rookwood/metrics/process.py
+++ b/rookwood/metrics/process.py
@@ -1,4 +1,4 @@
-"""What this process uses of the machine, from `/proc`."""
+"""Reads the memory, processor time and descriptors that this process uses, from `/proc`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """Memory, processor time and open descriptors at a moment."""
+    """Memory, processor time and open descriptors of the process at one moment."""
 
     resident_bytes: int
     processor_seconds: float
@@ -21,7 +21,7 @@
 
     @classmethod
     def read(cls) -> ProcessUsage:
-        """The present usage; raises OSError where there is no `/proc`."""
+        """Return the current usage; raises OSError if there is no `/proc`."""
         with open(MEMORY_FILE) as file:
             pages = int(file.read().split()[RESIDENT_FIELD])
         descriptors = len(os.listdir(DESCRIPTOR_DIRECTORY))
--- a/rookwood/metrics/server.py
+++ b/rookwood/metrics/server.py
@@ -1,7 +1,7 @@
-"""Serves the figures of a process as text over HTTP. A fault here never stops the process.
+"""Serves the metrics of a process as text over HTTP. A fault here never stops the process.
 
-The modules that make the text, the metrics library among them, are imported at the first scrape: a program
-that starts after a kill serves sooner without them.
+The modules that build the text, and with them the metrics library, are imported at the first scrape: a
+program that is started again after a kill serves sooner without them.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 logger = logging.getLogger("rookwood")
 
-METRICS_PORT = 9464  # named in deploy/system.toml too; outside the ranges that deployments use
+METRICS_PORT = 9464  # also named in deploy/system.toml; outside the port ranges that deployments use
 METRICS_PATH = "/metrics"
 TEXT_HEADERS = {"Content-Type": "text/plain; version=0.0.4; charset=utf-8"}
 SHUTDOWN_LIMIT = 0.1
@@ -30,7 +30,7 @@
 
 
 class MetricsServer:
-    """Listens at one address and answers with the figures of some sources, and with the loop's lag.
+    """Listens at one address and serves the metrics of the sources, the event loop and the process.
 
     `load_sources` is called once, at the first scrape.
     """
@@ -47,7 +47,7 @@
         self._measuring: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen; where that fails, the process goes on without."""
+        """Start to listen; if that fails, the process runs without serving metrics."""
         self._measuring = asyncio.create_task(self._lag.run())
         server = web.Server(self._respond, access_log=None)
         self._runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=SHUTDOWN_LIMIT)
@@ -55,7 +55,7 @@
             await self._runner.setup()
             await web.TCPSite(self._runner, self._ip, self._port).start()
         except OSError as error:
-            logger.warning("figures are not served", extra={"reason": str(error)})
+            logger.warning("metrics are not served", extra={"reason": str(error)})
 
     async def stop(self) -> None:
         """Stop listening and measuring."""
@@ -72,7 +72,7 @@
         try:
             return web.Response(body=self._render(), headers=TEXT_HEADERS)
         except Exception:
-            logger.exception("figures could not be told")
+            logger.exception("metrics could not be rendered")
             return web.Response(status=500)
 
     def _render(self) -> bytes:
--- a/rookwood/metrics/traffic.py
+++ b/rookwood/metrics/traffic.py
@@ -1,4 +1,4 @@
-"""Messages and bytes by direction, kind of peer and message type; no I/O."""
+"""Counts messages and their bytes by direction, kind of peer and message type; does no I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 PEER_CORE = "core"
 PEER_EDGE = "edge"
-PEER_UNIDENTIFIED = "unidentified"  # it has not said hello yet, or calls itself something else
+PEER_UNIDENTIFIED = "unidentified"  # no hello was received yet, or it names an unknown tier
 
 
 def peer_kind(tier: str) -> str:
-    """The kind of a peer by the tier that it tells; bounds the number of kinds."""
+    """Return the kind of a peer by the tier in its hello; unknown tiers are one kind, to bound the labels."""
     return tier if tier in (PEER_CORE, PEER_EDGE) else PEER_UNIDENTIFIED
 
 
 class Direction(StrEnum):
-    """Which way messages went."""
+    """Direction of messages, as seen from this process."""
 
     SENT = "sent"
     RECEIVED = "received"
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Volume:
-    """How many messages, and their bytes with framing."""
+    """Number of messages, and their size in bytes with framing."""
 
     messages: int = 0
     size: int = 0
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficRecord:
-    """The volume of one message type to or from one kind of peer."""
+    """The volume of one message type sent to or received from one kind of peer."""
 
     direction: Direction
     peer: str
@@ -57,15 +57,15 @@
         self._received: _Volumes = {}
 
     def sent(self, peer: str, message_type: str, size: int) -> None:
-        """A message was queued to be sent."""
+        """Count a message that was queued to be sent."""
         _volume(self._sent, peer, message_type).add(size)
 
     def received(self, peer: str, message_type: str, size: int) -> None:
-        """A message arrived whole."""
+        """Count a message that was received completely."""
         _volume(self._received, peer, message_type).add(size)
 
     def records(self) -> Iterator[TrafficRecord]:
-        """Everything that was counted so far."""
+        """Yield everything counted so far."""
         yield from _records(Direction.SENT, self._sent)
         yield from _records(Direction.RECEIVED, self._received)
 
@@ -83,4 +83,4 @@
             yield TrafficRecord(direction, peer, message_type, volume)
 
 
-FEED_TRAFFIC = MessageTraffic()  # one for the process, as its links come and go
+FEED_TRAFFIC = MessageTraffic()  # one for the process, since its links come and go
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -486,7 +486,7 @@
         with self.assertLogs("rookwood", logging.WARNING) as logs:
             await second.start()
         await second.stop()
-        self.assertIn("figures are not served", logs.output[0])
+        self.assertIn("metrics are not served", logs.output[0])
 
 
 class ExpositionTest(unittest.TestCase):
