--- a/tests/metrics_text.py
+++ b/tests/metrics_text.py
@@ -1,4 +1,4 @@
-"""Reads the text that the programs tell their figures in."""
+"""Parses the text in which the programs serve their metrics."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         return frozenset(sample.name for sample in self.samples)
 
     def sum(self, name: str, **labels: str) -> float:
-        """The sum of the samples of that name that bear these labels; KeyError if the name is missing."""
+        """The sum of the samples with this name and these labels; raises KeyError if the name is missing."""
         values = [
             float(sample.value)
             for sample in self.samples
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -61,8 +61,8 @@
 
 def test_program_serves_where_other_programs_and_unix_sockets_are_refused(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with st.listening(endpoint) as address, st.listening(st.Discovery()) as discovery:
+        worker = ScriptedWorker(st.serves)
+        async with st.listening(worker) as address, st.listening(st.Discovery()) as discovery:
             environ = st.environment(tmp_path, [st.target_entry("s-0", address)], discovery)
             environ["TMPDIR"] = str(tmp_path)  # where it would offer its listener
             async with st.dispatcher_process(environ, ["-c", GUARD]) as (child, s, said):
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -91,22 +91,22 @@
     """Its end stands behind what it sent, so that is read, though not kept without bound."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds, st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.never_responds, st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             left = s.dispatcher._inbound._body_bytes_left
             _, writer = await s.connect()
             writer.write(s.request("/unlock", timeout=60.0))
-            await wait_until(lambda: len(endpoint.paths) == 1)
+            await wait_until(lambda: len(worker.paths) == 1)
             writer.write(b"x" * ahead)
             await wait_until(
                 lambda: s.dispatcher._inbound._body_bytes_left <= left - min(ahead, inbound.MAX_READ_AHEAD)
             )
             assert left - s.dispatcher._inbound._body_bytes_left <= inbound.MAX_READ_AHEAD + 2 * 65536
             writer.close()
-            await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
+            await asyncio.wait_for(worker.closed.wait(), LIMIT)
             await wait_until(lambda: not s.dispatcher._inbound._streams)
             assert s.dispatcher._inbound._body_bytes_left == left
-            assert len(endpoint.paths) == 1
+            assert len(worker.paths) == 1
             assert (await s.send_request())[0] == 200
 
     play(story())
@@ -174,29 +174,29 @@
 
 def test_waiting_request_whose_client_left_is_let_go_at_once(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.never_responds)
+        async with start_dispatcher(tmp_path, worker) as s:
             policy = s.dispatcher._decisions._policy
             busy = [await s.connect() for _ in range(5)]
             for _, writer in busy:  # more than its slots: one of them waits here
                 writer.write(s.request("/unlock"))
-            await wait_until(lambda: len(endpoint.paths) == 4 and s.dispatcher._decisions.open_requests == 5)
+            await wait_until(lambda: len(worker.paths) == 4 and s.dispatcher._decisions.open_requests == 5)
             (waiting,) = (job for lane in policy.held_jobs.values() for job in lane)
-            held = next(n for n, (_, w) in enumerate(busy) if f"r{n + 1}" not in seen_ids(endpoint))
+            held = next(n for n, (_, w) in enumerate(busy) if f"r{n + 1}" not in seen_ids(worker))
             busy[held][1].close()
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 4)
             assert waiting.request.id not in policy.jobs
-            endpoint.resume.set()
+            worker.resume.set()
             for n, (reader, _) in enumerate(busy):
                 if n != held:
                     assert b"late" in await asyncio.wait_for(reader.readuntil(b"late"), LIMIT)
-            assert len(endpoint.paths) == 4
+            assert len(worker.paths) == 4
 
     play(story())
 
 
-def seen_ids(endpoint: ScriptedWorker) -> set[str]:
-    return {headers["request-id"] for headers in endpoint.headers}
+def seen_ids(worker: ScriptedWorker) -> set[str]:
+    return {headers["request-id"] for headers in worker.headers}
 
 
 # ---- the end of a client's connection ----
@@ -208,8 +208,8 @@
     """Between the look and the close. It is not served; the client sees a clean end, and sends it anew."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             client = Client(s.port)
             client.write(s.request())
             client.socket.settimeout(LIMIT)
@@ -226,15 +226,15 @@
             monkeypatch.setattr(HttpStream, "is_idle", crossing)
             moved_off(s)
             assert await client.rest() == b""
-            assert crossed and len(endpoint.paths) == 1
+            assert crossed and len(worker.paths) == 1
 
     play(story())
 
 
 def test_request_that_comes_before_its_resting_connection_ends_is_served(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             client = Client(s.port)
             client.write(s.request())
             await wait_until(lambda: len(s.dispatcher._inbound._idle_usual) == 1)
@@ -249,15 +249,15 @@
 
 def test_requests_sent_ahead_are_all_answered_before_their_connection_ends(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds, st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.never_responds, st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             client = Client(s.port)
             client.write(b"".join(s.request() for _ in range(6)))
-            await wait_until(lambda: len(endpoint.paths) == 1)
+            await wait_until(lambda: len(worker.paths) == 1)
             moved_off(s)
-            endpoint.resume.set()
+            worker.resume.set()
             text = await client.rest()
-            assert text.count(b"HTTP/1.1 200") == 6 and len(endpoint.paths) == 6
+            assert text.count(b"HTTP/1.1 200") == 6 and len(worker.paths) == 6
             assert text.lower().count(b"connection: close") == 1
 
     play(story())
@@ -267,11 +267,11 @@
     """While it waits behind another its client's patience ends: then it is not begun any more."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds, st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.never_responds, st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             client = Client(s.port)
             client.write(s.request("/unlock"))
-            await wait_until(lambda: len(endpoint.paths) == 1)
+            await wait_until(lambda: len(worker.paths) == 1)
             (stream,) = s.dispatcher._inbound._streams
             before = stream._read_times[-1]
             client.write(s.request("/unlock", timeout=3.0) + s.request("/unlock", timeout=8.0))
@@ -280,10 +280,10 @@
                 stream._read_times[-1][0],
                 stream._read_times[-1][1] - 4,
             )  # as if it had come 4 s ago
-            endpoint.resume.set()
+            worker.resume.set()
             moved_off(s)
             statuses = [answer[:3] for answer in (await client.rest()).split(b"HTTP/1.1 ")[1:]]
-            assert statuses == [b"200", b"503", b"200"] and len(endpoint.paths) == 2
+            assert statuses == [b"200", b"503", b"200"] and len(worker.paths) == 2
 
     play(story())
 
@@ -295,8 +295,8 @@
     """After the last answer, before the close: a reset would throw away what is still on its way."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             if moving:
                 moved_off(s)
             client, write = Client(s.port), HttpStream.write
@@ -363,10 +363,8 @@
             clients.append(Client(found[0].port))
             clients[0].write(found[0].request())
 
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(
-            tmp_path, endpoint, extensions=(lambda core: Emptying(core, comes),)
-        ) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker, extensions=(lambda core: Emptying(core, comes),)) as s:
             found.append(s)
             s.dispatcher._service.begin_shutdown(timedelta(0))
             await asyncio.wait_for(s.dispatcher.wait_drained(), LIMIT)
@@ -493,10 +491,10 @@
     """It may have counted as told for long: to an agent that was silent, before this process began."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             assert s.dispatcher._destinations.accepts("s-0")
-            s.discovery.send_update(2, st.target_entry("s-0", endpoint.address, "draining"))
+            s.discovery.send_update(2, st.target_entry("s-0", worker.address, "draining"))
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             assert not s.dispatcher._destinations.accepts("s-0")
 
@@ -505,11 +503,11 @@
 
 def test_lists_may_come_indented_and_in_pieces(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
-            odd = st.target_entry('a {[\\" b', endpoint.address)
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
+            odd = st.target_entry('a {[\\" b', worker.address)
             for rev, indent in ((2, 2), (3, None), (4, 1)):
-                told = {"rev": rev, "all": True, "targets": [odd, st.target_entry("s-0", endpoint.address)]}
+                told = {"rev": rev, "all": True, "targets": [odd, st.target_entry("s-0", worker.address)]}
                 text = json.dumps(told, indent=indent).encode() + b"\n"
                 for at in range(0, len(text), 50):
                     s.discovery.lines.put_nowait(text[at : at + 50])
@@ -540,13 +538,13 @@
     tmp_path: Path, line: bytes, key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             await wait_until(lambda: len(s.discovery.targets) == 1)
             s.discovery.lines.put_nowait(line)
             await wait_until(lambda: len(s.discovery.targets) == 2)
             assert (await s.send_request())[0] == 200
-            s.discovery.send_update(4, st.target_entry("s-0", endpoint.address))
+            s.discovery.send_update(4, st.target_entry("s-0", worker.address))
             await wait_until(lambda: s.dispatcher._destinations.revision == 4)
 
     with caplog.at_level(logging.INFO):
@@ -560,8 +558,8 @@
     """A string without an end, and brackets without one: both are looked at once, not over and over."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             await wait_until(lambda: len(s.discovery.targets) == 1)
             loop = asyncio.get_running_loop()
             begun = loop.time()
@@ -576,11 +574,11 @@
 def test_change_that_could_not_be_taken_over_is_asked_for_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A defect at one moment must not leave the decisions with an endpoint that is gone."""
+    """A defect at one moment must not leave the decisions with a worker that is gone."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             update, failed = s.dispatcher._decisions.update_workers, list[int]()
 
             def fails_once(told: destinations.DestinationUpdate, kept: bool) -> None:
@@ -592,7 +590,7 @@
             monkeypatch.setattr(s.dispatcher._decisions, "update_workers", fails_once)
             for asked in (1, 2):
                 await wait_until(lambda asked=asked: len(s.discovery.targets) == asked)  # type: ignore[misc]
-                s.discovery.send_update(2, st.target_entry("s-9", endpoint.address))
+                s.discovery.send_update(2, st.target_entry("s-9", worker.address))
             await wait_until(lambda: len(failed) == 2 and s.dispatcher._destinations.revision == 2)
             assert s.discovery.targets == ["/api/targets?follow=1&since=1"] * 2
             assert "s-9" in s.dispatcher._decisions._policy.workers
@@ -644,15 +642,15 @@
     """More idle clients than there are descriptors, while discovery is away; then it comes back."""
 
     async def story() -> None:
-        endpoint, newer = ScriptedWorker(st.serves), ScriptedWorker(st.ends_with("done", result="newer"))
+        worker, newer = ScriptedWorker(st.serves), ScriptedWorker(st.ends_with("done", result="newer"))
         discovery, held = st.Discovery(), list[Streams]()
         async with contextlib.AsyncExitStack() as stack:
-            for peer in (endpoint, newer):
+            for peer in (worker, newer):
                 peer.address = await stack.enter_async_context(st.listening(peer))
             place = stack.enter_context(socket.socket())  # discovery's: nobody listens there yet
             place.bind(("127.0.0.1", 0))
             where = f"127.0.0.1:{place.getsockname()[1]}"
-            listed = [st.target_entry("s-0", endpoint.address)]
+            listed = [st.target_entry("s-0", worker.address)]
             changes: dict[str, Any] = {"limits": {"sockets": 64}, "mgmt": "127.0.0.1:0"}
             environ = st.environment(tmp_path, listed, where, **changes)
             child, s, said = await stack.enter_async_context(st.dispatcher_process(environ, descriptors=64))
@@ -686,7 +684,7 @@
 
 
 async def without_a_last_newline(
-    endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
+    worker: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
 ) -> bool:
     text = json.dumps({"id": request_id, "state": "done", "result": "page"}).encode()
     writer.write(st.HEAD + st.status_line(request_id, "started") + encode_chunks(text))
@@ -694,7 +692,7 @@
 
 
 async def cut_amid_the_last_line(
-    endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
+    worker: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str
 ) -> bool:
     text = json.dumps({"id": request_id, "state": "done", "result": "page"}).encode()[:-2]
     writer.write(st.HEAD + encode_chunks(text))
@@ -708,11 +706,11 @@
     tmp_path: Path, script: Script, status: int, connections: int
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(script, st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(script, st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             assert (await s.send_request("/unlock"))[0] == status
             assert (await s.send_request("/unlock"))[0] == 200
-            assert endpoint.connections == connections
+            assert worker.connections == connections
 
     play(story())
 
@@ -753,16 +751,16 @@
     monkeypatch.setattr(endpoints, "LAST_BYTE_DELAY", timedelta(milliseconds=300))
 
     async def story() -> None:
-        endpoint = Late(word)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = Late(word)
+        async with start_dispatcher(tmp_path, worker) as s:
             assert [(await s.send_request("/unlock"))[0] for _ in range(2)] == [200, 200]
-            assert (endpoint.connections, endpoint.whole) == (2, 2)
+            assert (worker.connections, worker.whole) == (2, 2)
             assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
 
     play(story())
 
 
-async def never_ends(endpoint: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
+async def never_ends(worker: ScriptedWorker, writer: asyncio.StreamWriter, request_id: str) -> bool:
     writer.write(st.HEAD + st.status_line(request_id, "started"))
     with contextlib.suppress(ConnectionError):
         while not writer.transport.is_closing():
@@ -786,14 +784,14 @@
     tmp_path: Path, script: Script, status: int, timeout: float, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(script, st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(script, st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             assert (await s.send_request("/unlock", timeout=timeout))[0] == status
             assert (await s.send_request("/unlock"))[0] == 200
-            assert len(endpoint.paths) == 2
+            assert len(worker.paths) == 2
 
     play(story())
-    assert not [r for r in caplog.records if r.exc_info]  # told of as the endpoint's doing, not as a defect
+    assert not [r for r in caplog.records if r.exc_info]  # told of as the worker's doing, not as a defect
 
 
 @pytest.mark.parametrize("error", [OSError(113, "No route to host"), ConnectionResetError()])
@@ -801,8 +799,8 @@
     tmp_path: Path, error: OSError, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
 
             async def gone(*words: object) -> endpoints.AttemptResult:
                 raise error
@@ -821,8 +819,8 @@
     roster = st.job_class("roster", "keyed", group="all", window=3_000_000, **{"aim-stretch": 2.0})
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.breaks_off, st.serves)
-        async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"lanes": [roster]}) as s:
+        worker = ScriptedWorker(st.breaks_off, st.serves)
+        async with start_dispatcher(tmp_path, worker, settings=SETTINGS | {"lanes": [roster]}) as s:
             clock, connect, connected = s.dispatcher._clock, s.dispatcher._endpoints._connect, list[str]()
 
             async def slow(address: str) -> endpoints.Connection:
@@ -835,7 +833,7 @@
             loop = asyncio.get_running_loop()
             begun = loop.time()
             status, _, _ = await s.send_request("/roster", more=b"Idempotency-Key: k\r\n")
-            assert (status, len(endpoint.paths), len(connected)) == (503, 1, 2)
+            assert (status, len(worker.paths), len(connected)) == (503, 1, 2)
             assert loop.time() - begun < 2  # given up, it is answered at once
 
     play(story())
@@ -876,8 +874,8 @@
     """Called off at each step of its life in turn: nothing stays counted, and no connection stays open."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with st.listening(endpoint) as address:
+        worker = ScriptedWorker(st.serves)
+        async with st.listening(worker) as address:
             clock, after = Clock(), 0
             while True:
                 pool = EndpointPool(clock, SECOND, 60 * SECOND, 4)
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -95,8 +95,8 @@
 def test_figures_tell_what_became_of_jobs(tmp_path: Path) -> None:
     async def story() -> None:
         scripts = [st.serves, st.status(500), st.status(500), st.status(503, "Not-Started: 1"), st.serves]
-        endpoint = ScriptedWorker(*scripts, st.never_responds)
-        async with start_dispatcher(tmp_path, endpoint, mgmt=MGMT) as s:
+        worker = ScriptedWorker(*scripts, st.never_responds)
+        async with start_dispatcher(tmp_path, worker, mgmt=MGMT) as s:
             first = await stats(s)
             assert {v for k, v in first.items() if k.startswith("transactions.")} == {"0|c"}
             assert len([k for k in first if k.startswith("transactions.")]) == 8
@@ -107,7 +107,7 @@
             assert (await s.send_request("/page"))[0] == 200  # turned away once, so written twice
             reader, writer = await s.connect()
             writer.write(s.request("/page"))
-            await wait_until(lambda: len(endpoint.paths) == 6)
+            await wait_until(lambda: len(worker.paths) == 6)
             found = await stats(s)
             assert found["transactions.page.answered"] == "2|c"
             assert found["transactions.unlock.errored"] == "2|c"
@@ -133,9 +133,9 @@
 
 def test_cluster_figures_come_from_the_decisions(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoints = [ScriptedWorker(st.serves) for _ in range(4)]
-        async with start_dispatcher(tmp_path, *endpoints, mgmt=MGMT) as s:
-            listed = [st.target_entry(f"s-{n}", e.address) for n, e in enumerate(endpoints)]
+        workers = [ScriptedWorker(st.serves) for _ in range(4)]
+        async with start_dispatcher(tmp_path, *workers, mgmt=MGMT) as s:
+            listed = [st.target_entry(f"s-{n}", e.address) for n, e in enumerate(workers)]
             s.discovery.send_update(2, listed[0] | {"state": "draining"}, listed[1] | {"state": "removed"})
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             s.dispatcher._decisions._policy.workers["s-2"].trust = 0.1
@@ -152,8 +152,8 @@
     monkeypatch.setattr(phase, "REJECT_DELAY", timedelta(hours=1))
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves, st.never_responds)
-        async with start_dispatcher(tmp_path, endpoint, mgmt=MGMT) as s:
+        worker = ScriptedWorker(st.serves, st.never_responds)
+        async with start_dispatcher(tmp_path, worker, mgmt=MGMT) as s:
             idle, busy = await s.connect(), await s.connect()
             assert (await s.exchange(idle, READY))[0] == 200
             assert (await s.exchange(busy, s.request()))[0] == 200
@@ -162,13 +162,13 @@
             assert (await s.exchange(await s.connect(), READY))[0] == 503
             # The front has not heard yet: connections are served as ever, and nothing is lost later on.
             busy[1].write(s.request())
-            await wait_until(lambda: len(endpoint.paths) == 2)
+            await wait_until(lambda: len(worker.paths) == 2)
             s.dispatcher._service._closing_from = s.dispatcher._clock.now()
             assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""
             s.dispatcher._service._rejecting_from = s.dispatcher._clock.now()
             status, headers, _ = await s.exchange(await s.connect(), s.request())
             assert (status, headers["connection"]) == (503, "close")
-            endpoint.resume.set()
+            worker.resume.set()
             assert b"200 OK" in (text := await asyncio.wait_for(busy[0].read(), LIMIT))
             assert b"connection: close" in text.lower()
             assert [await call(s, "drain/stop", "POST") for _ in range(2)] == [(200, "serving\n")] * 2
@@ -199,13 +199,13 @@
 
 @contextlib.asynccontextmanager
 async def upgrade(
-    folder: Path, *endpoints: ScriptedWorker, **changes: Any
+    folder: Path, *workers: ScriptedWorker, **changes: Any
 ) -> AsyncIterator[tuple[DispatcherFixture, DispatcherFixture, st.Discovery]]:
     """The old one, the new one that waits for its list, and the discovery that is to give it."""
     discovery, place = st.Discovery(), {"TMPDIR": str(folder)}
     changes["mgmt"] = MGMT
     async with (
-        start_dispatcher(folder, *endpoints, tmpdir=folder, **changes) as old,
+        start_dispatcher(folder, *workers, tmpdir=folder, **changes) as old,
         st.listening(discovery) as where,
     ):
         changes["listen"] = f"127.0.0.1:{old.port}"
@@ -224,16 +224,16 @@
 
 def test_upgrade_loses_no_connection_and_the_old_process_ends_what_it_has(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves, st.never_responds, st.serves)
-        async with upgrade(tmp_path, endpoint) as (old, new, discovery):
+        worker = ScriptedWorker(st.serves, st.never_responds, st.serves)
+        async with upgrade(tmp_path, worker) as (old, new, discovery):
             idle, busy = await old.connect(), await old.connect()
             assert (await old.exchange(idle, old.request()))[0] == 200
             busy[1].write(text := old.request())
-            await wait_until(lambda: len(endpoint.paths) == 2)
+            await wait_until(lambda: len(worker.paths) == 2)
             # No yes before the list is current; the old one serves.
             assert (await call(new, "readiness"))[0] == 503
             assert (await old.exchange(await old.connect(), READY))[0] == 200
-            listed = st.target_entry("s-0", endpoint.address)
+            listed = st.target_entry("s-0", worker.address)
             old.dispatcher._inbound._server.close()  # type: ignore[union-attr]  # waits in the queue now:
             waiting = await old.connect()
             waiting[1].write(old.request("/unlock"))
@@ -252,7 +252,7 @@
             assert await call(new, "readiness") == (503, "taking over\n")
             assert (await new.exchange(await new.connect(), READY))[0] == 200
             assert (await new.exchange(await new.connect(), text))[0] == 409  # nor do they run twice
-            endpoint.resume.set()
+            worker.resume.set()
             assert b"late" in await asyncio.wait_for(busy[0].read(), LIMIT)
             await asyncio.wait_for(old.dispatcher.wait_drained(), LIMIT)
             await old.dispatcher.close()
@@ -284,7 +284,7 @@
     """The old one kept it for as long as its jobs ran, and the new one decided deaf and dumb."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds, st.serves)
+        worker = ScriptedWorker(st.never_responds, st.serves)
         peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         peer.bind(("127.0.0.1", 0))
         peer.settimeout(LIMIT)
@@ -292,13 +292,13 @@
         places = [f"127.0.0.1:{port}" for port in (free_port, peer.getsockname()[1])]
         settings = SETTINGS | {"balancers": 2, "bounds": SETTINGS["bounds"] | {"peers": True}}
         changes = {"settings": settings, "peer_listen": places[0], "peers": places}
-        async with upgrade(tmp_path, endpoint, **changes) as (old, new, discovery):
+        async with upgrade(tmp_path, worker, **changes) as (old, new, discovery):
             old_peers, new_peers = old.dispatcher._peers, new.dispatcher._peers
             busy = await old.connect()
             busy[1].write(old.request())
             assert len(await asyncio.to_thread(peer.recv, 512)) == 4  # word of that job
             host, _, port = places[0].partition(":")
-            discovery.send_update(7, st.target_entry("s-0", endpoint.address), whole=True)
+            discovery.send_update(7, st.target_entry("s-0", worker.address), whole=True)
             await wait_until(lambda: old.dispatcher._service.is_handed_over)
             for serial in range(20):  # all of it reaches the new one alone, while the old one still runs
                 peer.sendto(b"odd" + bytes([serial]), (host, int(port)))
@@ -308,7 +308,7 @@
             assert sum(slots for _, _, slots in held.told) == 1  # the old one's job is in the books
             assert (await new.send_request())[0] == 200
             sent = [await asyncio.to_thread(peer.recv, 512) for _ in range(2)]
-            endpoint.resume.set()
+            worker.resume.set()
             ended = await asyncio.to_thread(peer.recv, 512)  # and the old one still tells of its end
             assert ended == sent[1]
             busy[1].close()
@@ -325,8 +325,8 @@
     monkeypatch.setattr(dispatcher, "HANDOVER_TIMEOUT", timedelta(milliseconds=100))
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds)
-        async with upgrade(tmp_path, endpoint) as (old, new, _):
+        worker = ScriptedWorker(st.never_responds)
+        async with upgrade(tmp_path, worker) as (old, new, _):
             busy = await old.connect()
             busy[1].write(old.request())
             async with asyncio.timeout(LIMIT):
@@ -408,13 +408,13 @@
     """Else who writes for long is taken for a repeat that is late already, and refused."""
 
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             text, streams = s.request(timeout=8.0), await s.connect()
             streams[1].write(text[:-1])
             await asyncio.sleep(1)
             assert (await s.exchange(streams, text[-1:]))[0] == 200
-            assert float(endpoint.headers[0]["request-timeout"]) > 7.1
+            assert float(worker.headers[0]["request-timeout"]) > 7.1
 
     play(story())
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -78,28 +78,28 @@
 
 def test_id_that_was_here_is_turned_away(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds, st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.never_responds, st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             text = s.request("/unlock")
             reader, writer = await s.connect()
             writer.write(text)
-            await wait_until(lambda: len(endpoint.paths) == 1)
+            await wait_until(lambda: len(worker.paths) == 1)
             assert (await s.exchange(await s.connect(), text))[0] == 409
-            endpoint.resume.set()
+            worker.resume.set()
             assert b"late" in await asyncio.wait_for(reader.readuntil(b"late"), LIMIT)
             assert (await s.exchange(await s.connect(), text))[0] == 409  # nor may it run again later
-            assert len(endpoint.paths) == 1
+            assert len(worker.paths) == 1
 
     play(story())
 
 
 def test_request_that_no_endpoint_can_use_costs_none_its_trust(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.status(400), st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.status(400), st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             assert (await s.send_request())[0] == 400
             policy = s.dispatcher._decisions._policy
-            assert (len(endpoint.paths), policy.workers["s-0"].trust, policy.used_slots) == (1, 1.0, 0.0)
+            assert (len(worker.paths), policy.workers["s-0"].trust, policy.used_slots) == (1, 1.0, 0.0)
 
     play(story())
 
@@ -126,11 +126,11 @@
     """With its last byte held back, the job cannot have run, so it goes out again on a new connection."""
 
     async def story() -> None:
-        endpoint = Forgetful(patience=0)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = Forgetful(patience=0)
+        async with start_dispatcher(tmp_path, worker) as s:
             for n in range(3):
                 assert (await s.send_request(f"/unlock?k={n}"))[0] == 200
-            assert len(endpoint.paths) == 3
+            assert len(worker.paths) == 3
             assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
 
     play(story())
@@ -138,16 +138,16 @@
 
 def test_what_must_not_run_twice_avoids_kept_connections_that_break(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = Forgetful(patience=0.1)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = Forgetful(patience=0.1)
+        async with start_dispatcher(tmp_path, worker) as s:
             assert [(await s.send_request())[0] for _ in range(2)] == [
                 200,
                 200,
             ]  # the second at its second try
-            assert endpoint.resets == 1
-            assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0  # a connection is no endpoint
+            assert worker.resets == 1
+            assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0  # a connection is no worker
             assert [(await s.send_request("/unlock"))[0] for _ in range(3)] == [200] * 3
-            assert endpoint.resets == 1
+            assert worker.resets == 1
 
     play(story())
 
@@ -185,8 +185,8 @@
     monkeypatch.setattr(request, "SHUTDOWN_GRACE", timedelta(0))
 
     async def story() -> None:
-        endpoints = [ScriptedWorker(*scripts)] if scripts else []
-        async with start_dispatcher(tmp_path, *endpoints) as s:
+        workers = [ScriptedWorker(*scripts)] if scripts else []
+        async with start_dispatcher(tmp_path, *workers) as s:
             clock = s.dispatcher._clock
             s.dispatcher._requests.begin_shutdown(clock.now() + timedelta(milliseconds=300))
             start = clock.now()
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -1,4 +1,4 @@
-"""What clients, endpoints and discovery may do to a dispatcher, one story for each failure."""
+"""Failures and misbehaviour of clients, workers and discovery, and how a dispatcher handles each of them."""
 
 from __future__ import annotations
 
@@ -26,6 +26,7 @@
 
 
 def play(story: Coroutine[Any, Any, None]) -> None:
+    """Run the coroutine of a test, with a time limit."""
     asyncio.run(asyncio.wait_for(story, 3 * LIMIT))
 
 
@@ -39,7 +40,7 @@
         ("/page", [st.breaks_off, st.serves], 200, 2),
         ("/page", [st.ends_with("lost"), st.serves], 200, 2),
         ("/page", [st.status(500), st.serves], 200, 2),
-        # What may have run and is unsafe is failed, never refused and never sent again.
+        # An unsafe request that may have run is failed: it is neither rejected nor retried.
         ("/unlock", [st.breaks_off, st.serves], 502, 1),
         ("/unlock", [st.ends_with("lost"), st.serves], 502, 1),
         ("/unlock", [st.ends_with("failed"), st.serves], 502, 1),
@@ -48,29 +49,29 @@
         ("/unlock", [st.writes(st.HEAD + b"3\r\n{}\n\r\n0\r\n\r\n"), st.serves], 502, 1),
         ("/unlock", [st.writes(st.HEAD + b"4\r\nodd\n\r\n0\r\n\r\n"), st.serves], 502, 1),
         ("/unlock", [st.writes(st.HEAD + b"0\r\n\r\n"), st.serves], 502, 1),
-        ("/unlock", [st.writes(DEEP), st.serves], 502, 1),  # more than the stack holds
+        ("/unlock", [st.writes(DEEP), st.serves], 502, 1),  # nested beyond the recursion limit
         ("/unlock", [st.writes(b"HTTP/9 what\r\n\r\n"), st.serves], 502, 1),
         ("/unlock", [st.ends_with("done", id="another", result="x"), st.serves], 502, 1),
         ("/unlock", [st.ends_with("done"), st.serves], 502, 1),  # done, but without a result
-        # What never ran may go elsewhere.
+        # A request that never ran may be retried.
         ("/unlock", [st.ends_with("returned"), st.serves], 200, 2),
         ("/unlock", [st.status(503, "Not-Started: 1"), st.serves], 200, 2),
         ("/unlock", [st.status(504, "Not-Started: 1"), st.serves], 200, 2),
     ],
 )
-def test_what_an_endpoint_answers(
+def test_response_of_a_worker_decides_the_status_and_the_retries(
     tmp_path: Path, path: str, scripts: list[Script], status: int, attempts: int
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(*scripts)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(*scripts)
+        async with start_dispatcher(tmp_path, worker) as s:
             found, _, body = await s.send_request(path + "?k=7&x=%20")
-            assert (found, len(endpoint.paths)) == (status, attempts)
+            assert (found, len(worker.paths)) == (status, attempts)
             assert (body == b"page") == (status == 200)
-            assert set(endpoint.paths) == {path + "?k=7&x=%20"}
-            assert {h["request-id"] for h in endpoint.headers} == {"r1"}
-            assert all(float(h["request-timeout"]) < 8 for h in endpoint.headers)
-            assert (await s.send_request("/unlock"))[0] == 200  # and the next is not affected
+            assert set(worker.paths) == {path + "?k=7&x=%20"}
+            assert {h["request-id"] for h in worker.headers} == {"r1"}
+            assert all(float(h["request-timeout"]) < 8 for h in worker.headers)
+            assert (await s.send_request("/unlock"))[0] == 200  # the next request is not affected
 
     play(story())
 
@@ -79,10 +80,10 @@
     ("path", "values"),
     [
         ("/roster", [b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"]),
-        ("/page", [b"k"]),  # a class that is not keyed
+        ("/page", [b"k"]),  # of a job class that is not keyed
         ("/roster", [b""]),
         ("/roster", [b"k" * 4000]),
-        ("/roster", [b'"a, b"', b"\xe9\xff \t;"]),  # several, and bytes that no text has
+        ("/roster", [b'"a, b"', b"\xe9\xff \t;"]),  # several, with bytes that are no valid text
         ("/roster", []),
     ],
 )
@@ -90,36 +91,36 @@
     tmp_path: Path, path: str, values: list[bytes]
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.ends_with("returned"), st.serves)
+        worker = ScriptedWorker(st.ends_with("returned"), st.serves)
         roster = st.job_class("roster", "keyed", group="zone", window=30_000_000)
         lanes = [*SETTINGS["lanes"], roster]
-        async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"lanes": lanes}) as s:
+        async with start_dispatcher(tmp_path, worker, settings=SETTINGS | {"lanes": lanes}) as s:
             more = b"".join(b"idempotency-KEY: %s\r\n" % value for value in values)
             assert (await s.send_request(path, more=more))[0] == 200
             sent = b"|".join(values).decode("latin-1")
-            assert [h.get("idempotency-key", "") for h in endpoint.headers] == [sent] * 2
+            assert [h.get("idempotency-key", "") for h in worker.headers] == [sent] * 2
 
     play(story())
 
 
-def test_slots_named_by_a_request_are_counted_at_its_endpoint(tmp_path: Path) -> None:
+def test_slots_of_a_request_are_counted_at_its_worker(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.never_responds)
+        async with start_dispatcher(tmp_path, worker) as s:
             _, writer = await s.connect()
             writer.write(s.request(more=b"Request-Info: slots=3,memory=2\r\n"))
-            await wait_until(lambda: len(endpoint.paths) == 1)
+            await wait_until(lambda: len(worker.paths) == 1)
             assert s.dispatcher._decisions._policy.workers["s-0"].used_slots == 3
             writer.close()
 
     play(story())
 
 
-def test_refused_connection_is_an_attempt_that_never_ran(tmp_path: Path) -> None:
+def test_refused_connection_counts_as_an_attempt_that_never_ran(tmp_path: Path) -> None:
     async def story() -> None:
         dead, alive = ScriptedWorker(st.serves), ScriptedWorker(st.serves)
         async with st.listening(dead) as dead.address:
-            pass  # nobody listens there any more
+            pass  # from now on the address refuses connections
         async with start_dispatcher(tmp_path, dead, alive) as s:
             assert [(await s.send_request(f"/unlock?k={n}"))[0] for n in range(6)] == [200] * 6
 
@@ -129,66 +130,68 @@
 @pytest.mark.parametrize(
     ("first", "connections"), [(st.serves, 1), (st.serves_and_closes, 2), (st.serves_and_writes_more, 2)]
 )
-def test_connection_is_kept_only_while_it_is_open_and_quiet(
+def test_connection_is_reused_only_while_it_is_open_and_idle(
     tmp_path: Path, first: Script, connections: int
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(first, st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(first, st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             assert (await s.send_request("/unlock"))[0] == 200
             if first is st.serves_and_closes:
-                await endpoint.closed.wait()
+                await worker.closed.wait()
             assert (await s.send_request("/unlock"))[0] == 200
-            assert endpoint.connections == connections
+            assert worker.connections == connections
 
     play(story())
 
 
-def test_connection_that_stood_idle_too_long_is_not_used_again(tmp_path: Path) -> None:
+def test_connection_that_was_idle_too_long_is_not_reused(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
+        worker = ScriptedWorker(st.serves)
         bounds = SETTINGS["bounds"] | {"conn-idle": 1000}
-        async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"bounds": bounds}) as s:
+        async with start_dispatcher(tmp_path, worker, settings=SETTINGS | {"bounds": bounds}) as s:
             for _ in range(2):
                 assert (await s.send_request())[0] == 200
                 await asyncio.sleep(0.002)
-            assert endpoint.connections == 2
+            assert worker.connections == 2
 
     play(story())
 
 
-def test_client_that_goes_away_ends_its_attempt(tmp_path: Path) -> None:
+def test_disconnect_of_a_client_cancels_its_attempt(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds, st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.never_responds, st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             _, writer = await s.connect()
             writer.write(s.request())
-            await wait_until(lambda: len(endpoint.paths) == 1)
+            await wait_until(lambda: len(worker.paths) == 1)
             writer.close()
-            await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
+            await asyncio.wait_for(worker.closed.wait(), LIMIT)
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
             assert (await s.send_request())[0] == 200
-            assert endpoint.connections == 2  # the given-up connection was not kept
+            assert worker.connections == 2  # the connection of the cancelled attempt is not reused
 
     play(story())
 
 
 @pytest.mark.parametrize(("path", "status"), [("/page", 503), ("/unlock", 504)])
-def test_silent_endpoint_is_given_up_before_the_client_does(tmp_path: Path, path: str, status: int) -> None:
+def test_attempt_at_an_unresponsive_worker_ends_before_the_client_gives_up(
+    tmp_path: Path, path: str, status: int
+) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.never_responds)
+        async with start_dispatcher(tmp_path, worker) as s:
             loop = asyncio.get_running_loop()
             start = loop.time()
             found, _, _ = await s.send_request(path, timeout=0.3)
             assert found == status
-            assert loop.time() - start >= 0.25  # it did wait
-            await asyncio.wait_for(endpoint.closed.wait(), LIMIT)
+            assert loop.time() - start >= 0.25  # the dispatcher did wait for the worker
+            await asyncio.wait_for(worker.closed.wait(), LIMIT)
 
     play(story())
 
 
-def test_request_that_no_endpoint_can_take_is_refused(tmp_path: Path) -> None:
+def test_request_without_any_worker_is_rejected(tmp_path: Path) -> None:
     async def story() -> None:
         async with start_dispatcher(tmp_path) as s:
             status, headers, _ = await s.send_request(timeout=0.2)
@@ -197,7 +200,7 @@
     play(story())
 
 
-def test_decisions_that_stay_silent_are_answered_for(
+def test_request_without_a_decision_still_gets_a_response(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def story() -> None:
@@ -210,20 +213,18 @@
     assert "no decision before the deadline" in caplog.text
 
 
-def test_defect_in_one_request_fails_that_request_alone(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_error_of_the_policy_fails_only_that_request(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             policy = s.dispatcher._decisions._policy
-            good = policy.handle
+            handle = policy.handle
 
-            def bad(now: int, event: api.Event) -> list[api.Action]:
+            def fails_without_a_key(now: int, event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.Request) and event.key is None:
                     raise RuntimeError("a defect")
-                return good(now, event)
+                return handle(now, event)
 
-            monkeypatch.setattr(policy, "handle", bad)
+            monkeypatch.setattr(policy, "handle", fails_without_a_key)
             streams = await s.connect()
             assert (await s.exchange(streams, s.request("/page")))[0] == 500
             assert (await s.exchange(streams, s.request("/page?k=1")))[0] == 200
@@ -256,25 +257,25 @@
         (POST + b"Request-Id: a\r\n\r\n", 400),
         (POST + b"Request-Id: a\r\nRequest-Timeout: soon\r\n\r\n", 400),
         (POST + b"Request-Id: a\r\nRequest-Timeout: nan\r\n\r\n", 400),
-        (POST + b"Request-Id: a\r\nRequest-Timeout: 1_0\r\n\r\n", 400),  # `float` takes it
+        (POST + b"Request-Id: a\r\nRequest-Timeout: 1_0\r\n\r\n", 400),  # `float` accepts it
         (POST + b"Request-Id: a\r\nRequest-Timeout: -1\r\n\r\n", 400),
         (POST + b"Request-Id: a\r\nRequest-Timeout: 99999999999999999999999\r\n\r\n", 400),
         (b"POST /page HTTP/1.1\r\nHost: api\r\nContent-Length: -1\r\n\r\n", 400),
-        # A body that is too large is refused by its head alone, and nobody is asked to go on.
+        # A body that is too large is rejected by the head alone, without 100 Continue.
         (b"POST /page HTTP/1.1\r\nHost: api\r\nContent-Length: 65537\r\n\r\n", 413),
         (b"POST /page HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n", 413),
         (CHUNKED + b"\r\n10001\r\n" + b"x" * 65537, 413),
-        # The length and the coding tell of different ends: what hides behind the first must not run.
+        # Length and transfer coding give different ends: a request hidden after the first must not run.
         (CHUNKED + b"Content-Length: 5\r\n\r\n0\r\n\r\n" + HIDDEN, 400),
         (CHUNKED.replace(b"1.1", b"1.0") + b"\r\n0\r\n\r\n" + HIDDEN, 400),
     ],
 )  # fmt: skip
-def test_bad_input_is_named_and_what_cannot_be_used_ends_the_connection(
+def test_invalid_request_gets_an_error_status_and_ends_the_connection(
     tmp_path: Path, data: bytes, status: int
 ) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint) as s:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker) as s:
             streams = await s.connect()
             found, headers, _ = await s.exchange(streams, data)
             assert (found, headers.get("connection") == "close") == (status, status != 200)
@@ -283,12 +284,12 @@
             else:
                 assert await asyncio.wait_for(streams[0].read(), LIMIT) == b""
             assert (await s.send_request("/page?k=last"))[0] == 200
-            assert endpoint.paths in (["/page?k=last"], ["/page?k=7", "/page?k=last"])
+            assert worker.paths in (["/page?k=last"], ["/page?k=7", "/page?k=last"])
 
     play(story())
 
 
-def test_answer_to_head_has_no_body(tmp_path: Path) -> None:
+def test_response_to_head_has_no_body(tmp_path: Path) -> None:
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             reader, writer = await s.connect()
@@ -299,18 +300,18 @@
     play(story())
 
 
-def test_more_clients_than_descriptors_are_still_answered(tmp_path: Path) -> None:
+def test_more_clients_than_descriptors_still_get_responses(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        async with start_dispatcher(tmp_path, endpoint, limits={"sockets": 128}) as s:
-            kept = [await s.connect() for _ in range(70)]  # more than the bound on this side
-            for streams in kept:
+        worker = ScriptedWorker(st.serves)
+        async with start_dispatcher(tmp_path, worker, limits={"sockets": 128}) as s:
+            clients = [await s.connect() for _ in range(70)]  # more than the limit for clients
+            for streams in clients:
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     assert (await s.exchange(streams, s.request()))[0] in (200, 503)
             await wait_until(
                 lambda: len(s.dispatcher._inbound._streams) <= s.dispatcher._inbound.max_connections
             )
-            for streams in kept:
+            for streams in clients:
                 streams[1].close()
             await wait_until(lambda: not s.dispatcher._inbound._streams)
             assert (await s.send_request())[0] == 200
@@ -318,38 +319,38 @@
     play(story())
 
 
-def test_requests_over_the_bound_are_refused_at_once(tmp_path: Path) -> None:
+def test_requests_over_the_limit_are_rejected_at_once(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds, st.serves)
+        worker = ScriptedWorker(st.never_responds, st.serves)
         bounds = SETTINGS["bounds"] | {"max-open": 1, "max-retry-after": 1_500_000}
-        async with start_dispatcher(tmp_path, endpoint, settings=SETTINGS | {"bounds": bounds}) as s:
+        async with start_dispatcher(tmp_path, worker, settings=SETTINGS | {"bounds": bounds}) as s:
             first = asyncio.ensure_future(s.send_request())
-            await wait_until(lambda: len(endpoint.paths) == 1)
+            await wait_until(lambda: len(worker.paths) == 1)
             status, headers, _ = await s.send_request()
             assert (status, headers["retry-after"]) == (503, "1.500")
-            endpoint.resume.set()
+            worker.resume.set()
             assert (await first)[::2] == (200, b"late")
 
     play(story())
 
 
-def test_list_follows_discovery_through_bad_lines_and_broken_watches(tmp_path: Path) -> None:
+def test_list_follows_discovery_despite_invalid_lines_and_broken_watches(tmp_path: Path) -> None:
     async def story() -> None:
         old, new = ScriptedWorker(st.serves), ScriptedWorker(st.ends_with("done", result="new"))
         rules = SETTINGS["rules"] | {"drain-grace": 0}
         changed = SETTINGS | {"rules": rules}
         async with start_dispatcher(tmp_path, old, settings=changed) as s, st.listening(new) as address:
-            assert (await s.send_request())[2] == b"page"  # discovery has not said a word yet
+            assert (await s.send_request())[2] == b"page"  # discovery has not sent anything yet
             s.discovery.send_update(
                 2, st.target_entry("s-9", address), st.target_entry("s-0", old.address, "draining")
             )
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             assert (await s.send_request())[2] == b"new"
-            s.discovery.lines.put_nowait(b"\n")  # a sign of life
+            s.discovery.lines.put_nowait(b"\n")  # a sign of life between updates
             s.discovery.lines.put_nowait(b'{"rev":3,"all":false,"targets":[{"uid":4}]}\n')
             await wait_until(lambda: len(s.discovery.targets) == 2)
             assert s.discovery.targets == [f"/api/targets?follow=1&since={n}" for n in (1, 2)]
-            assert (await s.send_request())[2] == b"new"  # the list stays
+            assert (await s.send_request())[2] == b"new"  # the list in force stays
             s.discovery.lines.put_nowait(None)
             await wait_until(lambda: len(s.discovery.targets) == 3)
             s.discovery.send_update(4, st.target_entry("s-0", old.address), whole=True)
@@ -365,7 +366,7 @@
     [
         (b"backlog=0,recent_ms=0,outstanding=0,x0=9", 9),
         (b'{"queue":0,"inflight":0,"x0":9}', 9),
-        (b"", 4),  # no report yet: as if never probed
+        (b"", 4),  # no valid report: the number of slots that is assumed before any probe
         (b"odd", 4),
         (b"x0=nan", 4),
         (b'{"x0":1' + b"0" * 400 + b"}", 4),
@@ -373,14 +374,14 @@
         (b"x" * 70_000, 4),
     ],
 )
-def test_load_comes_by_probes(tmp_path: Path, load: bytes, slots: int) -> None:
+def test_probes_report_load(tmp_path: Path, load: bytes, slots: int) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.serves)
-        endpoint.load = load
+        worker = ScriptedWorker(st.serves)
+        worker.load = load
         bounds = SETTINGS["bounds"] | {"probes": True}
         changed = SETTINGS | {"bounds": bounds, "load-report": {"how": "pull"}}
-        async with start_dispatcher(tmp_path, endpoint, settings=changed) as s:
-            await wait_until(lambda: endpoint.probes > 1)
+        async with start_dispatcher(tmp_path, worker, settings=changed) as s:
+            await wait_until(lambda: worker.probes > 1)
             policy = s.dispatcher._decisions._policy
             assert policy.load_exchange.slots_of(policy.workers["s-0"]) == slots
             assert (await s.send_request())[0] == 200
@@ -395,13 +396,13 @@
         (st.ends_with("failed", load={"x0": 7}), 7),
         (st.status(500, "Server-Load: inflight=0,queue=0,x0=7"), 7),
         (st.status(503, "Not-Started: 1", "Server-Load: x0=7,util=0.61"), 7),
-        (st.ends_with("done", result="page"), 4),  # none told: as if never heard
-        (st.ends_with("done", result="page", load={"x0": "many"}), 4),  # and what is unsound costs no answer
+        (st.ends_with("done", result="page"), 4),  # no report: the number that is assumed at first
+        (st.ends_with("done", result="page", load={"x0": "many"}), 4),  # an invalid report is ignored
         (st.ends_with("done", result="page", load=[[7]]), 4),
         (st.status(500, "Server-Load: x0=nan"), 4),
     ],
 )
-def test_load_told_with_an_answer_reaches_the_decisions(tmp_path: Path, script: Script, slots: int) -> None:
+def test_load_in_a_response_reaches_the_policy(tmp_path: Path, script: Script, slots: int) -> None:
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(script, st.serves)) as s:
             assert (await s.send_request("/page"))[0] == 200
@@ -424,7 +425,7 @@
         (b"", None, None),
     ],
 )
-def test_tenant_and_hint_reach_the_decisions_and_cost_no_answer(
+def test_tenant_and_work_hint_reach_the_policy_and_invalid_ones_are_ignored(
     tmp_path: Path, headers: bytes, tenant: str | None, hint: int | None
 ) -> None:
     async def story() -> None:
@@ -432,20 +433,20 @@
             policy, seen = s.dispatcher._decisions._policy, list[api.Request]()
             handle = policy.event_handlers[api.Request]
 
-            def watched(request: api.Request) -> None:
+            def recording(request: api.Request) -> None:
                 seen.append(request)
                 handle(request)
 
-            policy.event_handlers[api.Request] = watched
+            policy.event_handlers[api.Request] = recording
             assert (await s.send_request(more=headers))[0] == 200
             assert [(r.tenant, r.work_hint) for r in seen] == [(tenant, hint)]
 
     play(story())
 
 
-def test_discovery_that_all_ask_is_asked_again_spread_and_the_less_the_slower_it_is() -> None:
+def test_calls_to_a_shared_discovery_are_spread_and_rarer_the_slower_it_is() -> None:
     second = timedelta(seconds=1)
-    agent = RetryPacer(shared_service=False, seed=1)
+    agent = RetryPacer(shared_service=False, seed=1)  # an agent on this machine is called at a constant rate
     assert {agent.delay_after(n * second, succeeded=False) for n in range(5)} == {RETRY_DELAY}
     firsts = [RetryPacer(True, seed).delay_after(second / 10, succeeded=True) for seed in range(200)]
     assert len({round(first / RETRY_DELAY, 1) for first in firsts}) > 15 and max(firsts) <= 2 * RETRY_DELAY
@@ -457,52 +458,54 @@
         )
         assert (
             pace.delay_after(second / 10, succeeded=True) <= 2 * RETRY_DELAY
-        )  # one word, and it is well again
+        )  # one success resets the delay
     slow = [RetryPacer(True, seed).delay_after(second, succeeded=True) for seed in range(200)]
     assert sum(slow, timedelta()) > 4 * sum(firsts, timedelta())
 
 
-def test_discovery_that_all_ask_may_take_its_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An agent that does not answer at once is down. A service is full: asking anew would fill it more."""
+def test_shared_discovery_may_respond_later_than_an_agent(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """An agent that does not respond at once is down; a shared service is busy, and calls would add to it."""
     monkeypatch.setattr(destinations, "FIRST_RESPONSE_TIMEOUT", timedelta(milliseconds=30))
     monkeypatch.setattr(destinations, "RETRY_DELAY", timedelta(milliseconds=1))
 
     async def story() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            asked = {True: 0, False: 0}
-            for service in asked:
+            calls = {True: 0, False: 0}  # to a shared service, and to an agent
+            for service in calls:
 
-                async def silent(
+                async def never_responds(
                     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, service: bool = service
                 ) -> None:
                     await st.read_message(reader)
-                    asked[service] += 1
+                    calls[service] += 1
                     await reader.read()
                     writer.close()
 
-                server = await asyncio.start_server(silent, "127.0.0.1", 0)
+                server = await asyncio.start_server(never_responds, "127.0.0.1", 0)
                 stack.callback(server.close)
                 where = destinations.Address(*server.sockets[0].getsockname())
                 watched = destinations.Destinations(
                     Clock(),
                     timedelta(seconds=1),
-                    lambda told, kept: None,
+                    lambda update, is_cached: None,
                     where,
                     shared_service=service,
                     seed=1,
                 )
                 watched.start()
                 stack.push_async_callback(watched.close)
-            await wait_until(lambda: asked[False] >= 4)
-            assert asked[True] == 1
+            await wait_until(lambda: calls[False] >= 4)
+            assert calls[True] == 1
 
     play(story())
 
 
-def test_endpoint_told_to_drain_while_connecting_gets_nothing() -> None:
+def test_worker_that_drains_while_its_connection_opens_is_sent_nothing() -> None:
     async def story() -> None:
-        endpoint, clock = ScriptedWorker(st.serves), Clock()
-        async with st.listening(endpoint) as address:
+        worker, clock = ScriptedWorker(st.serves), Clock()
+        async with st.listening(worker) as address:
             pool = EndpointPool(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
             result = await pool.attempt(
                 WorkerRequest("a", b"/page", "api", None, b""),
@@ -514,28 +517,28 @@
                 is_retry_safe=True,
             )
             await pool.close()
-            assert (result.outcome, endpoint.paths) == (AttemptOutcome.NOT_SENT, [])
+            assert (result.outcome, worker.paths) == (AttemptOutcome.NOT_SENT, [])
 
     play(story())
 
 
-def test_sweep_leaves_no_connection_in_two_hands(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new list made by the sweep left the old one in the hands of who was just taking from it."""
+def test_sweep_lets_no_two_requests_take_one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """If the sweep replaced the list of idle connections, a request that takes one would use the old list."""
     monkeypatch.setattr(endpoints, "SWEEP_INTERVAL", timedelta(0))
 
     async def story() -> None:
-        endpoint, clock = ScriptedWorker(st.serves), Clock()
-        async with st.listening(endpoint) as address:
+        worker, clock = ScriptedWorker(st.serves), Clock()
+        async with st.listening(worker) as address:
             pool = EndpointPool(clock, timedelta(seconds=1), timedelta(seconds=60), 4)
-            outgoing = WorkerRequest("a", b"/page", "api", None, b"")
+            worker_request = WorkerRequest("a", b"/page", "api", None, b"")
             last = clock.now() + timedelta(seconds=LIMIT)
-            words = (outgoing, address, last, lambda: True, lambda stage: None, lambda: None, True)
-            tries = (pool.attempt(*words) for _ in range(3))
-            assert {result.outcome for result in await asyncio.gather(*tries)} == {AttemptOutcome.SERVED}
+            arguments = (worker_request, address, last, lambda: True, lambda stage: None, lambda: None, True)
+            attempts = (pool.attempt(*arguments) for _ in range(3))
+            assert {result.outcome for result in await asyncio.gather(*attempts)} == {AttemptOutcome.SERVED}
             assert len(pool._idle[address]) == 3
             sweep = asyncio.create_task(pool.sweep())
             await asyncio.sleep(0)
-            pool._idle[address][-1].idle_since = EPOCH  # too old: `_idle_one` closes it and goes on
+            pool._idle[address][-1].idle_since = EPOCH  # too old: `_take_idle` closes it
             first, second = await pool._take_idle(address), await pool._take_idle(address)
             assert first and second and first is not second
             sweep.cancel()
@@ -546,62 +549,62 @@
     play(story())
 
 
-def test_timer_that_fires_a_hair_early_still_counts_as_due() -> None:
-    """The module waits for the microsecond it named: told of an earlier one it sets no further timer."""
+def test_timer_that_fires_slightly_early_counts_as_due() -> None:
+    """The policy expects the exact microsecond that it set; an earlier one would end its timers."""
 
     class Stopped(Clock):
         def now(self) -> datetime:
             return self._wall_start
 
     async def story() -> None:
-        decisions, told = PolicyDriver(api.Settings(classes=()), 1, Stopped()), list[tuple[int, api.Event]]()
+        driver, events = PolicyDriver(api.Settings(classes=()), 1, Stopped()), list[tuple[int, api.Event]]()
 
         def handle(now: int, event: api.Event) -> list[api.Action]:
-            told.append((now, event))
-            return [api.SetTimer(5, 1000)] if len(told) == 1 else []
+            events.append((now, event))
+            return [api.SetTimer(5, 1000)] if len(events) == 1 else []
 
-        decisions._policy.handle = handle  # type: ignore[method-assign]
-        decisions.handle_event(api.RequestAbandoned(1))
-        await wait_until(lambda: len(told) == 2)
-        assert told[1] == (told[0][0] + 1000, api.Timer(5))
+        driver._policy.handle = handle  # type: ignore[method-assign]
+        driver.handle_event(api.RequestAbandoned(1))
+        await wait_until(lambda: len(events) == 2)
+        assert events[1] == (events[0][0] + 1000, api.Timer(5))
 
     play(story())
 
 
-def test_sigterm_hands_over_and_loses_nothing(tmp_path: Path) -> None:
+def test_sigterm_lets_all_requests_finish(tmp_path: Path) -> None:
     async def story() -> None:
-        endpoint = ScriptedWorker(st.never_responds, st.serves)
-        async with st.listening(endpoint) as address, st.listening(st.Discovery()) as discovery:
+        worker = ScriptedWorker(st.never_responds, st.serves)
+        async with st.listening(worker) as address, st.listening(st.Discovery()) as discovery:
             listed = [st.target_entry("s-0", address)]
             async with st.dispatcher_process(st.environment(tmp_path, listed, discovery)) as (child, s, _):
                 assert child.stderr
                 idle = await s.connect()
                 first = asyncio.ensure_future(s.send_request())
-                await wait_until(lambda: len(endpoint.paths) == 1)
+                await wait_until(lambda: len(worker.paths) == 1)
                 child.send_signal(signal.SIGTERM)
                 while b" is shutting down" not in await child.stderr.readline():
                     pass
-                assert (await s.send_request())[0] == 200  # a connection that came after the signal
-                # There may be nobody else to go to yet: who has a connection is served on it.
+                assert (await s.send_request())[0] == 200  # on a connection opened after the signal
+                # There may be no other dispatcher to turn to yet, so open connections are served.
                 for _ in range(2):
                     assert (await s.exchange(idle, s.request()))[0] == 200
-                assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""  # the idle one is let go
+                assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""  # the idle connection is closed
                 assert child.returncode is None
-                endpoint.resume.set()
+                worker.resume.set()
                 assert (await first)[0] == 200
                 assert await asyncio.wait_for(child.wait(), LIMIT) == 0
 
     play(story())
 
 
-def spoilt(path: str, value: object) -> Callable[[dict[str, Any]], None]:
-    def spoil(data: dict[str, Any]) -> None:
+def replace_item(path: str, value: object) -> Callable[[dict[str, Any]], None]:
+    def replace(data: dict[str, Any]) -> None:
         *parts, last = path.split(".")
         for part in parts:
             data = data[int(part)] if isinstance(data, list) else data[part]
         data[last] = value
 
-    return spoil
+    return replace
 
 
 @pytest.mark.parametrize(
@@ -620,7 +623,7 @@
         ("settings.bounds.conn-idle", "long", "settings.bounds.conn-idle"),
     ],
 )
-def test_bad_configuration_is_one_line_that_names_the_key(
+def test_invalid_configuration_is_reported_in_one_line_with_the_key(
     tmp_path: Path,
     path: str,
     value: object,
@@ -631,7 +634,7 @@
     environ = st.environment(tmp_path, [], "127.0.0.1:1")
     place = Path(environ["PROXY_CONFIG"])
     data = json.loads(place.read_text())
-    spoilt(path, value)(data)
+    replace_item(path, value)(data)
     place.write_text(json.dumps(data))
     monkeypatch.setattr(os, "environ", environ)
     assert program.main() == 2
