--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -32,14 +32,14 @@
 log = logging.getLogger(__name__)
 
 # After SIGTERM, SIGKILL follows at the earliest after the longest deadline of a job class, of which at most
-# `MAX_COUNTED_DEADLINE` counts, plus `KILL_DELAY`. The two margins count back from that moment.
+# `MAX_COUNTED_DEADLINE` counts, plus `KILL_DELAY`. The margins below count back from that moment.
 MAX_COUNTED_DEADLINE, KILL_DELAY = timedelta(seconds=3), timedelta(milliseconds=700)
 # Requests that came after SIGTERM have their responses by then.
 LAST_RESPONSE_MARGIN = timedelta(milliseconds=250)
-# Clients' connections are closed from then on, since SIGKILL would cut off jobs that start later.
-CLIENT_CLOSE_MARGIN = timedelta(milliseconds=1400)
 UP_TO_DATE_TIMEOUT = timedelta(seconds=4)  # a new process must be ready in 6 s, even if discovery is down
 HANDOVER_TIMEOUT = timedelta(seconds=4.5)  # how long a new process waits for the jobs of the previous one
+# Clients' connections are closed from then on, since SIGKILL would cut off jobs that start later.
+CLIENT_CLOSE_MARGIN = timedelta(milliseconds=1400)
 BODY_MEMORY_DIVISOR = 8  # this fraction of the memory is for request bodies; each is held about twice
 
 
@@ -74,21 +74,25 @@
 
     async def start(self) -> None:
         """Start listening, after the dispatcher does."""
+        ...
 
     def reload(self) -> None:
         """Read the extension's settings again."""
+        ...
 
     def handed_over(self) -> None:
         """Stop listening, since the next process has taken over."""
 
     def begin_shutdown(self) -> None:
         """Prepare for the end of the process, which is about to drain."""
+        ...
 
     async def wait_drained(self) -> None:
         """Return once no request that came through the extension is open."""
 
     async def close(self) -> None:
         """Close all connections and end all tasks."""
+        ...
 
 
 class Dispatcher:
--- a/rookwood/net/request.py
+++ b/rookwood/net/request.py
@@ -133,11 +133,13 @@
 
     def applies_to(self, request: InboundRequest) -> bool:
         """Whether the request has to be guarded."""
+        ...
 
     async def serve_once(
         self, request: InboundRequest, run: Callable[[RequestProgress], Awaitable[Response]]
     ) -> Response:
         """Run the request, or return the response to an earlier one with its key."""
+        ...
 
 
 class Forwarding(Protocol):
@@ -145,6 +147,7 @@
 
     def forwarder_for(self, request: InboundRequest) -> RequestForwarder:
         """Return the forwarder of a new request."""
+        ...
 
 
 class RequestHandler:
