--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -40,7 +40,7 @@
 HANDOVER_TIMEOUT = timedelta(seconds=4.5)  # how long a new process waits for the jobs of the previous one
 # Clients' connections are closed from then on, since SIGKILL would cut off jobs that start later.
 CLIENT_CLOSE_MARGIN = timedelta(milliseconds=1400)
-BODY_MEMORY_DIVISOR = 8  # this fraction of the memory is for request bodies; each is held about twice
+BODY_MEMORY_DIVISOR = 8  # request bodies may take an eighth of the memory; each is held about twice
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookwood/net/inbound.py
+++ b/rookwood/net/inbound.py
@@ -41,9 +41,7 @@
 LINGER_TIMEOUT = timedelta(milliseconds=500)  # lets a client that is still sending read its response
 MAX_LINGER_BYTES = 512 * 1024  # read and dropped meanwhile; a client that sends more is cut off
 MAX_READ_AHEAD = 128 * 1024  # bytes kept while a request is served; clients send one request at a time
-DISCARD_PAUSE = timedelta(
-    milliseconds=2
-)  # between reads of dropped data: at 64 KiB each, some 30 MB a second
+DISCARD_PAUSE = timedelta(milliseconds=2)  # between reads of dropped data: 64 KiB each, some 30 MB a second
 POLL_INTERVAL = timedelta(milliseconds=20)
 ACCEPT_DELAY = timedelta(milliseconds=100)  # until the handler of a connection just accepted has begun
 NEW_CLIENT_GRACE = timedelta(milliseconds=300)  # for the first bytes of a new connection to arrive
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform asks of `run`: one dynamically linked process; no other program, no Unix socket."""
+"""Requirements of the platform on `run`: one dynamically linked process, no other program, no Unix socket."""
 
 from __future__ import annotations
 
@@ -37,14 +37,16 @@
 """
 
 
-def test_run_ends_in_one_dynamically_linked_process() -> None:
+def test_run_command_becomes_a_single_dynamically_linked_process() -> None:
     deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())
     assert re.fullmatch(r"exec \.venv/bin/python -m rookwood", deploy["run"])
     with open(os.path.realpath(sys.executable), "rb") as program:
-        assert b"/ld-" in program.read(8192)  # names its loader, as what is linked statically does not
+        assert b"/ld-" in program.read(
+            8192
+        )  # the path of the dynamic loader, which a statically linked program lacks
 
 
-def test_both_roles_name_the_port_and_path_at_which_the_programs_tell_their_figures() -> None:
+def test_both_roles_name_the_port_and_path_at_which_the_programs_serve_their_metrics() -> None:
     deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "system.toml").read_text())
     named = {name: role["metrics"] for name, role in deploy["roles"].items()}
     expected = f"{METRICS_PORT}{METRICS_PATH}"
@@ -59,14 +61,14 @@
     assert any(pin.startswith("prometheus-client==") for pin in pinned)
 
 
-def test_program_serves_where_other_programs_and_unix_sockets_are_refused(tmp_path: Path) -> None:
+def test_program_serves_where_other_programs_and_unix_sockets_are_forbidden(tmp_path: Path) -> None:
     async def story() -> None:
         worker = ScriptedWorker(st.serves)
         async with st.listening(worker) as address, st.listening(st.Discovery()) as discovery:
             environ = st.environment(tmp_path, [st.target_entry("s-0", address)], discovery)
-            environ["TMPDIR"] = str(tmp_path)  # where it would offer its listener
-            async with st.dispatcher_process(environ, ["-c", GUARD]) as (child, s, said):
-                refused = [line for line in said if line.startswith("refused")]
+            environ["TMPDIR"] = str(tmp_path)  # where it would offer its listener on a Unix socket
+            async with st.dispatcher_process(environ, ["-c", GUARD]) as (child, s, log_lines):
+                refused = [line for line in log_lines if line.startswith("refused")]
                 assert (await s.send_request())[0] == 200
                 assert {line.split()[1] for line in refused} <= {"socket.connect", "socket.bind"}
                 child.send_signal(signal.SIGTERM)
@@ -75,19 +77,19 @@
     play(story())
 
 
-def test_where_there_are_no_unix_sockets_an_upgrade_alone_is_rougher(
+def test_without_unix_sockets_only_the_handover_is_missing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The socket was made before the errors were caught: where that is refused, no dispatcher started."""
+    """An uncaught error at the creation of the socket would prevent the start where that is forbidden."""
 
     def refused(*_: object) -> socket.socket:
         raise OSError("not permitted")
 
     async def story() -> None:
-        one = Handover(tmp_path / "sock", lambda: b"", lambda: None, lambda: None)
+        handover = Handover(tmp_path / "sock", lambda: b"", lambda: None, lambda: None)
         monkeypatch.setattr(socket, "socket", refused)
-        assert await one.inherit_listener(Address("127.0.0.1", 1)) is None
+        assert await handover.inherit_listener(Address("127.0.0.1", 1)) is None
         monkeypatch.undo()
-        await one.close()
+        await handover.close()
 
     play(story())
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -134,9 +134,7 @@
                 return accepts(uid)
 
             monkeypatch.setattr(s.dispatcher._destinations, "accepts", disconnects)
-            if (
-                attempt == 2
-            ):  # low trust: the worker is chosen only once the other one has rejected the request
+            if attempt == 2:  # with low trust, it is chosen only once the other one has rejected the request
                 s.dispatcher._decisions._policy.workers["s-1"].trust = 0.05
             client.write(s.request("/unlock"))
             await wait_until(lambda: client.socket.fileno() == -1)
@@ -281,10 +279,8 @@
             before = stream._read_times[-1]
             client.write(s.request("/unlock", timeout=3.0) + s.request("/unlock", timeout=8.0))
             await wait_until(lambda: stream._read_times[-1] != before)
-            stream._read_times[-1] = (
-                stream._read_times[-1][0],
-                stream._read_times[-1][1] - 4,
-            )  # as if it had arrived 4 s ago
+            # As if it had arrived 4 s ago.
+            stream._read_times[-1] = (stream._read_times[-1][0], stream._read_times[-1][1] - 4)
             worker.resume.set()
             close_clients_now(s)
             statuses = [answer[:3] for answer in (await client.read_to_end()).split(b"HTTP/1.1 ")[1:]]
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -1,4 +1,4 @@
-"""Running the dispatcher day by day: the second address, its figures, drains. One story for each failure."""
+"""Operating a dispatcher: the management address, stats, drains and upgrades."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
 )
 from tests.test_stories import READY, play
 
-MGMT = "127.0.0.1:0"
+MANAGEMENT_ADDRESS = "127.0.0.1:0"
 
 
 async def call(s: DispatcherFixture, path: str, method: str = "GET") -> tuple[int, str]:
+    """Send a management call; returns the status and the body of the response."""
     assert s.dispatcher.management_port
     reader, writer = await asyncio.open_connection("127.0.0.1", s.dispatcher.management_port)
     writer.write(f"{method} /ops/{path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
@@ -42,6 +43,7 @@
 
 
 async def stats(s: DispatcherFixture) -> dict[str, str]:
+    """The values of /ops/stats, each with its type, by name."""
     status, text = await call(s, "stats")
     assert status == 200
     return dict(line.removeprefix("dispatcher.").split(":") for line in text.splitlines())
@@ -58,22 +60,22 @@
         ("BREW coffee", "readiness", 400),
     ],
 )
-def test_second_address_answers_each_call(tmp_path: Path, method: str, path: str, status: int) -> None:
+def test_management_address_answers_each_call(tmp_path: Path, method: str, path: str, status: int) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MANAGEMENT_ADDRESS) as s:
             assert (await call(s, path, method))[0] == status
 
     play(story())
 
 
 @pytest.mark.parametrize("data", [b"", b"GET /ops/sta", b"POST /ops/drain/start HTTP/1.1\r\nHost: x\r\n"])
-def test_stalled_callers_delay_nobody_and_are_closed(
+def test_stalled_management_connections_delay_no_call_and_are_closed(
     tmp_path: Path, data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """More of them than there is room for, so the oldest go at once; the rest when their time is up."""
+    """There are more of them than allowed: the oldest are closed at once, the others on their timeout."""
 
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MANAGEMENT_ADDRESS) as s:
             assert s.dispatcher.management_port
             stalled: list[Streams] = []
             for _ in range(2 * s.dispatcher._management._limits.management_connections):
@@ -87,24 +89,26 @@
             for reader, writer in stalled:
                 assert await asyncio.wait_for(reader.read(), LIMIT) == b""
                 writer.close()
-            assert (await call(s, "readiness"))[0] == 200  # and nobody was drained by half a call
+            assert (await call(s, "readiness"))[0] == 200  # an incomplete call started no drain
 
     play(story())
 
 
-def test_figures_tell_what_became_of_jobs(tmp_path: Path) -> None:
+def test_stats_count_the_outcomes_of_jobs(tmp_path: Path) -> None:
     async def story() -> None:
         scripts = [st.serves, st.status(500), st.status(500), st.status(503, "Not-Started: 1"), st.serves]
         worker = ScriptedWorker(*scripts, st.never_responds)
-        async with start_dispatcher(tmp_path, worker, mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, worker, mgmt=MANAGEMENT_ADDRESS) as s:
             first = await stats(s)
             assert {v for k, v in first.items() if k.startswith("transactions.")} == {"0|c"}
             assert len([k for k in first if k.startswith("transactions.")]) == 8
             gauges = [first[name] for name in ("current", "cluster_size", "cluster_unhealthy")]
             assert gauges == ["0|g", "1|g", "0|g"]
-            asked = [(await s.send_request(path))[0] for path in ("/page", "/unlock", "/nothing", "/unlock")]
-            assert asked == [200, 502, 404, 502]
-            assert (await s.send_request("/page"))[0] == 200  # turned away once, so written twice
+            statuses = [
+                (await s.send_request(path))[0] for path in ("/page", "/unlock", "/nothing", "/unlock")
+            ]
+            assert statuses == [200, 502, 404, 502]
+            assert (await s.send_request("/page"))[0] == 200  # rejected by the worker once, so sent twice
             reader, writer = await s.connect()
             writer.write(s.request("/page"))
             await wait_until(lambda: len(worker.paths) == 6)
@@ -113,17 +117,19 @@
             assert found["transactions.unlock.errored"] == "2|c"
             assert (found["transactions.page.sends"], found["transactions.unlock.sends"]) == ("4|c", "2|c")
             assert found["current"] == "1|g"
-            writer.close()  # who leaves is no longer counted as there
+            writer.close()  # the request of a client that disconnects is no longer counted as open
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
             assert (await stats(s))["current"] == "0|g"
 
     play(story())
 
 
-def test_figures_count_refusals_that_the_decisions_never_see(tmp_path: Path) -> None:
+def test_stats_count_rejections_that_do_not_reach_the_policy(tmp_path: Path) -> None:
     async def story() -> None:
         limits = {"sockets": 256, "memory_mb": 1}
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MGMT, limits=limits) as s:
+        async with start_dispatcher(
+            tmp_path, ScriptedWorker(st.serves), mgmt=MANAGEMENT_ADDRESS, limits=limits
+        ) as s:
             s.dispatcher._inbound._body_bytes_left = 0
             assert (await s.send_request("/page"))[0] == 503
             assert (await stats(s))["transactions.page.deferred"] == "1|c"
@@ -131,10 +137,10 @@
     play(story())
 
 
-def test_cluster_figures_come_from_the_decisions(tmp_path: Path) -> None:
+def test_cluster_stats_come_from_the_policy(tmp_path: Path) -> None:
     async def story() -> None:
         workers = [ScriptedWorker(st.serves) for _ in range(4)]
-        async with start_dispatcher(tmp_path, *workers, mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, *workers, mgmt=MANAGEMENT_ADDRESS) as s:
             listed = [st.target_entry(f"s-{n}", e.address) for n, e in enumerate(workers)]
             s.discovery.send_update(2, listed[0] | {"state": "draining"}, listed[1] | {"state": "removed"})
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
@@ -145,22 +151,22 @@
     play(story())
 
 
-def test_drain_empties_connections_and_its_end_brings_them_back(
+def test_drain_closes_connections_and_its_end_allows_them_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(phase, "CLOSE_DELAY", timedelta(hours=1))  # the story says when it is over
+    monkeypatch.setattr(phase, "CLOSE_DELAY", timedelta(hours=1))  # the test sets the end of the delay
     monkeypatch.setattr(phase, "REJECT_DELAY", timedelta(hours=1))
 
     async def story() -> None:
         worker = ScriptedWorker(st.serves, st.never_responds)
-        async with start_dispatcher(tmp_path, worker, mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, worker, mgmt=MANAGEMENT_ADDRESS) as s:
             idle, busy = await s.connect(), await s.connect()
             assert (await s.exchange(idle, READY))[0] == 200
             assert (await s.exchange(busy, s.request()))[0] == 200
             assert [await call(s, "drain/start", "POST") for _ in range(2)] == [(200, "draining\n")] * 2
             assert (await call(s, "readiness"))[0] == 503
             assert (await s.exchange(await s.connect(), READY))[0] == 503
-            # The front has not heard yet: connections are served as ever, and nothing is lost later on.
+            # The load balancer may not have reacted yet, so connections are still served.
             busy[1].write(s.request())
             await wait_until(lambda: len(worker.paths) == 2)
             s.dispatcher._service._closing_from = s.dispatcher._clock.now()
@@ -180,9 +186,9 @@
     play(story())
 
 
-def test_leaving_is_final_also_for_the_end_of_a_drain(tmp_path: Path) -> None:
+def test_shutdown_is_final_even_if_a_drain_is_ended(tmp_path: Path) -> None:
     async def story() -> None:
-        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MGMT) as s:
+        async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MANAGEMENT_ADDRESS) as s:
             await call(s, "drain/start", "POST")
             s.discovery.send_update(2)  # what else goes on goes on amid a drain
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
@@ -201,28 +207,28 @@
 async def upgrade(
     folder: Path, *workers: ScriptedWorker, **changes: Any
 ) -> AsyncIterator[tuple[DispatcherFixture, DispatcherFixture, st.Discovery]]:
-    """The old one, the new one that waits for its list, and the discovery that is to give it."""
-    discovery, place = st.Discovery(), {"TMPDIR": str(folder)}
-    changes["mgmt"] = MGMT
+    """The old process, the new one that waits for its list, and the discovery that has to send it."""
+    discovery, socket_folder = st.Discovery(), {"TMPDIR": str(folder)}
+    changes["mgmt"] = MANAGEMENT_ADDRESS
     async with (
         start_dispatcher(folder, *workers, tmpdir=folder, **changes) as old,
-        st.listening(discovery) as where,
+        st.listening(discovery) as discovery_address,
     ):
         changes["listen"] = f"127.0.0.1:{old.port}"
-        new = Dispatcher(load(st.environment(folder, [], where, **changes) | place))
+        new = Dispatcher(load(st.environment(folder, [], discovery_address, **changes) | socket_folder))
         starting = asyncio.create_task(new.start())
         try:
             await wait_until(lambda: len(discovery.targets) == 1)
-            both = DispatcherFixture(new, old.port, discovery)
-            both._request_numbers = old._request_numbers
-            yield old, both, discovery
+            new_fixture = DispatcherFixture(new, old.port, discovery)
+            new_fixture._request_numbers = old._request_numbers
+            yield old, new_fixture, discovery
         finally:
             starting.cancel()
             await asyncio.gather(starting, return_exceptions=True)
             await new.close()
 
 
-def test_upgrade_loses_no_connection_and_the_old_process_ends_what_it_has(tmp_path: Path) -> None:
+def test_upgrade_loses_no_connection_and_the_old_process_finishes_its_requests(tmp_path: Path) -> None:
     async def story() -> None:
         worker = ScriptedWorker(st.serves, st.never_responds, st.serves)
         async with upgrade(tmp_path, worker) as (old, new, discovery):
@@ -230,28 +236,33 @@
             assert (await old.exchange(idle, old.request()))[0] == 200
             busy[1].write(text := old.request())
             await wait_until(lambda: len(worker.paths) == 2)
-            # No yes before the list is current; the old one serves.
+            # The new process is not ready before it has the current list; the old one serves.
             assert (await call(new, "readiness"))[0] == 503
             assert (await old.exchange(await old.connect(), READY))[0] == 200
             listed = st.target_entry("s-0", worker.address)
-            old.dispatcher._inbound._server.close()  # type: ignore[union-attr]  # waits in the queue now:
+            old.dispatcher._inbound._server.close()  # type: ignore[union-attr]  # from now on clients wait
             waiting = await old.connect()
             waiting[1].write(old.request("/unlock"))
             discovery.send_update(7, listed, whole=True)
             await wait_until(lambda: new.dispatcher._service.is_ready)
             assert (await asyncio.wait_for(waiting[0].readline(), LIMIT)).startswith(b"HTTP/1.1 200")
-            assert new.dispatcher._stats.text().count(":1|c") == 2  # answered and sent there
+            assert (
+                new.dispatcher._stats.text().count(":1|c") == 2
+            )  # one request served and sent by the new process
             await wait_until(lambda: old.dispatcher._service.is_handed_over)
-            assert new.dispatcher._decisions._policy.firsts["page", None] > 0.9  # what was learned before
+            assert (
+                new.dispatcher._decisions._policy.firsts["page", None] > 0.9
+            )  # the learned state was passed on
             assert await asyncio.wait_for(idle[0].read(), LIMIT) == b""
             assert (await call(old, "readiness"))[0] == 503
-            assert (
-                new.dispatcher._endpoints.max_connections == old.dispatcher._endpoints.max_connections
-            )  # half for each
-            # Its jobs still run, and a yes would be the sign to end it.
+            # Each process may open half of the connections.
+            assert new.dispatcher._endpoints.max_connections == old.dispatcher._endpoints.max_connections
+            # Jobs of the old process still run, and it would be ended once the new one reports readiness.
             assert await call(new, "readiness") == (503, "taking over\n")
             assert (await new.exchange(await new.connect(), READY))[0] == 200
-            assert (await new.exchange(await new.connect(), text))[0] == 409  # nor do they run twice
+            assert (await new.exchange(await new.connect(), text))[
+                0
+            ] == 409  # a job of the old process does not run twice
             worker.resume.set()
             assert b"late" in await asyncio.wait_for(busy[0].read(), LIMIT)
             await asyncio.wait_for(old.dispatcher.wait_drained(), LIMIT)
@@ -265,8 +276,8 @@
     play(story())
 
 
-def test_next_process_that_dies_before_it_took_over_costs_the_old_one_nothing(tmp_path: Path) -> None:
-    """It has the listening socket already, and was just waiting for its list."""
+def test_new_process_that_ends_before_the_takeover_leaves_the_old_one_untouched(tmp_path: Path) -> None:
+    """It has received the listening socket already, and waits for its list."""
 
     async def story() -> None:
         async with upgrade(tmp_path, ScriptedWorker(st.serves)) as (old, new, _):
@@ -280,8 +291,8 @@
     play(story())
 
 
-def test_upgrade_hands_on_the_address_where_hints_are_heard(tmp_path: Path) -> None:
-    """The old one kept it for as long as its jobs ran, and the new one decided deaf and dumb."""
+def test_upgrade_passes_on_the_socket_that_receives_hints(tmp_path: Path) -> None:
+    """If the old process kept the socket until its jobs end, the new one would get no hints until then."""
 
     async def story() -> None:
         worker = ScriptedWorker(st.never_responds, st.serves)
@@ -289,27 +300,27 @@
         peer.bind(("127.0.0.1", 0))
         peer.settimeout(LIMIT)
         free_port = find_free_port("127.0.0.1", kind=socket.SOCK_DGRAM)
-        places = [f"127.0.0.1:{port}" for port in (free_port, peer.getsockname()[1])]
+        addresses = [f"127.0.0.1:{port}" for port in (free_port, peer.getsockname()[1])]
         settings = SETTINGS | {"balancers": 2, "bounds": SETTINGS["bounds"] | {"peers": True}}
-        changes = {"settings": settings, "peer_listen": places[0], "peers": places}
+        changes = {"settings": settings, "peer_listen": addresses[0], "peers": addresses}
         async with upgrade(tmp_path, worker, **changes) as (old, new, discovery):
             old_peers, new_peers = old.dispatcher._peers, new.dispatcher._peers
             busy = await old.connect()
             busy[1].write(old.request())
-            assert len(await asyncio.to_thread(peer.recv, 512)) == 4  # word of that job
-            host, _, port = places[0].partition(":")
+            assert len(await asyncio.to_thread(peer.recv, 512)) == 4  # a hint about that job
+            host, _, port = addresses[0].partition(":")
             discovery.send_update(7, st.target_entry("s-0", worker.address), whole=True)
             await wait_until(lambda: old.dispatcher._service.is_handed_over)
-            for serial in range(20):  # all of it reaches the new one alone, while the old one still runs
-                peer.sendto(b"odd" + bytes([serial]), (host, int(port)))
+            for number in range(20):  # all of them reach only the new process, while the old one still runs
+                peer.sendto(b"odd" + bytes([number]), (host, int(port)))
             await wait_until(lambda: new_peers.dropped.total() == 20)
             assert not old_peers.dropped
-            (held,) = new.dispatcher._decisions._policy.workers.values()
-            assert sum(slots for _, _, slots in held.told) == 1  # the old one's job is in the books
+            (state,) = new.dispatcher._decisions._policy.workers.values()
+            assert sum(slots for _, _, slots in state.told) == 1  # the job of the old process is counted
             assert (await new.send_request())[0] == 200
             sent = [await asyncio.to_thread(peer.recv, 512) for _ in range(2)]
             worker.resume.set()
-            ended = await asyncio.to_thread(peer.recv, 512)  # and the old one still tells of its end
+            ended = await asyncio.to_thread(peer.recv, 512)  # the old process still sends hints
             assert ended == sent[1]
             busy[1].close()
         peer.close()
@@ -317,10 +328,10 @@
     play(story())
 
 
-def test_upgrade_does_not_wait_for_the_old_process_for_ever(
+def test_upgrade_waits_for_the_old_process_only_for_a_limited_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery is down as well: the list stays as old as the file, and the yes comes all the same."""
+    """Discovery is down as well; the new process becomes ready with the cached list."""
     monkeypatch.setattr(dispatcher, "UP_TO_DATE_TIMEOUT", timedelta(milliseconds=50))
     monkeypatch.setattr(dispatcher, "HANDOVER_TIMEOUT", timedelta(milliseconds=100))
 
@@ -337,7 +348,7 @@
     play(story())
 
 
-def test_process_told_to_end_before_it_took_over_leaves_the_old_one_in_place(tmp_path: Path) -> None:
+def test_new_process_that_shuts_down_before_the_takeover_leaves_the_old_one_in_place(tmp_path: Path) -> None:
     async def story() -> None:
         async with upgrade(tmp_path, ScriptedWorker(st.serves)) as (old, new, discovery):
             new.dispatcher.begin_shutdown()
@@ -350,11 +361,11 @@
     play(story())
 
 
-def test_second_address_in_use_is_an_error_not_shared(tmp_path: Path) -> None:
-    """Calls would go to either process, as the kernel likes."""
+def test_management_address_in_use_is_an_error_and_not_shared(tmp_path: Path) -> None:
+    """Otherwise the kernel would choose which process receives a call."""
 
     async def story() -> None:
-        async with start_dispatcher(tmp_path, mgmt=MGMT) as first:
+        async with start_dispatcher(tmp_path, mgmt=MANAGEMENT_ADDRESS) as first:
             with pytest.raises(OSError):
                 async with start_dispatcher(tmp_path, mgmt=f"127.0.0.1:{first.dispatcher.management_port}"):
                     pass
@@ -363,7 +374,7 @@
 
 
 @pytest.mark.parametrize("text", ["{}", "[]", "", '{"ids": 3}', '{"ids": [], "decisions": {"form": 99}}'])
-def test_unsound_memory_of_the_old_process_stops_no_start(tmp_path: Path, text: str) -> None:
+def test_invalid_learned_state_does_not_prevent_a_start(tmp_path: Path, text: str) -> None:
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.serves)) as s:
             s.dispatcher._restore_learned_state(text.encode())
@@ -373,29 +384,29 @@
 
 
 @pytest.mark.parametrize("left", ["nothing", "a file", "a dead socket", "a process that hangs"])
-def test_what_a_process_left_behind_stops_no_start(
+def test_remains_of_an_earlier_process_do_not_prevent_a_start(
     tmp_path: Path, left: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(handover, "RESPONSE_TIMEOUT", timedelta(milliseconds=100))
-    place = tmp_path / "rookwood-n0.sock"
+    socket_path = tmp_path / "rookwood-n0.sock"
 
     async def story() -> None:
         with socket.socket(socket.AF_UNIX) as peer:
             if left == "a file":
-                place.write_text("")
+                socket_path.write_text("")
             elif left != "nothing":
-                peer.bind(str(place))
+                peer.bind(str(socket_path))
             if left == "a process that hangs":
                 peer.listen()
             async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), tmpdir=tmp_path) as s:
                 assert (await s.send_request())[0] == 200
-                assert place.is_socket()  # its own: the next can take over from it
-        assert not place.exists()
+                assert socket_path.is_socket()  # its own, over which the next process can take over
+        assert not socket_path.exists()
 
     play(story())
 
 
-def test_process_at_another_address_is_no_upgrade(tmp_path: Path) -> None:
+def test_process_at_another_address_is_not_upgraded(tmp_path: Path) -> None:
     async def story() -> None:
         other = start_dispatcher(tmp_path, tmpdir=tmp_path, listen="127.0.0.2:0")
         async with start_dispatcher(tmp_path, tmpdir=tmp_path) as first, other as second:
@@ -404,8 +415,8 @@
     play(story())
 
 
-def test_time_of_a_slowly_written_request_runs_from_its_last_byte(tmp_path: Path) -> None:
-    """Else who writes for long is taken for a repeat that is late already, and refused."""
+def test_timeout_of_a_slowly_written_request_counts_from_its_last_byte(tmp_path: Path) -> None:
+    """Otherwise a request that is written slowly would be rejected as a late retry."""
 
     async def story() -> None:
         worker = ScriptedWorker(st.serves)
@@ -419,33 +430,33 @@
     play(story())
 
 
-def test_full_house_lets_go_of_who_stalls_not_of_who_writes_slowly(tmp_path: Path) -> None:
+def test_at_the_limit_stalled_clients_are_closed_before_slow_ones(tmp_path: Path) -> None:
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), limits={"sockets": 128}) as s:
             text, slow = s.request(body=b"x" * 200), await s.connect()
             slow[1].write(text[:-100])
-            crowd = []
-            for n in range(90):  # twice the bound on this side
-                crowd.append(await s.connect())
-                crowd[-1][1].write(b"POST /pa")
+            stalled = []
+            for n in range(90):  # twice the limit for clients
+                stalled.append(await s.connect())
+                stalled[-1][1].write(b"POST /pa")
                 slow[1].write(text[n - 100 : n - 99])
                 await asyncio.sleep(0.005)
             assert (await s.exchange(slow, text[-10:]))[0] == 200
-            for _, writer in crowd:
+            for _, writer in stalled:
                 writer.close()
 
     play(story())
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 192, 384, 1024])
-def test_descriptors_dealt_out_are_no_more_than_there_are(sockets: int) -> None:
-    room = divide_descriptors(sockets)
-    kept = (
+def test_no_more_descriptors_are_divided_than_there_are(sockets: int) -> None:
+    limits = divide_descriptors(sockets)
+    others = (
         RESERVED_DESCRIPTORS
         + MANAGEMENT_ACCEPT_BATCH
-        + room.management_connections
-        + room.accept_batch
-        + room.excess_clients
+        + limits.management_connections
+        + limits.accept_batch
+        + limits.excess_clients
     )
-    assert kept + 2 * room.per_side <= sockets
-    assert room.per_side >= sockets // 4
+    assert others + 2 * limits.per_side <= sockets
+    assert limits.per_side >= sockets // 4
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -456,9 +456,8 @@
             RETRY_DELAY / 4 <= pace.delay_after(n * second, succeeded=False) <= MAX_RETRY_DELAY
             for n in range(20)
         )
-        assert (
-            pace.delay_after(second / 10, succeeded=True) <= 2 * RETRY_DELAY
-        )  # one success resets the delay
+        # One success resets the delay.
+        assert pace.delay_after(second / 10, succeeded=True) <= 2 * RETRY_DELAY
     slow = [RetryPacer(True, seed).delay_after(second, succeeded=True) for seed in range(200)]
     assert sum(slow, timedelta()) > 4 * sum(firsts, timedelta())
 
