--- a/tests/test_httpclient_answers.py
+++ b/tests/test_httpclient_answers.py
@@ -1,4 +1,4 @@
-"""Answers that end at any byte, by an orderly close or by a reset: only a whole one counts as whole."""
+"""Responses that end at any byte, by an orderly close or by a reset: only complete ones are accepted."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 PLAIN_BODY = b"answer"
 STREAM_BODY = event(1) + event(2)
 CONNECTIONS = 64
-BEYOND_BUFFERS = 3_000_000
+MORE_THAN_BUFFERS = 3_000_000
 
 
 class Framing(Enum):
-    """How an answer tells where its body ends."""
+    """How a response marks the end of its body."""
 
     LENGTH = "length"
     CHUNKED = "chunked"
@@ -54,8 +54,8 @@
 
 
 @dataclass(frozen=True)
-class WireAnswer:
-    """An answer as it goes over the wire."""
+class EncodedResponse:
+    """A response as it is sent, and its body."""
 
     head: bytes
     framed_body: bytes
@@ -63,13 +63,13 @@
     body: bytes
 
     @property
-    def whole(self) -> bytes:
+    def all_bytes(self) -> bytes:
         """All bytes."""
         return self.head + self.framed_body
 
 
-def wire_answer(framing: Framing, body: bytes, content_type: str) -> WireAnswer:
-    """A true answer to the request."""
+def encode_response(framing: Framing, body: bytes, content_type: str) -> EncodedResponse:
+    """A valid response to the request."""
     lines = ["HTTP/1.1 200 OK", f"X-Try-Id: {REQUEST_ID}", "X-Seal: s", f"Content-Type: {content_type}"]
     framed = body
     if framing is Framing.LENGTH:
@@ -78,7 +78,7 @@
         lines.append("Transfer-Encoding: chunked")
         middle = len(body) // 2
         framed = encode_chunks(body[:middle], body[middle:])
-    return WireAnswer("\r\n".join([*lines, "", ""]).encode(), framed, framing, body)
+    return EncodedResponse("\r\n".join([*lines, "", ""]).encode(), framed, framing, body)
 
 
 def ending_after(data: bytes, ending: Ending) -> Behaviour:
@@ -91,23 +91,22 @@
     return send_and_end
 
 
-def expected_body(answer: WireAnswer, sent: int, ending: Ending) -> bytes | None:
-    """The body of a whole answer after so many bytes of it; None where it is not whole.
+def expected_body(response: EncodedResponse, sent: int, ending: Ending) -> bytes | None:
+    """The body that a client receives if the response ends after so many bytes; None if it is incomplete.
 
-    A close in the middle of a body that has neither length nor chunks looks like its end: no reader of
-    HTTP/1.1 can tell.
+    A close within a body that has neither a length nor chunks cannot be told from its end in HTTP/1.1.
     """
-    if answer.framing is Framing.UNFRAMED:
-        whole = ending is Ending.CLOSE and sent >= len(answer.head)
-        return answer.framed_body[: sent - len(answer.head)] if whole else None
-    return answer.body if sent == len(answer.whole) else None
+    if response.framing is Framing.UNFRAMED:
+        is_complete = ending is Ending.CLOSE and sent >= len(response.head)
+        return response.framed_body[: sent - len(response.head)] if is_complete else None
+    return response.body if sent == len(response.all_bytes) else None
 
 
-class CutAnswersCase(unittest.IsolatedAsyncioTestCase):
-    """A client of workers that end their answers at chosen bytes."""
+class CutResponseCase(unittest.IsolatedAsyncioTestCase):
+    """A client of workers that end their responses at chosen bytes."""
 
     async def asyncSetUp(self) -> None:
-        with mock.patch.object(upstream, "CONNECT_LIMIT", WAIT_LIMIT):  # a busy machine may stand still
+        with mock.patch.object(upstream, "CONNECT_LIMIT", WAIT_LIMIT):  # a busy machine may stall
             self.client = UpstreamClient(CONNECTIONS)
         self.addAsyncCleanup(self.client.close)
 
@@ -118,8 +117,8 @@
         self.addAsyncCleanup(worker.stop)
         return worker
 
-    async def ask(self, worker: FakeWorker) -> bytes | None:
-        """The body of a whole answer, also of a stream; None where the answer broke."""
+    async def receive_body(self, worker: FakeWorker) -> bytes | None:
+        """Send a request; return the body of the response, also of a stream, or None if it is incomplete."""
         deadline = asyncio.get_running_loop().time() + WAIT_LIMIT
         outcome = await self.client.send(worker.address, REQUEST, deadline)
         if isinstance(outcome, Complete):
@@ -130,7 +129,7 @@
         return None
 
     async def read_stream(self, stream: Streaming) -> bytes | None:
-        """The whole body of a stream; None where it broke."""
+        """Return the body of a stream, or None if it is incomplete."""
         body = b""
         while data := await within(stream.answer.read_some()):
             if isinstance(data, ResponseLost):
@@ -140,55 +139,57 @@
         return body
 
     async def check_every_byte(self, content_type: str, body: bytes, ending: Ending) -> None:
-        """End answers of each framing after each number of bytes."""
+        """End responses of each framing after each number of bytes."""
         for framing in Framing:
-            answer = wire_answer(framing, body, content_type)
-            cuts = range(len(answer.whole) + 1)
-            worker = await self.start_worker(*(ending_after(answer.whole[:cut], ending) for cut in cuts))
+            response = encode_response(framing, body, content_type)
+            cuts = range(len(response.all_bytes) + 1)
+            worker = await self.start_worker(
+                *(ending_after(response.all_bytes[:cut], ending) for cut in cuts)
+            )
             for cut in cuts:
                 with self.subTest(framing=framing.value, ending=ending.value, cut=cut):
-                    self.assertEqual(expected_body(answer, cut, ending), await self.ask(worker))
+                    self.assertEqual(expected_body(response, cut, ending), await self.receive_body(worker))
 
 
-class EveryByteTests(CutAnswersCase):
-    async def test_a_plain_answer_that_is_reset_at_any_byte_is_not_whole(self) -> None:
+class EveryByteTests(CutResponseCase):
+    async def test_a_plain_response_reset_at_any_byte_is_incomplete(self) -> None:
         await self.check_every_byte("application/json", PLAIN_BODY, Ending.RESET)
 
-    async def test_a_plain_answer_that_is_closed_at_any_byte_is_whole_at_its_end_only(self) -> None:
+    async def test_a_plain_response_closed_at_any_byte_is_complete_only_at_its_end(self) -> None:
         await self.check_every_byte("application/json", PLAIN_BODY, Ending.CLOSE)
 
-    async def test_a_stream_that_is_reset_at_any_byte_is_not_whole(self) -> None:
+    async def test_a_stream_reset_at_any_byte_is_incomplete(self) -> None:
         await self.check_every_byte(STREAM_TYPE, STREAM_BODY, Ending.RESET)
 
-    async def test_a_stream_that_is_closed_at_any_byte_is_whole_at_its_end_only(self) -> None:
+    async def test_a_stream_closed_at_any_byte_is_complete_only_at_its_end(self) -> None:
         await self.check_every_byte(STREAM_TYPE, STREAM_BODY, Ending.CLOSE)
 
 
-class UnframedAnswerTests(CutAnswersCase):
-    """Bodies that end with their connection, and are read late or end from this side."""
+class UnframedResponseTests(CutResponseCase):
+    """Bodies that end with their connection, but are read late or closed from this side."""
 
     async def open_stream(self, behaviour: Behaviour) -> Streaming:
-        """Ask for a stream and wait for its head."""
+        """Send a request and wait for the head of a stream."""
         worker = await self.start_worker(behaviour)
         deadline = asyncio.get_running_loop().time() + WAIT_LIMIT
         stream = await self.client.send(worker.address, REQUEST, deadline)
         assert isinstance(stream, Streaming)
         return stream
 
-    async def test_a_reset_counts_though_the_body_was_not_read_before(self) -> None:
-        for ending, whole in ((Ending.RESET, False), (Ending.CLOSE, True)):
+    async def test_a_reset_makes_a_body_incomplete_even_if_it_was_not_read_before(self) -> None:
+        for ending, is_complete in ((Ending.RESET, False), (Ending.CLOSE, True)):
             with self.subTest(ending=ending.value):
-                body = b"x" * BEYOND_BUFFERS
-                answer = wire_answer(Framing.UNFRAMED, body, STREAM_TYPE)
-                stream = await self.open_stream(ending_after(answer.whole, ending))
-                self.assertEqual(body if whole else None, await self.read_stream(stream))
+                body = b"x" * MORE_THAN_BUFFERS
+                response = encode_response(Framing.UNFRAMED, body, STREAM_TYPE)
+                stream = await self.open_stream(ending_after(response.all_bytes, ending))
+                self.assertEqual(body if is_complete else None, await self.read_stream(stream))
 
-    async def test_a_close_of_this_side_completes_no_answer(self) -> None:
+    async def test_a_close_from_this_side_completes_no_response(self) -> None:
         ended = asyncio.Event()
-        answer = wire_answer(Framing.UNFRAMED, STREAM_BODY, STREAM_TYPE)
+        response = encode_response(Framing.UNFRAMED, STREAM_BODY, STREAM_TYPE)
 
         async def send_and_stay(exchange: Exchange) -> None:
-            exchange.write(answer.whole)
+            exchange.write(response.all_bytes)
             await delayed_until(ending_after(b"", Ending.CLOSE), ended)(exchange)
 
         stream = await self.open_stream(send_and_stay)
--- a/tests/test_httpclient_library.py
+++ b/tests/test_httpclient_library.py
@@ -1,4 +1,4 @@
-"""What `rookwood.httpclient` builds on in aiohttp. A failure means that the library has changed there."""
+"""Checks the internals of aiohttp that `rookwood.httpclient` relies on; a failure means that they changed."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class LibraryCase(unittest.IsolatedAsyncioTestCase):
-    """A client of the library's own, and one of ours."""
+    """A session of the library, and a client of ours."""
 
     async def asyncSetUp(self) -> None:
         self.plain = aiohttp.ClientSession()
@@ -47,21 +47,21 @@
         return worker
 
     async def read_plain(self, worker: FakeWorker) -> bytes:
-        """A body as the library reads it."""
+        """Return a body as the library reads it."""
         async with self.plain.get(f"http://{worker.address}/") as response:
             return await response.read()
 
     async def read(self, worker: FakeWorker) -> bytes | ResponseLost:
-        """A body as our client reads it."""
-        answer = await self.client.send("GET", URL(f"http://{worker.address}/"), {}, None)
-        if isinstance(answer, Response):
-            return await within(answer.read_all())
-        assert isinstance(answer, ResponseLost)
-        return answer
+        """Return a body as our client reads it."""
+        response = await self.client.send("GET", URL(f"http://{worker.address}/"), {}, None)
+        if isinstance(response, Response):
+            return await within(response.read_all())
+        assert isinstance(response, ResponseLost)
+        return response
 
 
-class InsideTests(LibraryCase):
-    def test_the_overridden_methods_have_their_parameters(self) -> None:
+class InternalsTests(LibraryCase):
+    def test_the_overridden_methods_have_the_expected_parameters(self) -> None:
         for name, parameters in PARAMETERS.items():
             with self.subTest(method=name):
                 signature = inspect.signature(getattr(ResponseHandler, name))
@@ -71,7 +71,7 @@
         self.assertEqual({inspect.Parameter.KEYWORD_ONLY}, kinds)
         self.assertIsInstance(inspect.getattr_static(ResponseHandler, "writing_paused"), property)
 
-    async def test_connections_use_the_protocol_of_our_own(self) -> None:
+    async def test_connections_use_our_own_protocol(self) -> None:
         worker = await self.start_worker(FakeWorker(responding()))
         connector = ResponseConnector(limit=1, keepalive_timeout=1.0)
         async with (
@@ -80,19 +80,19 @@
         ):
             self.assertIsInstance(connector._factory(), ResponseProtocol)
             await response.read()
-            (kept,) = connector._conns.values()
-            self.assertIsInstance(kept[0][0], ResponseProtocol)
+            (idle,) = connector._conns.values()
+            self.assertIsInstance(idle[0][0], ResponseProtocol)
 
 
-class ReasonTests(LibraryCase):
-    """Where one of these fails in its first half, the library has mended what our own code is there for."""
+class WorkaroundTests(LibraryCase):
+    """If the first half of one of these tests fails, the library no longer needs our workaround."""
 
     async def test_the_library_takes_a_reset_for_the_end_of_a_body(self) -> None:
         worker = await self.start_worker(FakeWorker(reset_in_body))
         self.assertEqual(b"half", await self.read_plain(worker))
         self.assertIsInstance(await self.read(worker), ResponseLost)
 
-    async def test_the_library_repeats_a_request_whose_kept_connection_breaks(self) -> None:
+    async def test_the_library_retries_a_request_whose_reused_connection_breaks(self) -> None:
         worker = await self.start_worker(FakeWorker(responding(b"1"), break_off, responding(b"2")))
         self.assertEqual([b"1", b"2"], [await self.read_plain(worker) for _ in range(2)])
         self.assertEqual(3, len(worker.requests))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures: traffic, lag of the loop, progress of configurations, invariants, and their text over HTTP."""
+"""Metrics of traffic, event loop lag, configuration progress and invariants, and their text over HTTP."""
 
 from __future__ import annotations
 
@@ -58,12 +58,12 @@
 
 
 def scrape(*sources: FamilySource) -> MetricsText:
-    """The text of these sources, parsed."""
+    """The metrics of these sources, parsed."""
     return MetricsText(render(sources).decode())
 
 
 class TrafficTest(unittest.TestCase):
-    def test_volumes_are_told_by_channel_direction_peer_and_type(self) -> None:
+    def test_volumes_are_counted_by_channel_direction_peer_and_type(self) -> None:
         traffic = MessageTraffic()
         traffic.sent(PEER_EDGE, "Status", 10)
         traffic.sent(PEER_EDGE, "Status", 30)
@@ -74,7 +74,7 @@
         self.assertEqual(text.sum("rookwood_message_bytes_total", **status), 40)
         self.assertEqual(text.sum("rookwood_message_bytes_total", direction="received"), 7)
 
-    def test_unknown_tiers_are_one_kind(self) -> None:
+    def test_unknown_tiers_are_one_kind_of_peer(self) -> None:
         self.assertEqual(peer_kind("edge"), PEER_EDGE)
         self.assertEqual({peer_kind("x"), peer_kind("y")}, {PEER_UNIDENTIFIED})
 
@@ -108,11 +108,11 @@
 
 
 class LoopLagRunTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_loop_that_is_held_up_is_noticed(self) -> None:
+    async def test_a_blocked_loop_is_measured(self) -> None:
         lag = LoopLag()
         measuring = asyncio.create_task(lag.run())
-        await asyncio.sleep(0)  # it has begun to wait
-        time.sleep(3 * INTERVAL)  # the loop gets no processor
+        await asyncio.sleep(0)  # the task has begun to wait
+        time.sleep(3 * INTERVAL)  # blocks the loop
         async with asyncio.timeout(WAIT_LIMIT):
             while not lag.measurements:
                 await asyncio.sleep(0)
@@ -129,7 +129,7 @@
         self.assertEqual(self.progress.in_force, NO_CONFIGURATION)
         self.assertEqual((self.progress.seconds_in_force(), self.progress.seconds_behind()), (0.0, 0.0))
 
-    def test_behind_from_the_announcement_until_level(self) -> None:
+    def test_behind_from_the_announcement_until_up_to_date(self) -> None:
         self.progress.put_in_force(FIRST)
         self.progress.announce(SECOND)
         self.clock.now += 1.0
@@ -138,19 +138,19 @@
         self.assertEqual(self.progress.seconds_behind(), 2.0)
         self.progress.put_in_force(SECOND)
         self.clock.now += 1.0
-        self.assertEqual(self.progress.seconds_behind(), 2.0, "since the oldest that is not in force")
+        self.assertEqual(self.progress.seconds_behind(), 2.0, "since the oldest one not in force")
         self.progress.put_in_force(THIRD)
         self.clock.now += 5.0
         self.assertEqual((self.progress.seconds_behind(), self.progress.seconds_in_force()), (0.0, 5.0))
 
-    def test_what_is_old_or_already_in_force_is_no_lag(self) -> None:
+    def test_an_old_or_current_announcement_is_no_lag(self) -> None:
         self.progress.put_in_force(SECOND)
         self.progress.announce(SECOND)
         self.progress.announce(FIRST)
         self.clock.now += 1.0
         self.assertEqual((self.progress.seconds_behind(), self.progress.announced), (0.0, SECOND))
 
-    def test_families_tell_version_and_positions(self) -> None:
+    def test_families_report_version_and_positions(self) -> None:
         self.progress.put_in_force(SECOND)
         self.progress.announce(THIRD)
         self.clock.now += 4.0
@@ -175,7 +175,7 @@
         (lag,) = self.progress.lags()
         return lag
 
-    def test_a_dispatcher_is_late_only_once_it_has_been_linked_for_the_limit(self) -> None:
+    def test_a_dispatcher_is_late_only_after_it_was_linked_for_the_limit(self) -> None:
         self.progress.record_commit(FIRST)
         for _ in range(5):
             self.clock.now += 1.0
@@ -188,34 +188,34 @@
         self.assertEqual(self.invariants.counts[Invariant.DISPATCHERS_IN_TIME], 1)
 
     def pass_time(self, seconds: float, stalled: float = 0.0) -> None:
-        """Let time pass; the dispatcher sends a heartbeat from the position that it always had."""
+        """Let time pass, then report the position that the dispatcher had from the start."""
         self.clock.now += seconds
         self.progress.record_report("e-1", NO_CONFIGURATION, stalled)
         self.progress.check(LIMIT)
 
     def link_and_commit(self) -> None:
-        """A dispatcher that has been linked for long lacks a commit from now on."""
+        """Commit what a dispatcher does not have, which has been linked for long."""
         for _ in range(5):
             self.pass_time(1.0)
         self.progress.record_commit(FIRST)
 
-    def test_time_in_which_a_dispatcher_stood_still_is_not_its_own(self) -> None:
-        """The soak saw 2.1 s beside load: the process had got no processor for parts of them."""
+    def test_stalls_of_a_dispatcher_do_not_count_as_its_delay(self) -> None:
+        """The soak test measured 2.1 s under load; for parts of them the process had not run."""
         self.link_and_commit()
         self.pass_time(1.0)
         self.pass_time(1.1, stalled=0.5)
         self.assertEqual(self.invariants.total, 0)
 
-    def test_who_stood_still_for_less_than_what_it_is_late_is_late(self) -> None:
-        """The judge must go on to catch a dispatcher that takes no configuration, stalls or not."""
+    def test_a_dispatcher_that_is_later_than_its_stalls_is_late(self) -> None:
+        """A dispatcher that does not apply configurations must be detected, with stalls or without."""
         self.link_and_commit()
         self.pass_time(1.0)
         self.pass_time(1.4, stalled=0.3)
-        self.assertEqual(self.invariants.total, 0, "0.3 s that were seen, and 0.25 s that may not have been")
+        self.assertEqual(self.invariants.total, 0, "0.3 s measured, and up to 0.25 s not measured")
         self.pass_time(0.4, stalled=0.3)
         self.assertEqual(self.invariants.counts[Invariant.DISPATCHERS_IN_TIME], 1)
 
-    def test_a_stall_before_the_commit_excuses_nothing(self) -> None:
+    def test_a_stall_before_the_commit_excuses_no_delay(self) -> None:
         for _ in range(5):
             self.pass_time(1.0, stalled=9.0)
         self.progress.record_commit(FIRST)
@@ -223,7 +223,7 @@
         self.pass_time(1.1, stalled=9.0)
         self.assertEqual(self.invariants.counts[Invariant.DISPATCHERS_IN_TIME], 1)
 
-    def test_time_in_which_this_process_stood_still_counts_for_nobody(self) -> None:
+    def test_stalls_of_this_process_do_not_count_as_a_delay(self) -> None:
         stalled = 0.0
         self.progress = DispatcherProgress(self.clock, self.invariants, lambda: stalled)
         self.link_and_commit()
@@ -234,7 +234,7 @@
         self.pass_time(1.4)
         self.assertEqual(self.invariants.counts[Invariant.DISPATCHERS_IN_TIME], 1)
 
-    def test_a_silent_dispatcher_is_judged_by_its_link_and_not_here(self) -> None:
+    def test_an_unresponsive_dispatcher_is_left_to_its_link(self) -> None:
         self.link_and_commit()
         self.clock.now += 1.4
         self.progress.check(LIMIT)
@@ -255,7 +255,7 @@
         self.progress.record_report("e-1", THIRD)
         self.assertEqual(self.lag(), DispatcherLag("e-1", THIRD, behind_seconds=0.0, take_up_seconds=1.0))
 
-    def test_repeated_reports_keep_the_first_take_up(self) -> None:
+    def test_repeated_reports_keep_the_first_take_up_time(self) -> None:
         self.progress.record_commit(FIRST)
         self.progress.record_report("e-1", FIRST)
         self.progress.record_commit(SECOND)
@@ -265,30 +265,30 @@
         self.progress.record_report("e-1", SECOND)
         self.assertEqual(self.lag().take_up_seconds, 1.0)
 
-    def test_first_report_over_a_link_tells_no_take_up(self) -> None:
+    def test_first_report_over_a_link_gives_no_take_up_time(self) -> None:
         self.progress.record_commit(FIRST)
         self.clock.now += 60.0
         self.progress.record_report("e-1", FIRST)
         self.assertIsNone(self.lag().take_up_seconds)
 
-    def test_lost_dispatcher_is_not_told(self) -> None:
+    def test_a_removed_dispatcher_is_not_reported(self) -> None:
         self.progress.record_report("e-1", FIRST)
         self.progress.remove_dispatcher("e-1")
         self.progress.remove_dispatcher("e-1")
         self.assertEqual(list(self.progress.lags()), [])
 
-    def test_a_dispatcher_ahead_of_this_machine_is_level(self) -> None:
+    def test_a_dispatcher_ahead_of_this_machine_is_up_to_date(self) -> None:
         self.progress.record_commit(FIRST)
         self.progress.record_report("e-1", THIRD)
         self.assertEqual(self.lag().behind_seconds, 0.0)
 
-    def test_the_farthest_behind_lacks_the_oldest_commit(self) -> None:
+    def test_the_farthest_behind_is_a_dispatcher_without_the_oldest_commit(self) -> None:
         self.assertIsNone(self.progress.farthest_behind())
         for position in (FIRST, SECOND, THIRD):
             self.progress.record_commit(position)
             self.clock.now += 1.0
         self.progress.record_report("e-1", THIRD)
-        self.assertIsNone(self.progress.farthest_behind(), "level")
+        self.assertIsNone(self.progress.farthest_behind(), "up to date")
         self.progress.record_report("e-2", SECOND)
         self.progress.record_report("e-4", FIRST)
         self.progress.record_report("e-3", FIRST)
@@ -296,7 +296,7 @@
         self.progress.record_report("e-5", NO_CONFIGURATION)
         self.assertEqual(self.progress.farthest_behind(), DispatcherLag("e-5", NO_CONFIGURATION, 3.0, None))
 
-    def test_commits_are_bounded(self) -> None:
+    def test_the_number_of_remembered_commits_is_bounded(self) -> None:
         for sequence in range(REMEMBERED_COMMITS + 10):
             self.progress.record_commit(ConfigurationPosition(1, sequence))
             self.clock.now += 1.0
@@ -321,7 +321,7 @@
         text = scrape(lambda: invariant_families(self.invariants))
         self.assertEqual(text.sum("rookwood_invariant_violations_total"), 0)
 
-    def test_violations_are_counted_each_and_logged_at_a_bounded_rate(self) -> None:
+    def test_each_violation_is_counted_and_they_are_logged_at_a_bounded_rate(self) -> None:
         with self.assertLogs("rookwood", logging.ERROR) as logs:
             for _ in range(3):
                 self.invariants.violated(Invariant.ONE_PRIMARY_PER_EPOCH, "two")
@@ -338,12 +338,12 @@
 
 
 class CheckedInvariantsTest(unittest.TestCase):
-    """The places that check an invariant do count its violation."""
+    """Classes that check an invariant count its violations."""
 
     def setUp(self) -> None:
         self.invariants = InvariantCounter()
 
-    def test_a_position_that_goes_back(self) -> None:
+    def test_a_position_that_goes_back_is_a_violation(self) -> None:
         progress = ConfigurationProgress(invariants=self.invariants)
         for position in (FIRST, SECOND, SECOND):
             progress.put_in_force(position)
@@ -352,20 +352,20 @@
             progress.put_in_force(FIRST)
         self.assertEqual(self.invariants.counts[Invariant.POSITION_MONOTONIC], 1)
 
-    def test_two_primaries_of_one_epoch(self) -> None:
+    def test_two_primaries_of_one_epoch_are_a_violation(self) -> None:
         witness = SinglePrimaryCheck(self.invariants)
         witness.record_claim(3, "10.0.0.1")
         witness.record_claim(3, "10.0.0.1")
         witness.record_claim(4, "10.0.0.2")
         witness.record_claim(3, "10.0.0.1")
-        self.assertEqual(self.invariants.total, 0, "the old primary has not heard of the new one yet")
+        self.assertEqual(self.invariants.total, 0, "the old primary does not know of the new one yet")
         with self.assertLogs("rookwood", logging.ERROR):
             witness.record_claim(4, "10.0.0.3")
         self.assertEqual(self.invariants.counts[Invariant.ONE_PRIMARY_PER_EPOCH], 1)
 
 
 class ActivityTest(unittest.TestCase):
-    def test_a_question_to_several_members_counts_once(self) -> None:
+    def test_a_request_to_several_members_counts_once(self) -> None:
         activity = GroupActivity()
         for _ in range(2):
             activity.count_sent(PreVoteRequest(5, Position(1, 1)))
@@ -396,7 +396,7 @@
 
 
 class RequestCountsTest(unittest.TestCase):
-    def test_outcomes_and_causes_are_told(self) -> None:
+    def test_outcomes_and_causes_are_reported(self) -> None:
         counts = RequestCounts()
         counts.count_end(RequestOutcome.ANSWERED, 204)
         counts.count_end(RequestOutcome.ABANDONED)
@@ -414,12 +414,12 @@
 
 def failing_families() -> Iterator[Metric]:
     raise RuntimeError("a source that fails")
-    yield gauge("never", "Never told.", 0)
+    yield gauge("never", "Never yielded.", 0)  # makes this function a generator
 
 
 class ImportTests(unittest.TestCase):
     def test_programs_start_without_the_metrics_library(self) -> None:
-        """It costs a start after a kill 13 to 20 ms of processor time."""
+        """Importing it costs 13 to 20 ms of processor time, which would delay a restart after a kill."""
         for program in ("rookwood.dataplane.program", "rookwood.controlplane.program"):
             with self.subTest(program):
                 code = f"import sys, {program}; print('prometheus_client' in sys.modules)"
@@ -439,26 +439,26 @@
         self.addAsyncCleanup(server.stop)
 
     async def status_and_text(self, path: str) -> tuple[int, str]:
-        """One answer."""
+        """The status and the text of one response."""
         async with self.session.get(f"http://{HOST}:{self.port}{path}") as response:
             return response.status, await response.text()
 
-    async def test_path_is_answered_with_all_sources(self) -> None:
+    async def test_metrics_path_serves_all_sources(self) -> None:
         await self.start(one_family)
         status, text = await within(self.status_and_text(METRICS_PATH))
         self.assertEqual(status, 200)
-        told = MetricsText(text)
-        self.assertEqual(told.sum("rookwood_example"), 3)
-        self.assertIn("rookwood_loop_lag_seconds", told.names())
-        self.assertGreater(told.sum("rookwood_process_resident_bytes"), 1024 * 1024)
-        self.assertFalse([name for name in told.names() if not name.startswith("rookwood_")])
+        metrics = MetricsText(text)
+        self.assertEqual(metrics.sum("rookwood_example"), 3)
+        self.assertIn("rookwood_loop_lag_seconds", metrics.names())
+        self.assertGreater(metrics.sum("rookwood_process_resident_bytes"), 1024 * 1024)
+        self.assertFalse([name for name in metrics.names() if not name.startswith("rookwood_")])
 
     async def test_other_paths_are_unknown(self) -> None:
         await self.start(one_family)
         status, _ = await within(self.status_and_text("/"))
         self.assertEqual(status, 404)
 
-    async def test_a_failing_source_is_an_answer_and_a_log_record(self) -> None:
+    async def test_a_failing_source_gives_an_error_response_and_a_log_record(self) -> None:
         await self.start(failing_families)
         with self.assertLogs("rookwood", logging.ERROR):
             status, _ = await within(self.status_and_text(METRICS_PATH))
@@ -480,7 +480,7 @@
             self.assertEqual(200, status)
         self.assertEqual(["loaded"], loads)
 
-    async def test_a_taken_port_is_a_warning(self) -> None:
+    async def test_a_port_in_use_gives_a_warning(self) -> None:
         await self.start(one_family)
         second = MetricsServer(HOST, lambda: [one_family], self.port)
         with self.assertLogs("rookwood", logging.WARNING) as logs:
@@ -490,7 +490,7 @@
 
 
 class ExpositionTest(unittest.TestCase):
-    def test_loop_and_process_are_told(self) -> None:
+    def test_loop_and_process_are_reported(self) -> None:
         lag = LoopLag()
         lag.observe(0.25, 1.0)
         text = scrape(lambda: loop_families(lag), process_families)
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -1,4 +1,4 @@
-"""Both programs, started as they are deployed, tell their figures at the port that the deploy file names."""
+"""Both programs, started as in a deployment, serve their metrics at the port that the deploy file names."""
 
 from __future__ import annotations
 
@@ -53,14 +53,14 @@
 
 
 async def scrape(session: ClientSession, machine: SystemProcess) -> MetricsText:
-    """The figures of one machine."""
+    """The metrics of one machine."""
     async with session.get(f"http://{machine.settings.ip}:{METRICS_PORT}{METRICS_PATH}") as response:
         response.raise_for_status()
         return MetricsText(await response.text())
 
 
-async def tells_version(session: ClientSession, machine: SystemProcess, version: int) -> bool:
-    """Whether the machine has this version in force and knows of nothing newer."""
+async def reports_version(session: ClientSession, machine: SystemProcess, version: int) -> bool:
+    """Whether the machine has this version in force and knows no newer one."""
     try:
         text = await scrape(session, machine)
     except ClientError:
@@ -76,22 +76,22 @@
         self.stage = await self.enterAsyncContext(SystemStage(control_planes=3, data_planes=2))
         self.session = await self.enterAsyncContext(ClientSession(timeout=ClientTimeout(total=5.0)))
 
-    async def test_both_roles_tell_what_happened(self) -> None:
+    async def test_both_roles_report_what_happened(self) -> None:
         await self.stage.begin_day(FIRST)
         await self.stage.configure(SECOND, FIRST.version)
         for machine in self.stage.processes:
-            level = partial(tells_version, self.session, machine, SECOND.version)
-            await eventually(level, f"{machine.name} tells the newest version")
+            is_up_to_date = partial(reports_version, self.session, machine, SECOND.version)
+            await eventually(is_up_to_date, f"{machine.name} reports the newest version")
         await self.check_data_planes()
         await eventually(self.each_dispatcher_has_one_link, "each dispatcher has one link")
         await self.check_control_planes()
 
     async def check_data_planes(self) -> None:
-        """Requests, refusals and fetched configurations are in the figures of a dispatcher."""
+        """The metrics of a dispatcher count requests, rejections and fetched configurations."""
         machine = self.stage.data_planes[0]
         served = await self.stage.client.send(machine, FIRST.route("page"))
-        refused = await self.stage.client.send(machine, UNKNOWN_ROUTE)
-        self.assertEqual((served.served, refused.status), (True, 404))
+        rejected = await self.stage.client.send(machine, UNKNOWN_ROUTE)
+        self.assertEqual((served.served, rejected.status), (True, 404))
         text = await scrape(self.session, machine)
         self.assertLessEqual(SHARED | DATA_PLANE, text.names())
         self.assertEqual(text.sum("rookwood_requests_total", outcome="answered", status="2xx"), 1)
@@ -102,15 +102,15 @@
         self.assertEqual(text.sum("rookwood_invariant_violations_total"), 0)
 
     async def each_dispatcher_has_one_link(self) -> bool:
-        """Whether each has one link, seen from both sides; a better machine is tried beside it at times."""
+        """Whether each has one link, by the metrics of both sides; at times a second one is tried."""
         dispatchers = [await scrape(self.session, machine) for machine in self.stage.data_planes]
         machines = [await scrape(self.session, machine) for machine in self.stage.control_planes]
-        own = [text.sum("rookwood_links_open", peer="core") for text in dispatchers]
+        opened = [text.sum("rookwood_links_open", peer="core") for text in dispatchers]
         accepted = sum(text.sum("rookwood_links_open", peer="edge") for text in machines)
-        return own == [1] * len(dispatchers) and accepted == len(dispatchers)
+        return opened == [1] * len(dispatchers) and accepted == len(dispatchers)
 
     async def check_control_planes(self) -> None:
-        """One machine is the primary; all wrote to their disks and sent to both kinds of peer."""
+        """One machine is the primary; all have written to their disks and sent messages to their peers."""
         texts = [await scrape(self.session, machine) for machine in self.stage.control_planes]
         roles = [text.sum("rookwood_role", role="primary") for text in texts]
         self.assertEqual(sum(roles), 1)
