--- a/rookwood/net/config.py
+++ b/rookwood/net/config.py
@@ -19,7 +19,7 @@
     """Limits and timeouts of the network side; the policy has its own settings."""
 
     connect_timeout: timedelta
-    idle: timedelta  # an endpoint closes a connection that was idle for this long
+    idle: timedelta  # a worker closes a connection that was idle for this long
     drain_grace: timedelta
     max_open: int  # requests that may be open at once
     retry_after: bool  # whether responses to rejected requests carry Retry-After
--- a/rookwood/net/policy_driver.py
+++ b/rookwood/net/policy_driver.py
@@ -1,8 +1,8 @@
 """Drives the policy: the only owner of `rookwood.policy.Policy` and its timers. It knows nothing of HTTP.
 
 The code that receives requests, over HTTP or another protocol, calls `admit`, awaits decisions from the
-ticket and reports to it how each attempt ended. Only this module converts to the types of
-`rookwood.interface` and to integer microseconds.
+ticket and reports to it how each attempt ended. Times and types of the network side are converted here to
+integer microseconds and the types of `rookwood.interface`.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectDecision:
-    """Decision: reject the request; it has not run, so the client may safely send it again."""
+    """Decision: reject the request; it does no harm if the client sends it again."""
 
     retry_after: timedelta | None
 
@@ -92,7 +92,8 @@
 
 Decision = Attempt | RejectDecision | FailDecision | Withdrawn
 
-POLICY_OUTCOMES = {  # CANCELLED is the only outcome after which a request may have run at no cost in trust
+# After CANCELLED alone, a request may have run and yet its worker loses no trust.
+POLICY_OUTCOMES = {
     AttemptOutcome.SERVED: api.Outcome.OK,
     AttemptOutcome.ERROR: api.Outcome.FAILED,
     AttemptOutcome.REJECTED: api.Outcome.QUEUE_FULL,
@@ -104,10 +105,8 @@
     AttemptOutcome.STALE_CONNECTION: api.Outcome.CANCELLED,
     AttemptOutcome.INVALID_REQUEST: api.Outcome.CANCELLED,
 }
-LOAD_NAMES = {
-    "inflight": "outstanding",
-    "queue": "backlog",
-}  # workers use either name; others stay as they are
+# Workers report these values under either name; all others have one name.
+LOAD_NAMES = {"inflight": "outstanding", "queue": "backlog"}
 WORKER_HEALTH = {
     State.UP: api.Health.SERVING,
     State.DRAINING: api.Health.DRAINING,
@@ -115,7 +114,8 @@
 }
 
 
-NEVER_RAN = frozenset(outcome for outcome, known in POLICY_OUTCOMES.items() if known in api.NEVER_RAN)
+# The outcomes after which the request has certainly not run.
+NEVER_RAN = frozenset(own for own, outcome in POLICY_OUTCOMES.items() if outcome in api.NEVER_RAN)
 
 
 def micros(span: timedelta) -> int:
@@ -161,7 +161,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End the request; the only place where the policy is told to give up what it still waits for."""
+        """End the request, and tell the policy of everything that it still counts on."""
         self._driver.remove_request(self._number)
         try:
             if not self._is_finished:
