--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -66,10 +66,10 @@
 class Extension(Protocol):
     """An optional component, such as the gateway, through which requests come in or go out."""
 
-    def filter_update(self, update: DestinationUpdate, kept: bool) -> DestinationUpdate:
+    def filter_update(self, update: DestinationUpdate, is_cached: bool) -> DestinationUpdate:
         """Handle an update of the destination list; return the part of it that the policy is to see.
 
-        `kept` is true for the cached list of the configuration file.
+        `is_cached` is true for the cached list of the configuration file.
         """
 
     async def start(self) -> None:
--- a/rookwood/net/http1.py
+++ b/rookwood/net/http1.py
@@ -14,7 +14,7 @@
 
 MAX_BODY = 64 * 1024
 CHUNK = 64 * 1024
-MAX_READ_TIMES = 64  # reads whose times are kept; after more of them an earlier message seems to come later
+MAX_READ_TIMES = 64  # reads whose times are kept; with more reads after it, a message seems to come later
 
 
 class TooLargeError(Exception):
--- a/rookwood/net/inbound.py
+++ b/rookwood/net/inbound.py
@@ -165,13 +165,13 @@
     def _evict_client(self) -> None:
         """Close one connection, if there is one to spare, to make room for a new one.
 
-        Lingering connections and those without a job so far go first, so that a crowd of them does not cost
+        Lingering connections and those without a job so far go first, so that many of them do not cost
         usual clients their connections.
         """
         idle = (
             stream for stream in itertools.chain(self._idle_unproven, self._idle_usual) if stream.is_idle()
         )
-        # Next are new connections amid their first request, the one that sent nothing for longest first: a
+        # Next are new connections within their first request, the one that sent nothing for longest first: a
         # stalled client goes before one that writes slowly.
         stalled = sorted(self._first_request_due, key=lambda stream: stream.last_read)
         victim = next(itertools.chain(self._lingering, idle, stalled), None)
@@ -299,19 +299,19 @@
         end of the stream comes after it; later requests are then lost, so the connection ends with the
         response.
         """
-        kept = len(stream.http.trailing_data[0])
-        self._body_bytes_left -= kept
+        buffered = len(stream.http.trailing_data[0])
+        self._body_bytes_left -= buffered
         try:
             with contextlib.suppress(ConnectionError):
                 while not stream.has_overflowed and (size := await stream.read_once()):
                     part = max(0, min(size, self._body_bytes_left))
-                    kept, self._body_bytes_left = kept + part, self._body_bytes_left - part
-                    stream.has_overflowed = part < size or kept > MAX_READ_AHEAD
+                    buffered, self._body_bytes_left = buffered + part, self._body_bytes_left - part
+                    stream.has_overflowed = part < size or buffered > MAX_READ_AHEAD
                 while stream.has_overflowed and await stream.reader.read(MAX_BODY):
                     # The pause lets other clients be served however fast this one sends.
                     await asyncio.sleep(DISCARD_PAUSE.total_seconds())
         finally:
-            self._body_bytes_left += kept
+            self._body_bytes_left += buffered
 
     async def _linger(self, stream: HttpStream) -> None:
         """End a connection from this side: send the end of the stream, then read and drop what still arrives.
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -185,9 +185,9 @@
         self.targets: list[str] = []  # of each request
         self.lines: asyncio.Queue[bytes | None] = asyncio.Queue()  # None closes a watch
 
-    def send_update(self, rev: int, *entries: dict[str, Any], whole: bool = False) -> None:
-        """Send a revision: the full list if `whole`, else changes."""
-        self.lines.put_nowait(json.dumps({"rev": rev, "all": whole, "targets": entries}).encode() + b"\n")
+    def send_update(self, rev: int, *entries: dict[str, Any], full: bool = False) -> None:
+        """Send a revision: the full list if `full`, else changes."""
+        self.lines.put_nowait(json.dumps({"rev": rev, "all": full, "targets": entries}).encode() + b"\n")
 
     async def listen(self, reader: asyncio.StreamReader) -> str:
         """Read a request and return its target."""
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -96,19 +96,19 @@
     async def story() -> None:
         worker = ScriptedWorker(st.never_responds, st.serves)
         async with start_dispatcher(tmp_path, worker) as s:
-            left = s.dispatcher._inbound._body_bytes_left
+            budget = s.dispatcher._inbound._body_bytes_left
             _, writer = await s.connect()
             writer.write(s.request("/unlock", timeout=60.0))
             await wait_until(lambda: len(worker.paths) == 1)
             writer.write(b"x" * ahead)
             await wait_until(
-                lambda: s.dispatcher._inbound._body_bytes_left <= left - min(ahead, inbound.MAX_READ_AHEAD)
+                lambda: s.dispatcher._inbound._body_bytes_left <= budget - min(ahead, inbound.MAX_READ_AHEAD)
             )
-            assert left - s.dispatcher._inbound._body_bytes_left <= inbound.MAX_READ_AHEAD + 2 * 65536
+            assert budget - s.dispatcher._inbound._body_bytes_left <= inbound.MAX_READ_AHEAD + 2 * 65536
             writer.close()
             await asyncio.wait_for(worker.closed.wait(), LIMIT)
             await wait_until(lambda: not s.dispatcher._inbound._streams)
-            assert s.dispatcher._inbound._body_bytes_left == left
+            assert s.dispatcher._inbound._body_bytes_left == budget
             assert len(worker.paths) == 1
             assert (await s.send_request())[0] == 200
 
@@ -185,7 +185,7 @@
                 writer.write(s.request("/unlock"))
             await wait_until(lambda: len(worker.paths) == 4 and s.dispatcher._decisions.open_requests == 5)
             (waiting,) = (job for lane in policy.held_jobs.values() for job in lane)
-            held = next(n for n, (_, w) in enumerate(busy) if f"r{n + 1}" not in seen_ids(worker))
+            held = next(n for n, (_, w) in enumerate(busy) if f"r{n + 1}" not in received_ids(worker))
             busy[held][1].close()
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 4)
             assert waiting.request.id not in policy.jobs
@@ -198,7 +198,7 @@
     play(story())
 
 
-def seen_ids(worker: ScriptedWorker) -> set[str]:
+def received_ids(worker: ScriptedWorker) -> set[str]:
     return {headers["request-id"] for headers in worker.headers}
 
 
@@ -283,7 +283,7 @@
             stream._read_times[-1] = (stream._read_times[-1][0], stream._read_times[-1][1] - 4)
             worker.resume.set()
             close_clients_now(s)
-            statuses = [answer[:3] for answer in (await client.read_to_end()).split(b"HTTP/1.1 ")[1:]]
+            statuses = [response[:3] for response in (await client.read_to_end()).split(b"HTTP/1.1 ")[1:]]
             assert statuses == [b"200", b"503", b"200"] and len(worker.paths) == 2
 
     play(story())
@@ -338,7 +338,7 @@
         self.on_drained = on_drained
 
     def filter_update(
-        self, update: destinations.DestinationUpdate, kept: bool
+        self, update: destinations.DestinationUpdate, is_cached: bool
     ) -> destinations.DestinationUpdate:
         return update
 
@@ -384,18 +384,20 @@
     """A silence, a delay, a call that fails as late as possible, another delay and an answered call."""
     worst = timedelta()
     for seed in range(2000):
-        pace = RetryPacer(True, seed)
-        for word in (SECOND / 100, SECOND / 5, SECOND):
-            first = pace.delay_after(word, succeeded=True)
-            worst = max(worst, first + pace.delay_after(destinations.SHARED_SERVICE_TIMEOUT, succeeded=False))
+        pacer = RetryPacer(True, seed)
+        for response_time in (SECOND / 100, SECOND / 5, SECOND):
+            first = pacer.delay_after(response_time, succeeded=True)
+            worst = max(
+                worst, first + pacer.delay_after(destinations.SHARED_SERVICE_TIMEOUT, succeeded=False)
+            )
     assert destinations.SILENCE_TIMEOUT + worst + destinations.SHARED_SERVICE_TIMEOUT < TIME_TO_LEARN
     # After an outage, the call under way when discovery came back fails, and so does the next one.
     for seed in range(2000):
-        pace, span = RetryPacer(True, seed), timedelta()
+        pacer, span = RetryPacer(True, seed), timedelta()
         for _ in range(9):
-            pace.delay_after(SECOND / 100, succeeded=False)
+            pacer.delay_after(SECOND / 100, succeeded=False)
         for _ in range(2):
-            span += destinations.SHARED_SERVICE_TIMEOUT + pace.delay_after(
+            span += destinations.SHARED_SERVICE_TIMEOUT + pacer.delay_after(
                 destinations.SHARED_SERVICE_TIMEOUT, succeeded=False
             )
         assert span < TIME_TO_LEARN
@@ -627,7 +629,7 @@
                 1,
                 st.target_entry("s-0", one.address, "draining"),
                 st.target_entry("s-1", two.address),
-                whole=True,
+                full=True,
             )
             await wait_until(lambda: listed.revision == 1 and not listed._needs_full_list)
             assert (listed.accepts("s-0"), listed.accepts("s-1")) == (False, True)
--- a/tests/test_running.py
+++ b/tests/test_running.py
@@ -112,11 +112,11 @@
             reader, writer = await s.connect()
             writer.write(s.request("/page"))
             await wait_until(lambda: len(worker.paths) == 6)
-            found = await stats(s)
-            assert found["transactions.page.answered"] == "2|c"
-            assert found["transactions.unlock.errored"] == "2|c"
-            assert (found["transactions.page.sends"], found["transactions.unlock.sends"]) == ("4|c", "2|c")
-            assert found["current"] == "1|g"
+            values = await stats(s)
+            assert values["transactions.page.answered"] == "2|c"
+            assert values["transactions.unlock.errored"] == "2|c"
+            assert (values["transactions.page.sends"], values["transactions.unlock.sends"]) == ("4|c", "2|c")
+            assert values["current"] == "1|g"
             writer.close()  # the request of a client that disconnects is no longer counted as open
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 0)
             assert (await stats(s))["current"] == "0|g"
@@ -145,8 +145,8 @@
             s.discovery.send_update(2, listed[0] | {"state": "draining"}, listed[1] | {"state": "removed"})
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             s.dispatcher._decisions._policy.workers["s-2"].trust = 0.1
-            found = await stats(s)
-            assert (found["cluster_size"], found["cluster_unhealthy"]) == ("3|g", "2|g")
+            values = await stats(s)
+            assert (values["cluster_size"], values["cluster_unhealthy"]) == ("3|g", "2|g")
 
     play(story())
 
@@ -190,12 +190,12 @@
     async def story() -> None:
         async with start_dispatcher(tmp_path, ScriptedWorker(st.serves), mgmt=MANAGEMENT_ADDRESS) as s:
             await call(s, "drain/start", "POST")
-            s.discovery.send_update(2)  # what else goes on goes on amid a drain
+            s.discovery.send_update(2)  # other work goes on during a drain
             await wait_until(lambda: s.dispatcher._destinations.revision == 2)
             usual = await s.connect()
             assert (await s.exchange(usual, s.request()))[0] == 200
             s.dispatcher.begin_shutdown()
-            await asyncio.wait_for(s.dispatcher.wait_drained(), LIMIT)  # and it ends, as nobody is left
+            await asyncio.wait_for(s.dispatcher.wait_drained(), LIMIT)  # it ends, since no client is left
             assert await call(s, "drain/stop", "POST") == (409, "leaving\n")
             assert await call(s, "drain/start", "POST") == (200, "leaving\n")
             assert (await call(s, "readiness"))[0] == 503
@@ -243,7 +243,7 @@
             old.dispatcher._inbound._server.close()  # type: ignore[union-attr]  # from now on clients wait
             waiting = await old.connect()
             waiting[1].write(old.request("/unlock"))
-            discovery.send_update(7, listed, whole=True)
+            discovery.send_update(7, listed, full=True)
             await wait_until(lambda: new.dispatcher._service.is_ready)
             assert (await asyncio.wait_for(waiting[0].readline(), LIMIT)).startswith(b"HTTP/1.1 200")
             assert (
@@ -309,7 +309,7 @@
             busy[1].write(old.request())
             assert len(await asyncio.to_thread(peer.recv, 512)) == 4  # a hint about that job
             host, _, port = addresses[0].partition(":")
-            discovery.send_update(7, st.target_entry("s-0", worker.address), whole=True)
+            discovery.send_update(7, st.target_entry("s-0", worker.address), full=True)
             await wait_until(lambda: old.dispatcher._service.is_handed_over)
             for number in range(20):  # all of them reach only the new process, while the old one still runs
                 peer.sendto(b"odd" + bytes([number]), (host, int(port)))
@@ -352,7 +352,7 @@
     async def story() -> None:
         async with upgrade(tmp_path, ScriptedWorker(st.serves)) as (old, new, discovery):
             new.dispatcher.begin_shutdown()
-            discovery.send_update(7, whole=True)
+            discovery.send_update(7, full=True)
             await wait_until(lambda: new.dispatcher._destinations.revision == 7)
             await asyncio.sleep(0.1)
             assert old.dispatcher._service.is_ready and not old.dispatcher._service.is_handed_over
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -193,8 +193,8 @@
             clock = s.dispatcher._clock
             s.dispatcher._requests.begin_shutdown(clock.now() + timedelta(milliseconds=300))
             start = clock.now()
-            found, headers, _ = await s.send_request(path)
-            assert (found, "retry-after" in headers) == (status, status == 503)
+            code, headers, _ = await s.send_request(path)
+            assert (code, "retry-after" in headers) == (status, status == 503)
             assert clock.now() - start < timedelta(seconds=6)  # less than the 8 s of the client's timeout
             assert s.dispatcher._decisions.open_requests == 0
 
@@ -217,7 +217,7 @@
                 child.send_signal(signal.SIGHUP)
                 await wait_until(lambda: len(new.targets) == 1)
                 assert new.targets == ["/api/targets"]
-                new.send_update(0, whole=True)
+                new.send_update(0, full=True)
                 await wait_until(lambda: len(new.targets) == 2)
                 assert new.targets[1] == "/api/targets?follow=1&since=0"
                 config_file.write_text(json.dumps(data | {"discovery": 5}))
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -65,8 +65,8 @@
     async def story() -> None:
         worker = ScriptedWorker(*scripts)
         async with start_dispatcher(tmp_path, worker) as s:
-            found, _, body = await s.send_request(path + "?k=7&x=%20")
-            assert (found, len(worker.paths)) == (status, attempts)
+            code, _, body = await s.send_request(path + "?k=7&x=%20")
+            assert (code, len(worker.paths)) == (status, attempts)
             assert (body == b"page") == (status == 200)
             assert set(worker.paths) == {path + "?k=7&x=%20"}
             assert {h["request-id"] for h in worker.headers} == {"r1"}
@@ -183,8 +183,8 @@
         async with start_dispatcher(tmp_path, worker) as s:
             loop = asyncio.get_running_loop()
             start = loop.time()
-            found, _, _ = await s.send_request(path, timeout=0.3)
-            assert found == status
+            code, _, _ = await s.send_request(path, timeout=0.3)
+            assert code == status
             assert loop.time() - start >= 0.25  # the dispatcher did wait for the worker
             await asyncio.wait_for(worker.closed.wait(), LIMIT)
 
@@ -277,8 +277,8 @@
         worker = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, worker) as s:
             streams = await s.connect()
-            found, headers, _ = await s.exchange(streams, data)
-            assert (found, headers.get("connection") == "close") == (status, status != 200)
+            code, headers, _ = await s.exchange(streams, data)
+            assert (code, headers.get("connection") == "close") == (status, status != 200)
             if status == 200:
                 assert (await s.exchange(streams, s.request()))[0] == 200
             else:
@@ -353,7 +353,7 @@
             assert (await s.send_request())[2] == b"new"  # the list in force stays
             s.discovery.lines.put_nowait(None)
             await wait_until(lambda: len(s.discovery.targets) == 3)
-            s.discovery.send_update(4, st.target_entry("s-0", old.address), whole=True)
+            s.discovery.send_update(4, st.target_entry("s-0", old.address), full=True)
             await wait_until(lambda: s.dispatcher._destinations.revision == 4)
             assert (await s.send_request())[2] == b"page"
             assert [s.dispatcher._destinations.accepts(uid) for uid in ("s-0", "s-9")] == [True, False]
@@ -451,13 +451,13 @@
     firsts = [RetryPacer(True, seed).delay_after(second / 10, succeeded=True) for seed in range(200)]
     assert len({round(first / RETRY_DELAY, 1) for first in firsts}) > 15 and max(firsts) <= 2 * RETRY_DELAY
     for seed in range(50):
-        pace = RetryPacer(True, seed)
+        pacer = RetryPacer(True, seed)
         assert all(
-            RETRY_DELAY / 4 <= pace.delay_after(n * second, succeeded=False) <= MAX_RETRY_DELAY
+            RETRY_DELAY / 4 <= pacer.delay_after(n * second, succeeded=False) <= MAX_RETRY_DELAY
             for n in range(20)
         )
         # One success resets the delay.
-        assert pace.delay_after(second / 10, succeeded=True) <= 2 * RETRY_DELAY
+        assert pacer.delay_after(second / 10, succeeded=True) <= 2 * RETRY_DELAY
     slow = [RetryPacer(True, seed).delay_after(second, succeeded=True) for seed in range(200)]
     assert sum(slow, timedelta()) > 4 * sum(firsts, timedelta())
 
@@ -484,12 +484,12 @@
 
                 server = await asyncio.start_server(never_responds, "127.0.0.1", 0)
                 stack.callback(server.close)
-                where = destinations.Address(*server.sockets[0].getsockname())
+                address = destinations.Address(*server.sockets[0].getsockname())
                 watched = destinations.Destinations(
                     Clock(),
                     timedelta(seconds=1),
                     lambda update, is_cached: None,
-                    where,
+                    address,
                     shared_service=service,
                     seed=1,
                 )
@@ -631,10 +631,10 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     environ = st.environment(tmp_path, [], "127.0.0.1:1")
-    place = Path(environ["PROXY_CONFIG"])
-    data = json.loads(place.read_text())
+    config_file = Path(environ["PROXY_CONFIG"])
+    data = json.loads(config_file.read_text())
     replace_item(path, value)(data)
-    place.write_text(json.dumps(data))
+    config_file.write_text(json.dumps(data))
     monkeypatch.setattr(os, "environ", environ)
     assert program.main() == 2
     text = capsys.readouterr().err
