--- a/rookwood/net/endpoints.py
+++ b/rookwood/net/endpoints.py
@@ -26,7 +26,7 @@
 RESPONSE_END_TIMEOUT = timedelta(seconds=1)  # for what follows the last line of a response
 PROBE_TIMEOUT = timedelta(milliseconds=200)
 SWEEP_INTERVAL = timedelta(seconds=1)
-IDLE_FRACTION = 0.75  # of a worker's idle timeout; later, a request could cross with its close
+IDLE_FRACTION = 0.75  # of a worker's idle timeout; after that, a request could cross with its close
 MAX_LINE = 4 * MAX_BODY
 LAST_BYTE_DELAY = timedelta(milliseconds=5)  # a round trip, in which a dead connection shows
 MAX_IDLE_PER_ENDPOINT = 16
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -184,7 +184,7 @@
             for _, writer in busy:  # one more than the worker has slots, so one request is held
                 writer.write(s.request("/unlock"))
             await wait_until(lambda: len(worker.paths) == 4 and s.dispatcher._decisions.open_requests == 5)
-            (waiting,) = (job for lane in policy.held_jobs.values() for job in lane)
+            (waiting,) = (job for queue in policy.held_jobs.values() for job in queue)
             held = next(n for n, (_, w) in enumerate(busy) if f"r{n + 1}" not in received_ids(worker))
             busy[held][1].close()
             await wait_until(lambda: s.dispatcher._decisions.open_requests == 4)
@@ -289,16 +289,16 @@
     play(story())
 
 
-@pytest.mark.parametrize("moving", [False, True])
+@pytest.mark.parametrize("closing", [False, True])
 def test_response_is_not_lost_to_bytes_that_arrive_as_its_connection_closes(
-    tmp_path: Path, moving: bool, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, closing: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They arrive between the last response and the close; a reset would drop the response under way."""
 
     async def story() -> None:
         worker = ScriptedWorker(st.serves)
         async with start_dispatcher(tmp_path, worker) as s:
-            if moving:
+            if closing:
                 close_clients_now(s)
             client, write = Client(s.port), HttpStream.write
 
@@ -308,9 +308,9 @@
                     client.write(b"GET /-/ready HT")
 
             monkeypatch.setattr(HttpStream, "write", bytes_cross)
-            client.write(s.request() if moving else b"BREW / HTTP/1.1\r\n\r\n")
+            client.write(s.request() if closing else b"BREW / HTTP/1.1\r\n\r\n")
             text = await client.read_to_end()
-            assert text.startswith(b"HTTP/1.1 200" if moving else b"HTTP/1.1 400")
+            assert text.startswith(b"HTTP/1.1 200" if closing else b"HTTP/1.1 400")
             assert text.count(b"HTTP/1.1") == 1
 
     play(story())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -141,14 +141,10 @@
         worker = ConnectionDropper(reset_delay=0.1)
         async with start_dispatcher(tmp_path, worker) as s:
             # The second request needs a second attempt.
-            assert [(await s.send_request())[0] for _ in range(2)] == [
-                200,
-                200,
-            ]
+            assert [(await s.send_request())[0] for _ in range(2)] == [200, 200]
             assert worker.resets == 1
-            assert (
-                s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
-            )  # the connection broke, not the worker
+            # A broken connection is not the worker's fault.
+            assert s.dispatcher._decisions._policy.workers["s-0"].trust == 1.0
             assert [(await s.send_request("/unlock"))[0] for _ in range(3)] == [200] * 3
             assert worker.resets == 1
 
@@ -158,10 +154,10 @@
 def test_connections_are_reused_again_once_they_no_longer_break() -> None:
     history, start = ReuseHistory(), datetime(2026, 1, 1, tzinfo=UTC)
     short, middle, long = (timedelta(milliseconds=n) for n in (40, 400, 4000))
-    for age in (short, middle, long):
-        history.record_use(age, False, start)
+    for idle_time in (short, middle, long):
+        history.record_use(idle_time, False, start)
     history.record_use(middle, True, start)
-    assert [history.is_risky(age, start) for age in (short, middle, long)] == [False, True, True]
+    assert [history.is_risky(idle_time, start) for idle_time in (short, middle, long)] == [False, True, True]
     later = start + timedelta(minutes=2)
     assert not history.is_risky(long, later)
 
