--- a/rookwood/net/policy_driver.py
+++ b/rookwood/net/policy_driver.py
@@ -1,8 +1,8 @@
-"""The door to the decision module: sole owner of the policy and its timers. It knows no HTTP.
+"""Drives the policy: the only owner of `rookwood.policy.Policy` and its timers. It knows nothing of HTTP.
 
-Whatever brings requests in (HTTP now, another protocol beside it) calls `admit`, then asks the ticket
-for decisions and tells it what became of each attempt. Only here do the module's words and integer
-microseconds appear.
+The code that receives requests, over HTTP or another protocol, calls `admit`, awaits decisions from the
+ticket and reports to it how each attempt ended. Times and types of the network side are converted here to
+integer microseconds and the types of `rookwood.interface`.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended, in the network's words."""
+    """How an attempt ended, as the network side sees it."""
 
     SERVED = "served"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     CONNECT_FAILED = "could not connect"
     RESET = "reset"
     TIMED_OUT = "timed out"
-    CALLED_OFF = "called off"
-    NEVER_SENT = "never sent"
-    STALE = "stale"  # a kept connection turned out to be dead; it may have run all the same
-    UNFIT = "unfit"  # the endpoint says that nobody could use the request
+    CANCELLED = "called off"
+    NOT_SENT = "never sent"
+    STALE_CONNECTION = "stale"  # a reused connection turned out to be closed; the request may still have run
+    INVALID_REQUEST = "unfit"  # according to the worker, no worker could run the request
 
 
 @dataclass(frozen=True, slots=True)
-class Job:
-    """What the decisions need to know of a request."""
+class RequestProfile:
+    """The properties of a request that the policy decides by."""
 
     job_class: str
     deadline: datetime
@@ -53,86 +53,92 @@
     key: str | None = None
     is_retry: bool = False
     tenant: str | None = None
-    hint: timedelta | None = None
+    duration_hint: timedelta | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """Decision: try this endpoint."""
+    """Decision: send the request to this worker."""
 
-    number: int
-    uid: str
-    until: datetime
-    repeatable: bool  # running it twice would do no harm
-    begin_by: datetime | None = None  # for a repeat of what may have run: the end of its window
+    number: int  # from 0 for each request
+    uid: str  # of the worker
+    deadline: datetime
+    is_retry_safe: bool  # whether the request may safely run twice
+    start_by: datetime | None = None  # latest start of a retry after an attempt that may have run
 
 
 @dataclass(frozen=True, slots=True)
-class FailFast:
-    """Decision: refuse; a new try does no harm."""
+class RejectDecision:
+    """Decision: reject the request; it does no harm if the client sends it again."""
 
     retry_after: timedelta | None
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
-    """Decision: fail, with no promise about the effect."""
+class FailDecision:
+    """Decision: fail the request, without a statement whether it has run."""
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
-    """No decision any more: a front has taken the request back, to serve it in another way."""
+class Withdrawn:
+    """Not a decision of the policy: an extension withdrew the request and serves it in another way."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint tells of its load."""
+    """Load values that a worker reported, by name."""
 
-    figures: tuple[tuple[str, float], ...]
+    values: tuple[tuple[str, float], ...]
 
 
-Decision = Attempt | FailFast | GiveUp | Elsewhere
+Decision = Attempt | RejectDecision | FailDecision | Withdrawn
 
-ENDINGS = {
+# After CANCELLED alone, a request may have run and yet its worker loses no trust.
+POLICY_OUTCOMES = {
     AttemptOutcome.SERVED: api.Outcome.OK,
     AttemptOutcome.ERROR: api.Outcome.FAILED,
-    AttemptOutcome.TURNED_AWAY: api.Outcome.QUEUE_FULL,
+    AttemptOutcome.REJECTED: api.Outcome.QUEUE_FULL,
     AttemptOutcome.CONNECT_FAILED: api.Outcome.CONNECT_FAILED,
     AttemptOutcome.RESET: api.Outcome.RESET,
     AttemptOutcome.TIMED_OUT: api.Outcome.TIMED_OUT,
-    AttemptOutcome.CALLED_OFF: api.Outcome.CANCELLED,
-    AttemptOutcome.NEVER_SENT: api.Outcome.IGNORED,
-    AttemptOutcome.STALE: api.Outcome.CANCELLED,  # the one ending that may have run and costs no trust
-    AttemptOutcome.UNFIT: api.Outcome.CANCELLED,
+    AttemptOutcome.CANCELLED: api.Outcome.CANCELLED,
+    AttemptOutcome.NOT_SENT: api.Outcome.IGNORED,
+    AttemptOutcome.STALE_CONNECTION: api.Outcome.CANCELLED,
+    AttemptOutcome.INVALID_REQUEST: api.Outcome.CANCELLED,
 }
-LOAD = {"inflight": "outstanding", "queue": "backlog"}  # seen under either name; the rest as it is
-HEALTH = {
+# Workers report these values under either name; all others have one name.
+LOAD_NAMES = {"inflight": "outstanding", "queue": "backlog"}
+WORKER_HEALTH = {
     State.UP: api.Health.SERVING,
     State.DRAINING: api.Health.DRAINING,
     State.REMOVED: api.Health.DELETED,
 }
 
 
-NEVER_RAN = frozenset(end for end, ending in ENDINGS.items() if ending in api.NEVER_RAN)
+# The outcomes after which the request has certainly not run.
+NEVER_RAN = frozenset(own for own, outcome in POLICY_OUTCOMES.items() if outcome in api.NEVER_RAN)
 
 
 def micros(span: timedelta) -> int:
+    """Return a duration in whole microseconds."""
     return span // timedelta(microseconds=1)
 
 
-def key_of(text: str | None) -> int | None:
-    """Any text becomes the same number at every dispatcher."""
+def hash_key(text: str | None) -> int | None:
+    """Hash a routing key; all dispatchers compute the same number."""
     return None if text is None else int.from_bytes(hashlib.blake2b(text.encode(), digest_size=6).digest())
 
 
-def figures_of(load: LoadReport | None) -> dict[str, float] | None:
-    return {LOAD.get(name, name): value for name, value in load.figures} if load else None
+def load_values(load: LoadReport | None) -> dict[str, float] | None:
+    """Return the values of a load report under the names that the policy uses."""
+    return {LOAD_NAMES.get(name, name): value for name, value in load.values} if load else None
 
 
-def worker_of(endpoint: Endpoint) -> api.Worker:
+def policy_worker(endpoint: Endpoint) -> api.Worker:
+    """Convert an endpoint of the destination list to the policy's worker."""
     return api.Worker(
         id=endpoint.uid,
-        health=HEALTH[endpoint.state],
+        health=WORKER_HEALTH[endpoint.state],
         size=endpoint.capacity,
         cell=endpoint.cell,
         kind=endpoint.kind,
@@ -142,212 +148,245 @@
 
 
 class Ticket:
-    """One request's place at the door, from `admit` to the end of the `with` block."""
+    """A request that the policy manages, from `admit` to the end of the `with` block."""
 
-    def __init__(self, door: PolicyDriver, number: int, job: Job) -> None:
-        self._door, self._number, self._job = door, number, job
-        self._decided: asyncio.Queue[Decision] = asyncio.Queue()
-        self._attempts = 0
-        self._out: tuple[Attempt, datetime] | None = None
-        self._settled = False  # the module has let go of the request
-        self._window_ends: datetime | None = None  # once an attempt may have run
+    def __init__(self, driver: PolicyDriver, number: int, profile: RequestProfile) -> None:
+        self._driver, self._number, self._profile = driver, number, profile
+        self._decisions: asyncio.Queue[Decision] = asyncio.Queue()
+        self._attempt_count = 0
+        self._current_attempt: tuple[Attempt, datetime] | None = None  # with its start
+        self._is_finished = False  # the policy no longer manages the request
+        self._retry_window_end: datetime | None = None  # set once an attempt may have run
 
     def __enter__(self) -> Ticket:
         return self
 
     def __exit__(self, *_: object) -> None:
-        """The one place of release: the module is told of everything that it still counts on."""
-        self._door.release(self._number)
+        """End the request, and tell the policy of everything that it still counts on."""
+        self._driver.remove_request(self._number)
         try:
-            if not self._settled:
-                self._settled = True
-                self._door.feed(api.RequestAbandoned(self._number))
+            if not self._is_finished:
+                self._is_finished = True
+                self._driver.handle_event(api.RequestAbandoned(self._number))
         finally:
-            if self._out:
-                self.ended(AttemptOutcome.CALLED_OFF)
+            if self._current_attempt:
+                self.end_attempt(AttemptOutcome.CANCELLED)
 
-    async def decision(self) -> Decision:
-        return await self._decided.get()
+    async def next_decision(self) -> Decision:
+        """Wait for the next decision."""
+        return await self._decisions.get()
 
     @property
     def is_waiting(self) -> bool:
-        """Held: neither decided nor out at an endpoint."""
-        return not (self._settled or self._out)
+        """Whether the policy holds the request: it is neither decided nor at a worker."""
+        return not (self._is_finished or self._current_attempt)
 
     def withdraw(self) -> bool:
-        """Takes the request back while it is held; the next decision says so. False: it is too late."""
+        """Take a held request back; the next decision is then `Withdrawn`. False if it is no longer held."""
         if not self.is_waiting:
             return False
-        self._settled = True
-        self._door.feed(api.RequestAbandoned(self._number))
-        self._decided.put_nowait(Elsewhere())
+        self._is_finished = True
+        self._driver.handle_event(api.RequestAbandoned(self._number))
+        self._decisions.put_nowait(Withdrawn())
         return True
 
-    def started(self) -> None:
-        self._sign(started=True)
-
-    def moving(self) -> None:
-        self._sign(started=False)
-
-    def _sign(self, started: bool) -> None:
-        if self._out:
-            attempt, _ = self._out
-            self._door.feed(api.AttemptProgress(self._number, attempt.number, attempt.uid, started))
-
-    def ended(self, end: AttemptOutcome, load: LoadReport | None = None) -> None:
-        assert self._out
-        (attempt, since), self._out = self._out, None
-        self._settled = self._settled or end is AttemptOutcome.SERVED
-        latency = micros(self._door.clock.now() - since)
-        ending = ENDINGS[end]
-        if end not in NEVER_RAN and not self._window_ends and self._job.job_class in self._door.windows:
-            self._window_ends = since + self._door.windows[self._job.job_class]
-        self._door.feed(
+    def report_started(self) -> None:
+        """Tell the policy that the worker has started to run the request."""
+        self._send_progress(started=True)
+
+    def report_progress(self) -> None:
+        """Tell the policy that the worker still runs the request."""
+        self._send_progress(started=False)
+
+    def _send_progress(self, started: bool) -> None:
+        if self._current_attempt:
+            attempt, _ = self._current_attempt
+            self._driver.handle_event(api.AttemptProgress(self._number, attempt.number, attempt.uid, started))
+
+    def end_attempt(self, outcome: AttemptOutcome, load: LoadReport | None = None) -> None:
+        """Tell the policy how the current attempt ended; another decision follows unless it was served."""
+        assert self._current_attempt
+        (attempt, since), self._current_attempt = self._current_attempt, None
+        self._is_finished = self._is_finished or outcome is AttemptOutcome.SERVED
+        latency = micros(self._driver.clock.now() - since)
+        policy_outcome = POLICY_OUTCOMES[outcome]
+        if (
+            outcome not in NEVER_RAN
+            and not self._retry_window_end
+            and self._profile.job_class in self._driver.retry_windows
+        ):
+            self._retry_window_end = since + self._driver.retry_windows[self._profile.job_class]
+        self._driver.handle_event(
             api.AttemptEnded(
-                self._number, attempt.number, attempt.uid, ending, latency, self._settled, figures_of(load)
+                self._number,
+                attempt.number,
+                attempt.uid,
+                policy_outcome,
+                latency,
+                self._is_finished,
+                load_values(load),
             )
         )
-        self._door.on_attempt_ended(attempt.uid, end)
+        self._driver.on_attempt_ended(attempt.uid, outcome)
 
-    def decided(self, action: api.Send | api.Reject | api.Fail) -> None:
-        """Called by the door alone."""
+    def deliver(self, action: api.Send | api.Reject | api.Fail) -> None:
+        """Deliver a decision of the policy; only the driver calls this."""
         match action:
             case api.Send(_, uid, timeout):
-                now = self._door.clock.now()
-                until = now + timedelta(microseconds=timeout) if timeout else self._job.deadline
-                repeatable = self._job.job_class not in self._door.unsafe_classes
-                until = min(until, self._job.deadline)
-                attempt = Attempt(self._attempts, uid, until, repeatable, self._window_ends)
-                self._attempts += 1
-                self._out = (attempt, now)
-                self._decided.put_nowait(attempt)
-            case api.Reject(_, advice):
-                self._settled = True
-                self._decided.put_nowait(FailFast(self._door.advised(timedelta(microseconds=advice))))
+                now = self._driver.clock.now()
+                deadline = now + timedelta(microseconds=timeout) if timeout else self._profile.deadline
+                is_retry_safe = self._profile.job_class not in self._driver.unsafe_classes
+                deadline = min(deadline, self._profile.deadline)
+                attempt = Attempt(self._attempt_count, uid, deadline, is_retry_safe, self._retry_window_end)
+                self._attempt_count += 1
+                self._current_attempt = (attempt, now)
+                self._decisions.put_nowait(attempt)
+            case api.Reject(_, retry_after):
+                self._is_finished = True
+                self._decisions.put_nowait(
+                    RejectDecision(self._driver.capped_retry_after(timedelta(microseconds=retry_after)))
+                )
             case api.Fail():
-                self._settled = True
-                self._decided.put_nowait(GiveUp())
+                self._is_finished = True
+                self._decisions.put_nowait(FailDecision())
 
 
 class PolicyDriver:
+    """Passes events to the policy and carries out the actions that it returns.
+
+    `start_probe`, `on_attempt_ended` and `send_hints` are callbacks; until they are set, they do nothing.
+    """
+
     def __init__(
-        self, settings: api.Settings, seed: int, clock: Clock, most_retry_after: timedelta = timedelta(0)
+        self, settings: api.Settings, seed: int, clock: Clock, max_retry_after: timedelta = timedelta(0)
     ) -> None:
-        self.clock, self._most_retry_after = clock, most_retry_after
-        self.probe: Callable[[str], None] = lambda uid: None  # who carries probes out
-        self.on_attempt_ended: Callable[[str, AttemptOutcome], None] = (
-            lambda uid, end: None
-        )  # how each attempt ended, and where
-        self.tell: Callable[[Sequence[int], Sequence[api.Hint]], None] = lambda to, hints: None
+        self.clock, self._max_retry_after = clock, max_retry_after
+        self.start_probe: Callable[[str], None] = lambda uid: None
+        self.on_attempt_ended: Callable[[str, AttemptOutcome], None] = lambda uid, outcome: None
+        self.send_hints: Callable[[Sequence[int], Sequence[api.Hint]], None] = lambda to, hints: None
         self.unsafe_classes = frozenset(
             c.name for c in settings.classes if c.repeat is not api.RetrySafety.SAFE
         )
-        # So long after its first attempt a keyed request may be sent again; what is sent takes its time.
-        kept = timedelta(microseconds=2 * settings.tick)
+        # How long after the start of the first attempt that may have run a keyed request may be retried.
+        # Workers deduplicate only within their window, so the time that sending takes is subtracted.
+        sending_time = timedelta(microseconds=2 * settings.tick)
         keyed = (c for c in settings.classes if c.repeat is api.RetrySafety.KEYED)
-        self.windows = {c.name: timedelta(microseconds=c.window) - kept for c in keyed}
+        self.retry_windows = {c.name: timedelta(microseconds=c.window) - sending_time for c in keyed}
         self._policy = Policy(settings, seed)
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._tickets: dict[int, Ticket] = {}
         self._timers: dict[int, asyncio.TimerHandle] = {}
-        self._serial = itertools.count()
-        self._last = 0
+        self._timer_numbers = itertools.count()
+        self._last_event_us = 0
 
     @property
     def open_requests(self) -> int:
+        """The number of requests that were admitted and have not ended."""
         return len(self._tickets)
 
     def save_learned_state(self) -> dict[str, Any]:
-        """What was learned here, for the process that follows."""
+        """Return what the policy has learned, for the next process."""
         return save_learned_state(self._policy)
 
-    def restore_learned_state(self, memory: dict[str, Any]) -> None:
-        restore_learned_state(self._policy, memory, self._last)
+    def restore_learned_state(self, state: dict[str, Any]) -> None:
+        """Restore what the policy of the previous process had learned."""
+        restore_learned_state(self._policy, state, self._last_event_us)
 
-    def pressure(self) -> api.SiteLoad:
+    def site_load(self) -> api.SiteLoad:
+        """Return how full the workers of this site are."""
         return summarize_site_load(self._policy)
 
-    def cluster(self) -> api.ClusterHealth:
+    def cluster_health(self) -> api.ClusterHealth:
+        """Return how many workers are listed and how many of them are avoided."""
         return self._policy.cluster_health()
 
     def close(self) -> None:
+        """Cancel all timers."""
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
 
-    def advised(self, wait: timedelta) -> timedelta | None:
-        """When a refused client is told to come back; None where clients are told nothing."""
-        return min(wait, self._most_retry_after) or None
+    def capped_retry_after(self, wait: timedelta) -> timedelta | None:
+        """Limit the Retry-After of a rejected request; None if responses carry none."""
+        return min(wait, self._max_retry_after) or None
 
-    def update(self, told: DestinationUpdate, kept: bool = False) -> None:
-        whole = api.WorkerListKind.CACHED if kept else api.WorkerListKind.FULL
-        workers = tuple(worker_of(endpoint) for endpoint in told.endpoints)
-        self.feed(api.WorkersChanged(whole if told.is_full or kept else api.WorkerListKind.CHANGES, workers))
+    def update_workers(self, update: DestinationUpdate, is_cached: bool = False) -> None:
+        """Pass a list of workers, or its changes, to the policy."""
+        full = api.WorkerListKind.CACHED if is_cached else api.WorkerListKind.FULL
+        workers = tuple(policy_worker(endpoint) for endpoint in update.endpoints)
+        self.handle_event(
+            api.WorkersChanged(full if update.is_full or is_cached else api.WorkerListKind.CHANGES, workers)
+        )
 
-    def probed(self, uid: str, end: AttemptOutcome, load: LoadReport | None) -> None:
-        self.feed(api.ProbeResult(uid, ENDINGS[end], figures_of(load)))
+    def record_probe(self, uid: str, outcome: AttemptOutcome, load: LoadReport | None) -> None:
+        """Pass the result of a probe to the policy."""
+        self.handle_event(api.ProbeResult(uid, POLICY_OUTCOMES[outcome], load_values(load)))
 
-    def heard(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
-        self.feed(api.HintsReceived(sender, hints))
+    def receive_hints(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
+        """Pass hints of another dispatcher to the policy."""
+        self.handle_event(api.HintsReceived(sender, hints))
 
-    def admit(self, job: Job) -> Ticket:
-        number = next(self._numbers)
-        ticket = self._tickets[number] = Ticket(self, number, job)
-        left = max(0, micros(job.deadline - self.clock.now()))
+    def admit(self, profile: RequestProfile) -> Ticket:
+        """Pass a new request to the policy; decisions come by the ticket."""
+        number = next(self._request_numbers)
+        ticket = self._tickets[number] = Ticket(self, number, profile)
+        time_left = max(0, micros(profile.deadline - self.clock.now()))
         try:
-            self.feed(
+            self.handle_event(
                 api.Request(
                     id=number,
-                    job_class=job.job_class,
-                    time_left=left,
-                    slots=job.slots,
-                    memory=job.memory,
-                    key=key_of(job.key),
-                    is_retry=job.is_retry,
-                    tenant=job.tenant,
-                    work_hint=micros(job.hint) if job.hint else None,
+                    job_class=profile.job_class,
+                    time_left=time_left,
+                    slots=profile.slots,
+                    memory=profile.memory,
+                    key=hash_key(profile.key),
+                    is_retry=profile.is_retry,
+                    tenant=profile.tenant,
+                    work_hint=micros(profile.duration_hint) if profile.duration_hint else None,
                 )
             )
         except BaseException:
-            with ticket:  # a defect of the module must not leave the request behind
+            with ticket:  # a defect of the policy must not leave the request open
                 raise
         return ticket
 
-    def release(self, number: int) -> None:
+    def remove_request(self, number: int) -> None:
+        """Remove a request that has ended; only its ticket calls this."""
         self._tickets.pop(number, None)
 
-    def feed(self, event: api.Event, not_before: int = 0) -> None:
+    def handle_event(self, event: api.Event, not_before: int = 0) -> None:
+        """Pass an event to the policy, at `not_before` at the earliest, and carry out its actions."""
         now = micros(self.clock.now() - EPOCH)
-        self._last = max(self._last, now, not_before)
-        for action in self._policy.handle(self._last, event):
+        self._last_event_us = max(self._last_event_us, now, not_before)
+        for action in self._policy.handle(self._last_event_us, event):
             match action:
                 case api.Send(request) | api.Reject(request) | api.Fail(request):
                     if ticket := self._tickets.get(request):
-                        ticket.decided(action)
+                        ticket.deliver(action)
                     else:
                         log.error("a decision for a request that has ended: %s", action)
                 case api.SetTimer(token, delay):
                     self._set_timer(token, delay)
                 case api.Log(text):
-                    log.info("decisions: %s", text)
+                    log.info("policy: %s", text)
                 case api.Probe(uid):
-                    self.probe(uid)
+                    self.start_probe(uid)
                 case api.SendHints(to, hints):
-                    self.tell(to, hints)
+                    self.send_hints(to, hints)
                 case api.Cancel() | api.Subscribe():
-                    pass  # an abandoned attempt is ended by its request; the watch is always on
+                    pass  # a request cancels its own attempt, and the watch on discovery always runs
 
     def _set_timer(self, token: int, delay: int) -> None:
-        serial, due = next(self._serial), self._last + delay
+        number, due = next(self._timer_numbers), self._last_event_us + delay
 
         def elapsed() -> None:
-            del self._timers[serial]
+            del self._timers[number]
             try:
-                # asyncio may call a hair early, but the module waits for the very microsecond
-                # it named: told of an earlier one it would set no further timer.
-                self.feed(api.Timer(token), not_before=due)
+                # asyncio may call a little early, but the policy expects the exact microsecond that it
+                # set: it ignores an earlier event and would set no further timer.
+                self.handle_event(api.Timer(token), not_before=due)
             except Exception:
-                log.exception("the decision module failed at a timer")
+                log.exception("the policy failed to handle a timer")
 
         wait = (due - micros(self.clock.now() - EPOCH)) / 1_000_000
-        self._timers[serial] = asyncio.get_running_loop().call_later(max(0.0, wait), elapsed)
+        self._timers[number] = asyncio.get_running_loop().call_later(max(0.0, wait), elapsed)
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -103,11 +103,11 @@
 
 
 SCRIPTS = {
-    "done": scripted.ends("done", result="page", load={"x0": 3, "util": 0.5}),
-    "failed": scripted.ends("failed"),
-    "lost": scripted.ends("lost"),
-    "returned": scripted.ends("returned"),
-    "breaks": scripted.breaks,
+    "done": scripted.ends_with("done", result="page", load={"x0": 3, "util": 0.5}),
+    "failed": scripted.ends_with("failed"),
+    "lost": scripted.ends_with("lost"),
+    "returned": scripted.ends_with("returned"),
+    "breaks": scripted.breaks_off,
     "turned away": scripted.status(503, "Not-Started: 1", "Server-Load: x0=0,util=1"),
     "error": scripted.status(500),
     "closes": scripted.serves_and_closes,
@@ -139,8 +139,8 @@
         assert set(statuses) <= {200, 502, 503, 504}
         ran = Counter[str]()
         for n, worker in enumerate(workers):
-            played = names[n::2] + names[n::2][-1:] * len(worker.seen)
-            for head, path, name in zip(worker.headers, worker.seen, played, strict=False):
+            played = names[n::2] + names[n::2][-1:] * len(worker.paths)
+            for head, path, name in zip(worker.headers, worker.paths, played, strict=False):
                 assert head["idempotency-key"] == "k"
                 lane = next(lane for lane in lanes if path.startswith(f"/{lane['name']}?"))
                 if lane["repeat"] == "unsafe" and name not in NEVER_RAN:
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -81,7 +81,7 @@
         self.hints: list[tuple[int, api.Hint]] = []
         self.received = asyncio.Event()
 
-    def heard(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
+    def receive_hints(self, sender: int, hints: tuple[api.Hint, ...]) -> None:
         self.hints += [(sender, hint) for hint in hints]
         self.received.set()
 
@@ -105,13 +105,13 @@
         ]
         for exchange in peers:
             await exchange.start()
-            exchange.learn(full_list(*NAMES), False)
+            exchange.add_workers(full_list(*NAMES), False)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
             bad = codec().encode([api.Hint("s-1", api.HintKind.FAILED, 1.0)])
             unknown_sender.sendto(bad, (addresses[1].host, addresses[1].port))
         for data in (b"", b"x" * 300, b"\xff" * HINT_BYTES, b"\x49" + b"??"):
             peers[1].datagram_received(data, (addresses[0].host, addresses[0].port))
-        drivers[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
+        drivers[0].send_hints((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
         async with asyncio.timeout(5):
             await drivers[1].received.wait()
             while not peers[1].dropped["of a stranger"]:
@@ -137,11 +137,11 @@
             early = Peers(drivers[1], other, [address, other])
             for exchange in (late, early):
                 await exchange.start()
-                exchange.learn(full_list(*NAMES), False)
-            drivers[0].tell((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
+                exchange.add_workers(full_list(*NAMES), False)
+            drivers[0].send_hints((1,), [api.Hint("s-2", api.HintKind.SENT, 4.0)])
         async with asyncio.timeout(5):
             while not drivers[1].hints:  # the address is free from here on
-                drivers[0].tell((1,), [api.Hint("s-3", api.HintKind.SENT, 4.0)])
+                drivers[0].send_hints((1,), [api.Hint("s-3", api.HintKind.SENT, 4.0)])
                 await asyncio.sleep(0)
         assert drivers[1].hints[0] == (0, api.Hint("s-3", api.HintKind.SENT, 4.0))
         for exchange in (late, early):
