--- a/rookwood/cluster/__init__.py
+++ b/rookwood/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What the data plane and the control plane share: settings, worker records and the links between them."""
+"""Code of both the data plane and the control plane: settings, worker records and the links between them."""
--- a/rookwood/cluster/configuration_follower.py
+++ b/rookwood/cluster/configuration_follower.py
@@ -1,11 +1,11 @@
-"""How a dispatcher comes to the newest configuration: one request under way, whatever is announced.
+"""Decides when a dispatcher fetches the configuration and from which control machine; no I/O.
 
-Control machines announce the position of the newest committed configuration. The follower asks one of them at
-a time for what it lacks, and again only when it was answered, the link broke, or the answer is overdue. So a
-dispatcher that is slow, or has a thin link, skips versions instead of falling behind.
+Control machines announce the position of the newest committed configuration. The follower has at most one
+fetch request pending, and sends the next one only after the response, the loss of the link or a timeout. A
+dispatcher that is slow or has little bandwidth therefore skips versions instead of falling behind.
 
-Each dispatcher prefers the control machines in an order of its own, by rendezvous hashing, which spreads the
-requests over them. One that announces a position before those that are preferred is asked a moment later.
+Each dispatcher ranks the control machines by rendezvous hashing, which spreads the requests over them. A
+machine that announces a position before the higher-ranked ones do is asked after a short delay.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 from rookwood.clusterconfig.items import ItemChanges
 from rookwood.coordination.rendezvous import weight
 
-# Four machines can be asked in turn within the shortest time in which a change must be in force.
+# Four machines can be asked one after the other within the shortest time allowed for applying a change.
 ANSWER_LIMIT = 0.5  # seconds
-PREFERENCE_PAUSE = 0.03  # seconds by which a machine is asked later for each one that is preferred to it
-LEVEL_AGE = 1.0  # seconds since a heartbeat for which its answer is taken for the present state
-AVOIDANCE = 2.0  # seconds for which a machine that did not answer is the last to be asked
+PREFERENCE_DELAY = 0.03  # seconds of delay for each higher-ranked machine
+HEARTBEAT_ANSWER_LIFETIME = 1.0  # seconds from sending a heartbeat for which its answer counts
+AVOIDANCE_PERIOD = 2.0  # seconds for which a machine that timed out is ranked last
 
-TakeWhole = Callable[[bytes], ApplyOutcome]
-TakeChanges = Callable[[ItemChanges, int], ApplyOutcome]
+ApplyFullConfiguration = Callable[[bytes], ApplyOutcome]
+ApplyChanges = Callable[[ItemChanges, int], ApplyOutcome]
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
-    """A request for the configuration, and the control machine that it goes to."""
+class FetchRequest:
+    """A fetch request for the configuration and the control machine to send it to."""
 
     peer: str
     message: FetchConfiguration
@@ -48,114 +48,119 @@
 
 @dataclass(slots=True)
 class Announcement:
-    """The newest position that a control machine told, and when it first told one beyond ours.
+    """The newest position that a control machine announced, and its contact with the primary.
 
-    `confirmed_at` is when the last heartbeat was sent that it answered while in touch with the primary.
+    `primary` and `fresh` repeat its claims to be the primary and to be in contact with it. The preference
+    delays count from `delays_start_at`: when the machine first announced a position newer than the one in
+    force, or when a configuration was last put in force. `confirmed_at` is the sending time of the last
+    heartbeat that the machine answered while in contact with the primary.
     """
 
     position: ConfigurationPosition
     primary: bool
     fresh: bool
-    since: float
+    delays_start_at: float
     confirmed_at: float = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
-    """From when on a control machine may be asked."""
+class EligiblePeer:
+    """A control machine and the time from which it may be asked."""
 
     peer: str
-    begins: float
+    eligible_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class UnderWay:
-    """The request that waits for its answer."""
+class PendingRequest:
+    """The fetch request without a response yet; `waiting_since` restarts with each part of the response."""
 
     peer: str
-    asked_at: float
+    waiting_since: float
 
 
 class ConfigurationFollower:
-    """Keeps the configuration of one process up to date; it never goes back to an older position.
+    """Keeps the configuration of one process up to date; its position never decreases.
 
-    The first configuration must be confirmed by a majority since this process started: a control machine
-    that is cut off from the others may hold an old one. Later ones need only be newer.
+    A majority must have confirmed the first configuration after this process started, because a control
+    machine that is cut off from the others may hold an old one. Later configurations only have to be newer.
     """
 
     def __init__(
         self,
         identity: str,
-        take_whole: TakeWhole,
-        take_changes: TakeChanges,
+        apply_full: ApplyFullConfiguration,
+        apply_changes: ApplyChanges,
         progress: ConfigurationProgress | None = None,
         invariants: InvariantCounter = INVARIANTS,
     ) -> None:
         self.progress = progress or ConfigurationProgress()
         self._invariants = invariants
         self._identity = identity
-        self._take_whole = take_whole
-        self._take_changes = take_changes
+        self._apply_full = apply_full
+        self._apply_changes = apply_changes
         self._announcements: dict[str, Announcement] = {}
-        self._under_way: UnderWay | None = None
+        self._pending: PendingRequest | None = None
         self._avoided_until: dict[str, float] = {}
-        self._needs_whole = False
+        self._needs_full = False
         self.position = NO_CONFIGURATION
         self.confirmed = False
 
     @property
-    def newest(self) -> ConfigurationPosition:
-        """The newest position that a linked machine announced, or the own one."""
-        announced = (announcement.position for announcement in self._announcements.values())
-        return max(announced, default=NO_CONFIGURATION)
+    def newest_announced(self) -> ConfigurationPosition:
+        """The newest position that a linked machine announced."""
+        positions = (announcement.position for announcement in self._announcements.values())
+        return max(positions, default=NO_CONFIGURATION)
 
     def is_level(self, now: float) -> bool:
-        """Whether a machine in touch with the primary just confirmed this position, and none told a newer.
+        """Whether a machine in contact with the primary confirmed this position lately, and none has a newer.
 
-        Only the answer to a heartbeat confirms. A status does not tell when it was sent: this process may
-        have stood still since, or the link may be slow.
+        Only the answer to a heartbeat confirms a position. A status carries no sending time: it may have been
+        delayed by a slow link or by a stall of this process.
         """
-        informed = any(
-            known.fresh and now - known.confirmed_at < LEVEL_AGE for known in self._announcements.values()
+        confirmed_lately = any(
+            known.fresh and now - known.confirmed_at < HEARTBEAT_ANSWER_LIFETIME
+            for known in self._announcements.values()
         )
-        return informed and self.newest <= self.position
+        return confirmed_lately and self.newest_announced <= self.position
 
     def received(self, peer: str, message: Message, now: float) -> None:
-        """Take in a message; those that tell nothing of configurations are passed over."""
+        """Handle a message; messages that do not concern the configuration are ignored."""
         if isinstance(message, Status):
-            self.announced(peer, message, now)
+            self.handle_status(peer, message, now)
         elif isinstance(message, HeartbeatAnswer):
-            self.confirmed_by(peer, message, now)
+            self.handle_heartbeat_answer(peer, message, now)
         elif isinstance(message, ConfigurationBody):
-            self.take_whole(peer, message, now)
+            self.handle_full_configuration(peer, message, now)
         elif isinstance(message, ConfigurationDelta):
-            self.take_delta(peer, message, now)
+            self.handle_delta(peer, message, now)
 
-    def announced(self, peer: str, status: Status, now: float) -> None:
-        """A control machine told its newest position; over one link, positions only rise.
+    def handle_status(self, peer: str, status: Status, now: float) -> None:
+        """Update the announcement of a control machine; over one link, positions never decrease.
 
-        A status may have been made before an answer that came sooner, so it takes nothing back.
+        A status may be older than a heartbeat answer that arrived before it, so it never lowers the position
+        and keeps the time of the last confirmation.
         """
         known = self._announcements.get(peer)
         if status.config_sequence <= 0 and known is None:
             return
         position = max(status.position, known.position) if known is not None else status.position
-        announcement = Announcement(position, status.claims_primary, status.fresh, since=now)
+        announcement = Announcement(position, status.claims_primary, status.fresh, delays_start_at=now)
         if known is not None:
             announcement.confirmed_at = known.confirmed_at
             if known.position > self.position:
-                announcement.since = known.since
+                announcement.delays_start_at = known.delays_start_at
         self._announcements[peer] = announcement
         self.progress.announce(position)
 
-    def confirmed_by(self, peer: str, answer: HeartbeatAnswer, now: float) -> None:
-        """A control machine answered a heartbeat; its status came before."""
+    def handle_heartbeat_answer(self, peer: str, answer: HeartbeatAnswer, now: float) -> None:
+        """Update the announcement from a heartbeat answer; ignored before the first status of the machine."""
         known = self._announcements.get(peer)
         if known is None:
             return
         if answer.position > known.position:
             if known.position <= self.position:
-                known.since = now
+                known.delays_start_at = now
             known.position = answer.position
             self.progress.announce(answer.position)
         known.fresh = answer.fresh
@@ -163,120 +168,134 @@
             known.confirmed_at = answer.heartbeat_sent_at
 
     def unlinked(self, peer: str) -> None:
-        """The link to a control machine ended; what was asked there is not answered any more."""
+        """Forget a control machine whose link closed, and a request that is pending there."""
         self._announcements.pop(peer, None)
-        if not self._has_news():
-            self.progress.expect_nothing()
-        if self._under_way is not None and self._under_way.peer == peer:
-            self._under_way = None
-
-    def take_whole(self, peer: str, body: ConfigurationBody, now: float) -> None:
-        """A whole configuration came."""
-        self._answered(peer)
+        if not self._is_behind():
+            self.progress.clear_announced()
+        if self._pending is not None and self._pending.peer == peer:
+            self._pending = None
+
+    def handle_full_configuration(self, peer: str, body: ConfigurationBody, now: float) -> None:
+        """Apply a full configuration if it is newer, and confirmed where that is required."""
+        self._record_response(peer)
         if body.position <= self.position or not (self.confirmed or body.confirmed):
             return
-        if body.source and not isinstance(self._take_whole(body.source), Applied):
-            self._under_way = UnderWay(peer, now)  # another machine is asked, after a pause
+        if body.source and not isinstance(self._apply_full(body.source), Applied):
+            self._pending = PendingRequest(
+                peer, now
+            )  # the next request waits for the timeout, then goes to another machine
             return
         self.confirmed = True
-        self._advance(body.position, now)
+        self._advance_to(body.position, now)
 
-    def take_delta(self, peer: str, delta: ConfigurationDelta, now: float) -> None:
-        """Changes came; those since the position in force that do not fit make it ask for the whole.
+    def handle_delta(self, peer: str, delta: ConfigurationDelta, now: float) -> None:
+        """Apply a delta; if its base is the position in force and it does not fit, fetch a full one.
 
-        Changes since an older position answer an earlier request. Those that do not fit any more are dropped:
-        the next request tells the position in force.
+        A delta with an older base answers an earlier request. If it no longer fits it is dropped, since the
+        next request names the position in force.
         """
-        self._answered(peer)
+        self._record_response(peer)
         if not delta.base <= self.position < delta.position or not self.confirmed:
             return
-        if isinstance(self._take_changes(delta.changes, delta.digest), Applied):
-            self._advance(delta.position, now)
+        if isinstance(self._apply_changes(delta.changes, delta.digest), Applied):
+            self._advance_to(delta.position, now)
             return
         if delta.base < self.position:
             return
         detail = f"{delta.base} to {delta.position} on {self.position}"
         self._invariants.violated(Invariant.DELTA_FITS, detail)
-        self._needs_whole = True
+        self._needs_full = True
 
     def answering(self, peer: str, now: float) -> None:
-        """A part of a message is coming from a machine: what is under way there is not overdue yet."""
-        if self._under_way is not None and self._under_way.peer == peer:
-            self._under_way = UnderWay(peer, now)
+        """Restart the timeout of the request pending at a machine, from which a part of a message arrived."""
+        if self._pending is not None and self._pending.peer == peer:
+            self._pending = PendingRequest(peer, now)
 
     @property
     def asked(self) -> str | None:
-        """The machine whose answer is waited for."""
-        return self._under_way.peer if self._under_way is not None else None
+        """The machine at which a fetch request is pending."""
+        return self._pending.peer if self._pending is not None else None
 
     def overdue(self, now: float) -> str | None:
-        """The machine whose answer is overdue."""
-        under_way = self._under_way
-        if under_way is None or now - under_way.asked_at <= ANSWER_LIMIT:
+        """The machine whose response is overdue."""
+        pending = self._pending
+        if pending is None or now - pending.waiting_since <= ANSWER_LIMIT:
             return None
-        return under_way.peer
+        return pending.peer
 
-    def next_request(self, now: float) -> Request | None:
-        """The request to send now, if there is one; it counts as sent."""
-        self._give_up_overdue(now)
-        if self._under_way is not None:
+    def next_request(self, now: float) -> FetchRequest | None:
+        """The request to send now, if any; it is pending from now on."""
+        self._abandon_overdue_request(now)
+        if self._pending is not None:
             return None
-        peer = self._choose(now)
+        peer = self._choose_peer(now)
         if peer is None:
             return None
-        self._under_way = UnderWay(peer, now)
-        base = NO_CONFIGURATION if self._needs_whole else self.position
+        self._pending = PendingRequest(peer, now)
+        base = NO_CONFIGURATION if self._needs_full else self.position
         sequence = self._announcements[peer].position.sequence
         message = FetchConfiguration(sequence, not self.confirmed, base.epoch, base.sequence)
-        return Request(peer, message)
+        return FetchRequest(peer, message)
 
     def next_wakeup(self, now: float) -> float | None:
-        """When `next_request` is to be called again without news; None if news come first."""
-        if self._under_way is not None:
-            return self._under_way.asked_at + ANSWER_LIMIT
-        return min((turn.begins for turn in self._turns(now) if turn.begins > now), default=None)
-
-    def _choose(self, now: float) -> str | None:
-        """The most preferred machine that has news, once those before it had their chance to have them."""
-        return next((turn.peer for turn in self._turns(now) if turn.begins <= now), None)
-
-    def _turns(self, now: float) -> list[Turn]:
-        """From when on each machine that has news may be asked, the most preferred one first."""
-        if not self._has_news():
+        """When to call `next_request` again unless a message arrives first; None if nothing is scheduled."""
+        if self._pending is not None:
+            return self._pending.waiting_since + ANSWER_LIMIT
+        return min(
+            (candidate.eligible_at for candidate in self._eligible_peers(now) if candidate.eligible_at > now),
+            default=None,
+        )
+
+    def _choose_peer(self, now: float) -> str | None:
+        """The highest-ranked machine that is eligible now."""
+        return next(
+            (candidate.peer for candidate in self._eligible_peers(now) if candidate.eligible_at <= now), None
+        )
+
+    def _eligible_peers(self, now: float) -> list[EligiblePeer]:
+        """Machines with a newer position and the times from which they may be asked, highest-ranked first.
+
+        Before the first configuration only machines that claim to be the primary count, without a delay.
+        """
+        if not self._is_behind():
             return []
         if not self.confirmed:
-            return [Turn(peer, now) for peer in self._preferred(now) if self._announcements[peer].primary]
-        turns = []
-        for rank, peer in enumerate(self._preferred(now)):
+            return [
+                EligiblePeer(peer, now)
+                for peer in self._peers_by_preference(now)
+                if self._announcements[peer].primary
+            ]
+        eligible = []
+        for rank, peer in enumerate(self._peers_by_preference(now)):
             known = self._announcements[peer]
             if known.position > self.position:
-                turns.append(Turn(peer, known.since + rank * PREFERENCE_PAUSE))
-        return turns
+                eligible.append(EligiblePeer(peer, known.delays_start_at + rank * PREFERENCE_DELAY))
+        return eligible
 
-    def _preferred(self, now: float) -> list[str]:
-        return sorted(self._announcements, key=lambda peer: self._preference(peer, now))
+    def _peers_by_preference(self, now: float) -> list[str]:
+        return sorted(self._announcements, key=lambda peer: self._preference_key(peer, now))
 
-    def _has_news(self) -> bool:
-        return self.newest > self.position
+    def _is_behind(self) -> bool:
+        return self.newest_announced > self.position
 
-    def _preference(self, peer: str, now: float) -> tuple[bool, int]:
+    def _preference_key(self, peer: str, now: float) -> tuple[bool, int]:
         avoided = self._avoided_until.get(peer, now) > now
         return avoided, -weight(f"configuration {self._identity}", peer)
 
-    def _give_up_overdue(self, now: float) -> None:
+    def _abandon_overdue_request(self, now: float) -> None:
         peer = self.overdue(now)
         if peer is not None:
-            self._avoided_until[peer] = now + AVOIDANCE
-            self._under_way = None
+            self._avoided_until[peer] = now + AVOIDANCE_PERIOD
+            self._pending = None
 
-    def _answered(self, peer: str) -> None:
-        if self._under_way is not None and self._under_way.peer == peer:
-            self._under_way = None
+    def _record_response(self, peer: str) -> None:
+        if self._pending is not None and self._pending.peer == peer:
+            self._pending = None
         self._avoided_until.pop(peer, None)
 
-    def _advance(self, position: ConfigurationPosition, now: float) -> None:
+    def _advance_to(self, position: ConfigurationPosition, now: float) -> None:
         self.position = position
-        self._needs_whole = False
+        self._needs_full = False
         self.progress.put_in_force(position)
         for announcement in self._announcements.values():
-            announcement.since = now
+            announcement.delays_start_at = now
--- a/rookwood/cluster/control_status.py
+++ b/rookwood/cluster/control_status.py
@@ -1,6 +1,6 @@
-"""What a control machine tells of itself and of its copy of the control state, as JSON; no I/O.
+"""The JSON status and history of a control machine; no I/O.
 
-Both sides use this module: `controlplane/control_api.py` writes it and `rookwood control` reads it.
+`controlplane/control_api.py` writes these documents and `rookwood control` reads them.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 
 class ControlStatusError(ValueError):
-    """A body does not tell a status or a history."""
+    """A response body is not a status or a history."""
 
 
 class ControlRole(enum.Enum):
-    """What a control machine takes itself for."""
+    """The role that a control machine reports."""
 
     PRIMARY = "primary"
     BACKUP = "backup"
     LEARNER = "learner"  # follows the primary without being a member
-    UNATTACHED = "unattached"
+    UNATTACHED = "unattached"  # starting, recovering, joining, or without a known primary
 
 
 @dataclass(frozen=True, order=True)
 class StatePosition:
-    """The place of a document in the history."""
+    """The position of a control document in the order of all commits."""
 
     epoch: int
     sequence: int
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True)
 class DispatcherBehind:
-    """A dispatcher that lacks a committed configuration.
+    """A dispatcher that does not have the newest committed configuration in force.
 
-    `position` is what it reported, `seconds` the age of the oldest commit after that.
+    `position` is the one that it reported, `seconds` the age of the oldest commit after it.
     """
 
     dispatcher: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class DispatcherOverview:
-    """The dispatchers that report to a control machine: how many, and who is farthest behind if anyone is."""
+    """How many dispatchers report to a control machine, and which is farthest behind, if any is."""
 
     reporting: int
     farthest_behind: DispatcherBehind | None
@@ -61,12 +61,13 @@
 
 @dataclass(frozen=True)
 class MachineStatus:
-    """One control machine, its copy, and the dispatchers that report to it.
+    """The status of a control machine, of its copy and of the dispatchers that report to it.
 
-    `committed` is the newest document known here to be committed, `digest` that of its payload and `version`
-    that of its configuration. `stored` is what this machine has synced. `holds_copy` is false while the
-    machine is joining or recovering: its disk then counts for nothing. `dispatchers` is None where the
-    machine is of a release that does not tell it.
+    `reason` says why a machine is unattached. `committed` is the position of the newest document that the
+    machine knows to be committed, `digest` the digest of its payload and `version` the version of its
+    configuration. `stored` is the position that the machine has synced to disk. `holds_copy` is false while
+    the machine is joining or recovering, when its disk does not count towards a majority. `dispatchers` is
+    None for a machine of a release that does not report it.
     """
 
     machine: str
@@ -86,17 +87,17 @@
 
     @property
     def leads(self) -> bool:
-        """Whether the machine takes itself for the primary."""
+        """Whether the machine reports itself as the primary."""
         return self.primary == self.machine
 
     def to_json(self) -> dict[str, Any]:
-        """The status as JSON values."""
+        """Return the status as JSON values."""
         return {**asdict(self), "role": self.role.value}
 
     @classmethod
     def from_json(cls, value: object) -> MachineStatus:
-        """Read what `to_json` wrote; unknown keys are passed over."""
-        fields = _object(value)
+        """Parse what `to_json` returned; unknown keys are ignored. Raises ControlStatusError."""
+        fields = _require_object(value)
         try:
             return cls(
                 machine=str(fields["machine"]),
@@ -108,19 +109,19 @@
                 holds_copy=bool(fields["holds_copy"]),
                 members=tuple(str(member) for member in fields["members"]),
                 reachable=tuple(str(member) for member in fields["reachable"]),
-                committed=_position(fields["committed"]),
-                stored=_position(fields["stored"]),
+                committed=_parse_position(fields["committed"]),
+                stored=_parse_position(fields["stored"]),
                 version=int(fields["version"]),
                 digest=str(fields["digest"]),
-                dispatchers=_overview(fields.get("dispatchers")),
+                dispatchers=_parse_overview(fields.get("dispatchers")),
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise ControlStatusError(f"no status of a control machine: {error!r}") from error
+            raise ControlStatusError(f"not the status of a control machine: {error!r}") from error
 
 
 @dataclass(frozen=True)
 class HistoryEntry:
-    """A change that was taken: the version that it led to, and its digest."""
+    """An accepted change: the version that it led to, and its digest."""
 
     version: int
     digest: str
@@ -128,46 +129,48 @@
 
 @dataclass(frozen=True)
 class MachineHistory:
-    """The changes that a control machine remembers, oldest first."""
+    """The accepted changes that a control machine remembers, oldest first."""
 
     machine: str
     committed: StatePosition
     changes: tuple[HistoryEntry, ...]
 
     def to_json(self) -> dict[str, Any]:
-        """The history as JSON values."""
+        """Return the history as JSON values."""
         return asdict(self)
 
     @classmethod
     def from_json(cls, value: object) -> MachineHistory:
-        """Read what `to_json` wrote; unknown keys are passed over."""
-        fields = _object(value)
+        """Parse what `to_json` returned; unknown keys are ignored. Raises ControlStatusError."""
+        fields = _require_object(value)
         try:
             changes = tuple(
                 HistoryEntry(int(change["version"]), str(change["digest"])) for change in fields["changes"]
             )
-            return cls(str(fields["machine"]), _position(fields["committed"]), changes)
+            return cls(str(fields["machine"]), _parse_position(fields["committed"]), changes)
         except (KeyError, TypeError, ValueError) as error:
-            raise ControlStatusError(f"no history of a control machine: {error!r}") from error
+            raise ControlStatusError(f"not the history of a control machine: {error!r}") from error
 
 
-def _object(value: object) -> Mapping[str, Any]:
+def _require_object(value: object) -> Mapping[str, Any]:
     if not isinstance(value, dict):
         raise ControlStatusError("not a JSON object")
     return value
 
 
-def _position(value: Mapping[str, Any]) -> StatePosition:
+def _parse_position(value: Mapping[str, Any]) -> StatePosition:
     return StatePosition(int(value["epoch"]), int(value["sequence"]))
 
 
-def _overview(value: Mapping[str, Any] | None) -> DispatcherOverview | None:
+def _parse_overview(value: Mapping[str, Any] | None) -> DispatcherOverview | None:
     if value is None:
         return None
-    return DispatcherOverview(int(value["reporting"]), _behind(value["farthest_behind"]))
+    return DispatcherOverview(int(value["reporting"]), _parse_lagging_dispatcher(value["farthest_behind"]))
 
 
-def _behind(value: Mapping[str, Any] | None) -> DispatcherBehind | None:
+def _parse_lagging_dispatcher(value: Mapping[str, Any] | None) -> DispatcherBehind | None:
     if value is None:
         return None
-    return DispatcherBehind(str(value["dispatcher"]), _position(value["position"]), float(value["seconds"]))
+    return DispatcherBehind(
+        str(value["dispatcher"]), _parse_position(value["position"]), float(value["seconds"])
+    )
--- a/rookwood/cluster/engines.py
+++ b/rookwood/cluster/engines.py
@@ -1,4 +1,4 @@
-"""An engine of the operator's configuration as model placement sees it; for both programs."""
+"""Converts the engines of the configuration for model placement, in both programs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def model_specs(engine: Engine) -> dict[str, ModelSpec]:
-    """The models of an engine by name."""
+    """Return the model specifications of an engine, by model name."""
     return {
         model.name: ModelSpec(model.name, model.size_mb, model.load_s, model.adapters, model.adapter_mb)
         for model in engine.models.values()
--- a/rookwood/cluster/feed.py
+++ b/rookwood/cluster/feed.py
@@ -1,6 +1,7 @@
-"""Feeds: control machines send updates to their subscribers, dispatchers and other control machines.
+"""The feeds by which control machines send updates to dispatchers and to other control machines.
 
-Both sides of a link send heartbeats; `connection` closes one on which nothing arrived for a while.
+Both sides of a link send at regular intervals, the subscriber heartbeats and the server statuses, because
+`Connection` closes a link on which nothing arrives for a while.
 """
 
 from __future__ import annotations
@@ -15,35 +16,38 @@
 from rookwood.cluster.connection import Connection
 from rookwood.cluster.frames import encode_frame
 from rookwood.cluster.messages import Heartbeat, Hello, Message
-from rookwood.cluster.outbox import subject_of
+from rookwood.cluster.outbox import conflation_key
 from rookwood.cluster.position import NO_CONFIGURATION, ConfigurationPosition
 from rookwood.metrics.traffic import PEER_CORE, peer_kind
 
 logger = logging.getLogger("rookwood")
 
-HEARTBEAT_INTERVAL = 0.4
-BEAT_PHASE = random.uniform(0.0, HEARTBEAT_INTERVAL)  # seconds; of this process
-LEAST_BEAT_SHARE = 0.05  # of the interval; a timer may go off a little early
-CONNECT_LIMIT = 0.5
-RECONNECT_PAUSE = 0.2
-RECONNECT_SPREAD = (0.5, 1.5)  # of the pause; links that broke together do not all come back at once
+HEARTBEAT_INTERVAL = 0.4  # seconds
+HEARTBEAT_PHASE = random.uniform(0.0, HEARTBEAT_INTERVAL)  # seconds; the offset of this process's heartbeats
+MIN_INTERVAL_SHARE = 0.05  # of the interval; a timer may fire slightly early
+CONNECT_LIMIT = 0.5  # seconds
+RECONNECT_DELAY = 0.2  # seconds
+RECONNECT_JITTER = (
+    0.5,
+    1.5,
+)  # factors of the delay; links that broke together must not all reconnect at once
 
 
 class FeedHandler(Protocol):
-    """What a feed server calls."""
+    """The callbacks of a feed server."""
 
     def greeting(self, connection: Connection) -> Iterable[Message]:
-        """The messages that a new subscriber gets first."""
+        """The messages to send to a new subscriber first."""
 
     def received(self, connection: Connection, message: Message) -> None:
-        """A subscriber sent a message."""
+        """Handle a message from a subscriber."""
 
     def lost(self, connection: Connection) -> None:
-        """A subscriber's link ended."""
+        """Handle the end of a subscriber's link."""
 
 
 class FeedServer:
-    """Accepts subscribers and sends every update to each of them."""
+    """Accepts links from subscribers and sends them updates."""
 
     def __init__(self, handler: FeedHandler) -> None:
         self._handler = handler
@@ -53,56 +57,56 @@
 
     @property
     def connections(self) -> frozenset[Connection]:
-        """The subscribers that have said hello."""
+        """The links on which a hello has arrived, status-only ones included."""
         return frozenset(self._connections)
 
     @property
     def subscribers(self) -> frozenset[Connection]:
-        """Those of them that want the feed of workers and work notices."""
+        """The links that subscribe to workers and work notices, not only to statuses."""
         return frozenset(known for known in self._connections if known.hello and known.hello.subscribes)
 
     async def start(self, ip: str, port: int) -> None:
-        """Listen at the address."""
+        """Listen on the address."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, ip, port)
 
     async def stop(self) -> None:
-        """Stop listening and drop all subscribers."""
+        """Stop listening and close all links."""
         if self._server is not None:
             self._server.close()
         for connection in self._accepted.copy():
             connection.abort()
 
     def broadcast(self, message: Message) -> None:
-        """Send one message to all subscribers, encoded once."""
+        """Send a message on all links, encoded once."""
         if not self._connections:
             return
         self.send_to(list(self._connections), message)
 
     @staticmethod
     def send_to(connections: Iterable[Connection], message: Message) -> None:
-        """Send one message to some subscribers, encoded once."""
+        """Send a message on the given links, encoded once."""
         frame = encode_frame(message)
-        subject = subject_of(message)
+        key = conflation_key(message)
         for connection in connections:
-            connection.send_frame(frame, subject)
+            connection.send_frame(frame, key)
 
     def _accept(self) -> Connection:
         connection = Connection()
         self._accepted.add(connection)
-        connection.start(self._receive, self._end)
+        connection.start(self._receive, self._remove)
         return connection
 
     def _receive(self, connection: Connection, message: Message) -> None:
         if connection.hello is None:
-            self._greet(connection, message)
+            self._handle_hello(connection, message)
             return
         if isinstance(message, Heartbeat):
             connection.position = message.position
         self._handler.received(connection, message)
 
-    def _greet(self, connection: Connection, message: Message) -> None:
-        """The first message has to say who calls."""
+    def _handle_hello(self, connection: Connection, message: Message) -> None:
+        """Register the link under its first message, which must be a hello, and send the initial messages."""
         if not isinstance(message, Hello):
             connection.abort()
             return
@@ -112,7 +116,7 @@
         for greeting in self._handler.greeting(connection):
             connection.send(greeting)
 
-    def _end(self, connection: Connection) -> None:
+    def _remove(self, connection: Connection) -> None:
         self._accepted.discard(connection)
         if connection in self._connections:
             self._connections.discard(connection)
@@ -120,38 +124,38 @@
 
 
 class LinkHandler(Protocol):
-    """What a feed link calls; `peer` is the IP that the link leads to."""
+    """The callbacks of a feed link; `peer` is the IP address at the other end."""
 
     def linked(self, peer: str, connection: Connection) -> None:
-        """The link is open."""
+        """Handle the opening of a link."""
 
     def received(self, peer: str, message: Message) -> None:
-        """A message arrived."""
+        """Handle a message from the peer."""
 
     def unlinked(self, peer: str) -> None:
-        """The link is gone; it is opened again by itself."""
+        """Handle the end of a link, which reconnects automatically."""
 
 
 PositionReader = Callable[[], ConfigurationPosition]
-"""Tells the position of the configuration in force, for heartbeats."""
+"""Returns the position of the configuration in force, which heartbeats report."""
 
 
-def read_no_position() -> ConfigurationPosition:
-    """For machines that serve by no configuration."""
+def no_position() -> ConfigurationPosition:
+    """The position of a process that has no configuration in force."""
     return NO_CONFIGURATION
 
 
 StallReader = Callable[[], float]
-"""Tells for how many seconds in all this process has stood still, for heartbeats."""
+"""Returns for how many seconds in total this process has been stalled, which heartbeats report."""
 
 
-def read_no_stalls() -> float:
-    """For machines that nobody judges by the time that they take."""
+def no_stall() -> float:
+    """The stall time of a process whose response times are not checked."""
     return 0.0
 
 
 class FeedLink:
-    """Keeps a subscription to one control machine open."""
+    """Keeps a link to one control machine open, with heartbeats, and reconnects when it ends."""
 
     def __init__(
         self,
@@ -159,12 +163,12 @@
         port: int,
         hello: Hello,
         handler: LinkHandler,
-        position: PositionReader = read_no_position,
-        stalled: StallReader = read_no_stalls,
+        read_position: PositionReader = no_position,
+        read_stall: StallReader = no_stall,
     ) -> None:
         self.peer = peer
-        self._position = position
-        self._stalled = stalled
+        self._read_position = read_position
+        self._read_stall = read_stall
         self._port = port
         self._hello = hello
         self._handler = handler
@@ -172,18 +176,18 @@
         self._task = asyncio.create_task(self._run())
 
     def close(self) -> None:
-        """End the subscription."""
+        """Close the link for good."""
         self._task.cancel()
 
     async def _run(self) -> None:
         while True:
             try:
-                await self._attempt()
+                await self._connect_once()
             except Exception:
                 logger.exception("link failed", extra={"peer": self.peer})
-            await asyncio.sleep(RECONNECT_PAUSE * random.uniform(*RECONNECT_SPREAD))
+            await asyncio.sleep(RECONNECT_DELAY * random.uniform(*RECONNECT_JITTER))
 
-    async def _attempt(self) -> None:
+    async def _connect_once(self) -> None:
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_LIMIT):
@@ -193,7 +197,7 @@
         ended = asyncio.Event()
         connection.peer_kind = PEER_CORE
         connection.send(self._hello)
-        beats = asyncio.create_task(self._send_heartbeats(connection))
+        heartbeats = asyncio.create_task(self._send_heartbeats(connection))
         self.connection = connection
         try:
             self._handler.linked(self.peer, connection)
@@ -201,7 +205,7 @@
             await ended.wait()
         finally:
             self.connection = None
-            beats.cancel()
+            heartbeats.cancel()
             connection.abort()
             self._handler.unlinked(self.peer)
 
@@ -212,27 +216,30 @@
     async def _send_heartbeats(self, connection: Connection) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(time_to_beat(loop.time()))
-            position = self._position()
+            await asyncio.sleep(time_to_heartbeat(loop.time()))
+            position = self._read_position()
             sent_at = loop.time()
-            stalled = self._stalled()
+            stalled = self._read_stall()
             connection.send(
                 Heartbeat(self._hello.identity, position.epoch, position.sequence, sent_at, stalled)
             )
 
 
-def time_to_beat(now: float) -> float:
-    """Seconds to the next heartbeat. All links of a process beat together, so that it wakes once for all.
+def time_to_heartbeat(now: float) -> float:
+    """Seconds to the next heartbeat.
 
-    Processes beat at moments of their own, so that a control machine is not called by all at once. A beat
-    that is almost due is the one that was just sent.
+    All links of a process send heartbeats at the same times, so that it wakes up once for all of them. Each
+    process has its own offset, so that a control machine does not receive all heartbeats at once. A heartbeat
+    that is due almost at once counts as the one just sent.
     """
-    left = HEARTBEAT_INTERVAL - (now + BEAT_PHASE) % HEARTBEAT_INTERVAL
-    return left if left > LEAST_BEAT_SHARE * HEARTBEAT_INTERVAL else left + HEARTBEAT_INTERVAL
+    remaining = HEARTBEAT_INTERVAL - (now + HEARTBEAT_PHASE) % HEARTBEAT_INTERVAL
+    return (
+        remaining if remaining > MIN_INTERVAL_SHARE * HEARTBEAT_INTERVAL else remaining + HEARTBEAT_INTERVAL
+    )
 
 
 class LinkSet:
-    """The links to control machines: subscriptions, and links on which statuses alone are listened to."""
+    """The links of a process to control machines: subscriptions and status-only links."""
 
     def __init__(
         self,
@@ -240,11 +247,11 @@
         hello: Hello,
         handler: LinkHandler,
         own_ip: str,
-        position: PositionReader = read_no_position,
-        stalled: StallReader = read_no_stalls,
+        read_position: PositionReader = no_position,
+        read_stall: StallReader = no_stall,
     ) -> None:
-        self._position = position
-        self._stalled = stalled
+        self._read_position = read_position
+        self._read_stall = read_stall
         self._port = port
         self._hello = hello
         self._handler = handler
@@ -252,38 +259,40 @@
         self._links: dict[str, FeedLink] = {}
         self._subscribed: set[str] = set()
 
-    def want(self, peers: Iterable[str], listened: Iterable[str] = ()) -> None:
-        """Subscribe to these peers, listen to those besides, and close the links to all others.
+    def want(self, peers: Iterable[str], status_only: Iterable[str] = ()) -> None:
+        """Subscribe to `peers`, keep status-only links to `status_only`, and close the links to all others.
 
-        A link that is to become a subscription, or is one no more, is opened anew.
+        A link that changes between the two kinds is closed and opened again.
         """
         subscribed = {peer for peer in peers if peer != self._own_ip}
-        wanted = subscribed | {peer for peer in listened if peer != self._own_ip}
-        changed = {peer for peer in wanted & self._links.keys() if self._changes(peer, subscribed)}
-        for peer in (self._links.keys() - wanted) | changed:
+        linked_peers = subscribed | {peer for peer in status_only if peer != self._own_ip}
+        reopened = {
+            peer for peer in linked_peers & self._links.keys() if self._changes_subscription(peer, subscribed)
+        }
+        for peer in (self._links.keys() - linked_peers) | reopened:
             self._links.pop(peer).close()
-        for peer in wanted - self._links.keys():
+        for peer in linked_peers - self._links.keys():
             hello = replace(self._hello, subscribes=peer in subscribed)
             self._links[peer] = FeedLink(
-                peer, self._port, hello, self._handler, self._position, self._stalled
+                peer, self._port, hello, self._handler, self._read_position, self._read_stall
             )
         self._subscribed = subscribed
 
-    def _changes(self, peer: str, subscribed: set[str]) -> bool:
+    def _changes_subscription(self, peer: str, subscribed: set[str]) -> bool:
         return (peer in subscribed) != (peer in self._subscribed)
 
     @property
     def peers(self) -> frozenset[str]:
-        """All peers to which links are kept, open or not."""
+        """All peers to which links are kept, whether connected or not."""
         return frozenset(self._links)
 
     def connection(self, peer: str) -> Connection | None:
-        """The open link to a peer, if there is one."""
+        """The open connection to a peer, if any."""
         link = self._links.get(peer)
         return link.connection if link else None
 
     def connections(self) -> list[Connection]:
-        """All open links."""
+        """All open connections."""
         return [link.connection for link in self._links.values() if link.connection is not None]
 
     def close(self) -> None:
--- a/rookwood/cluster/frame_buffer.py
+++ b/rookwood/cluster/frame_buffer.py
@@ -1,4 +1,4 @@
-"""Splits the bytes of a link into frames, whatever pieces they come in; no I/O."""
+"""Splits the byte stream of a link into frames; no I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Frame(NamedTuple):
-    """A whole frame: its message type and its Avro record."""
+    """A complete frame: the number of its message type and its Avro record."""
 
-    number: int
+    type_number: int
     body: bytes
 
 
 class FrameBuffer:
-    """Bytes that came and are not taken as frames yet."""
+    """Received bytes that have not been returned as frames yet."""
 
     def __init__(self) -> None:
         self._data = bytearray()
@@ -24,21 +24,21 @@
         return len(self._data)
 
     def add(self, data: bytes) -> None:
-        """More bytes came."""
+        """Append received bytes."""
         self._data += data
 
-    def holds_part(self) -> bool:
-        """Whether a frame has begun, of which more than the header is awaited."""
+    def has_partial_frame(self) -> bool:
+        """Whether a frame has begun: its header is complete."""
         return len(self._data) >= HEADER.size
 
-    def take(self) -> Frame | None:
-        """The next whole frame, or None; raises FrameError where there is no sound header."""
+    def next_frame(self) -> Frame | None:
+        """Remove and return the next complete frame, if any; raises FrameError for an invalid header."""
         if len(self._data) < HEADER.size:
             return None
-        length, number = read_header(bytes(self._data[: HEADER.size]))
+        length, type_number = read_header(bytes(self._data[: HEADER.size]))
         end = HEADER.size + length
         if len(self._data) < end:
             return None
         body = bytes(self._data[HEADER.size : end])
         del self._data[:end]
-        return Frame(number, body)
+        return Frame(type_number, body)
--- a/rookwood/cluster/frames.py
+++ b/rookwood/cluster/frames.py
@@ -1,6 +1,7 @@
-"""Frames of the links between control machines and dispatchers: their messages, encoded with Avro.
+"""Encodes and decodes the messages on the links between control machines and dispatchers.
 
-A frame is a length (4 bytes, big endian), a message type (1 byte) and the Avro record.
+A frame is the length of the record (4 bytes, big endian), the number of the message type (1 byte) and the
+message as an Avro record.
 """
 
 from __future__ import annotations
@@ -46,30 +47,32 @@
 )
 
 HEADER = struct.Struct(">IB")
-MAXIMUM_FRAME = 16 * 1024 * 1024
-MAXIMUM_SOURCE = 64 * 1024 * 1024  # bytes of a configuration after decompression
-COMPRESSION_LEVEL = 1  # configurations repeat themselves; higher levels gain little
+MAX_FRAME_BYTES = 16 * 1024 * 1024
+MAX_SOURCE_BYTES = 64 * 1024 * 1024  # of a configuration after decompression
+COMPRESSION_LEVEL = 1  # configurations are repetitive; higher levels gain little
 
 
 READ_ERRORS = (EOFError, ValueError, IndexError, KeyError, StopIteration, struct.error)
-"""What reading a record raises where its bytes are not one."""
+"""What the Avro reader raises for bytes that are not a record of the schema."""
 
 
 class FrameError(Exception):
-    """The peer sent something that is not a frame of this protocol."""
+    """The peer sent bytes that are not a frame of this protocol."""
 
 
-def _record(name: str, *fields: tuple[str, Any]) -> Any:
-    described = [{"name": field_name, "type": field_type} for field_name, field_type in fields]
-    return {"type": "record", "name": name, "fields": described}
+def _record_schema(name: str, *fields: tuple[str, Any]) -> Any:
+    described_fields = [{"name": field_name, "type": field_type} for field_name, field_type in fields]
+    return {"type": "record", "name": name, "fields": described_fields}
 
 
-def _array(items: Any) -> Any:
+def _array_schema(items: Any) -> Any:
     return {"type": "array", "items": items}
 
 
-_HELD_MODEL = _record("HeldModel", ("name", "string"), ("version", "long"), ("adapters", _array("string")))
-_WORKER = _record(
+_HELD_MODEL = _record_schema(
+    "HeldModel", ("name", "string"), ("version", "long"), ("adapters", _array_schema("string"))
+)
+_WORKER = _record_schema(
     "Worker",
     ("id", "string"),
     ("service", "string"),
@@ -78,11 +81,11 @@
     ("slots", "int"),
     ("draining", "boolean"),
     ("sequence", "long"),
-    ("models", _array(_HELD_MODEL)),
+    ("models", _array_schema(_HELD_MODEL)),
     ("holding_epoch", "long"),
     ("holding_counter", "long"),
 )
-_KEY_DEMAND = _record(
+_KEY_DEMAND = _record_schema(
     "KeyDemand",
     ("service", "string"),
     ("model", "string"),
@@ -92,14 +95,14 @@
     ("waiting", "int"),
     ("oldest_wait", "float"),
 )
-_WANTED = _record(
+_WANTED_WEIGHTS = _record_schema(
     "WantedWeights",
     ("service", "string"),
     ("worker", "string"),
     ("model", "string"),
     ("adapter", "string"),
 )
-_COUNTED = _record(
+_COUNTED_WEIGHTS = _record_schema(
     "CountedWeights",
     ("service", "string"),
     ("worker", "string"),
@@ -107,16 +110,16 @@
     ("adapter", "string"),
     ("count", "int"),
 )
-_WORK_NOTICE = _record(
+_WORK_NOTICE = _record_schema(
     "WorkNotice",
     ("origin", "string"),
     ("worker", "string"),
     ("seconds", "float"),
-    ("parts", _array("long")),
+    ("parts", _array_schema("long")),
 )
 _DIGEST = {"type": "fixed", "name": "ItemsDigest", "size": DIGEST_BYTES}
 _SCHEMAS: dict[type, Any] = {
-    Hello: _record(
+    Hello: _record_schema(
         "Hello",
         ("identity", "string"),
         ("tier", "string"),
@@ -124,7 +127,7 @@
         ("release", "int"),
         ("subscribes", "boolean"),
     ),
-    Status: _record(
+    Status: _record_schema(
         "Status",
         ("identity", "string"),
         ("epoch", "long"),
@@ -134,41 +137,41 @@
         ("config_epoch", "long"),
         ("config_sequence", "long"),
         ("dispatchers", "int"),
-        ("members", _array("string")),
+        ("members", _array_schema("string")),
         ("release", "int"),
         ("attached", "int"),
-        ("roots", _array(_record("ControlMachine", ("ip", "string"), ("zone", "string")))),
+        ("roots", _array_schema(_record_schema("ControlMachine", ("ip", "string"), ("zone", "string")))),
     ),
-    FetchConfiguration: _record(
+    FetchConfiguration: _record_schema(
         "FetchConfiguration",
         ("sequence", "long"),
         ("confirm", "boolean"),
         ("base_epoch", "long"),
         ("base_sequence", "long"),
     ),
-    ConfigurationBody: _record(
+    ConfigurationBody: _record_schema(
         "ConfigurationBody",
         ("epoch", "long"),
         ("sequence", "long"),
         ("source", "bytes"),
         ("confirmed", "boolean"),
     ),
-    WorkerUpdates: _record(
+    WorkerUpdates: _record_schema(
         "WorkerUpdates",
-        ("records", _array(_WORKER)),
+        ("records", _array_schema(_WORKER)),
         ("complete", "boolean"),
-        ("ended", _array("string")),
+        ("ended", _array_schema("string")),
     ),
-    WorkerGone: _record("WorkerGone", ("worker", "string"), ("deleted", "boolean")),
-    DemandReport: _record(
+    WorkerGone: _record_schema("WorkerGone", ("worker", "string"), ("deleted", "boolean")),
+    DemandReport: _record_schema(
         "DemandReport",
         ("identity", "string"),
-        ("keys", _array(_KEY_DEMAND)),
-        ("wanted", _array(_WANTED)),
+        ("keys", _array_schema(_KEY_DEMAND)),
+        ("wanted", _array_schema(_WANTED_WEIGHTS)),
         ("complete", "boolean"),
     ),
-    WorkNotices: _record("WorkNotices", ("notices", _array(_WORK_NOTICE))),
-    Heartbeat: _record(
+    WorkNotices: _record_schema("WorkNotices", ("notices", _array_schema(_WORK_NOTICE))),
+    Heartbeat: _record_schema(
         "Heartbeat",
         ("identity", "string"),
         ("config_epoch", "long"),
@@ -176,48 +179,54 @@
         ("sent_at", "double"),
         ("stalled", "float"),
     ),
-    ConfigurationDelta: _record(
+    ConfigurationDelta: _record_schema(
         "ConfigurationDelta",
         ("epoch", "long"),
         ("sequence", "long"),
         ("base_epoch", "long"),
         ("base_sequence", "long"),
-        ("changed", _array(_record("Item", ("section", "string"), ("name", "bytes"), ("text", "bytes")))),
-        ("removed", _array(_record("ItemKey", ("section", "string"), ("name", "bytes")))),
+        (
+            "changed",
+            _array_schema(
+                _record_schema("Item", ("section", "string"), ("name", "bytes"), ("text", "bytes"))
+            ),
+        ),
+        ("removed", _array_schema(_record_schema("ItemKey", ("section", "string"), ("name", "bytes")))),
         ("digest", _DIGEST),
     ),
-    HeartbeatAnswer: _record(
+    HeartbeatAnswer: _record_schema(
         "HeartbeatAnswer",
         ("heartbeat_sent_at", "double"),
         ("config_epoch", "long"),
         ("config_sequence", "long"),
         ("fresh", "boolean"),
     ),
-    PresenceAck: _record("PresenceAck", ("worker", "string"), ("deleted", "boolean")),
-    DemandSummary: _record(
+    PresenceAck: _record_schema("PresenceAck", ("worker", "string"), ("deleted", "boolean")),
+    DemandSummary: _record_schema(
         "DemandSummary",
         ("identity", "string"),
         ("dispatchers", "int"),
-        ("keys", _array(_KEY_DEMAND)),
-        ("wanted", _array(_COUNTED)),
+        ("keys", _array_schema(_KEY_DEMAND)),
+        ("wanted", _array_schema(_COUNTED_WEIGHTS)),
         ("complete", "boolean"),
     ),
 }
-_ADDED_FIELDS = {Hello: 2, Status: 3, Heartbeat: 1}
-"""How many fields at the end of a message programs of release 0 do not send."""
+_ADDED_FIELD_COUNTS = {Hello: 2, Status: 3, Heartbeat: 1}
+"""For each message type, how many fields at its end were added since release 0."""
 
 
-def _without_last(schema: Any, count: int) -> Any:
+def _without_last_fields(schema: Any, count: int) -> Any:
     return {**schema, "fields": schema["fields"][:-count]}
 
 
-_PARSED = {kind: parse_schema(schema) for kind, schema in _SCHEMAS.items()}
-_RELEASE_0 = {
-    kind: parse_schema(_without_last(_SCHEMAS[kind], count)) for kind, count in _ADDED_FIELDS.items()
+_PARSED_SCHEMAS = {message_type: parse_schema(schema) for message_type, schema in _SCHEMAS.items()}
+_RELEASE_0_SCHEMAS = {
+    message_type: parse_schema(_without_last_fields(_SCHEMAS[message_type], count))
+    for message_type, count in _ADDED_FIELD_COUNTS.items()
 }
-_TYPES: tuple[type, ...] = tuple(_SCHEMAS)
-_NUMBERS = {kind: number for number, kind in enumerate(_TYPES)}
-_TYPE_FIELD = 4  # offset of the message type in a frame
+_MESSAGE_TYPES: tuple[type, ...] = tuple(_SCHEMAS)
+_TYPE_NUMBERS = {message_type: type_number for type_number, message_type in enumerate(_MESSAGE_TYPES)}
+_TYPE_OFFSET = 4  # of the message type in a frame
 
 
 def _worker_to_avro(record: WorkerRecord) -> dict[str, Any]:
@@ -257,17 +266,17 @@
 
 
 def _body_to_avro(body: ConfigurationBody) -> dict[str, Any]:
-    return {**_plain(body), "source": zlib.compress(body.source, COMPRESSION_LEVEL)}
+    return {**_fields_to_avro(body), "source": zlib.compress(body.source, COMPRESSION_LEVEL)}
 
 
 def _body_from_avro(value: dict[str, Any]) -> ConfigurationBody:
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        source = unpacker.decompress(value["source"], MAXIMUM_SOURCE)
+        source = decompressor.decompress(value["source"], MAX_SOURCE_BYTES)
     except zlib.error as error:
         raise FrameError(f"ConfigurationBody: {error}") from error
-    if not unpacker.eof:
-        raise FrameError("ConfigurationBody: its source is not whole")
+    if not decompressor.eof:
+        raise FrameError("ConfigurationBody: compressed source is truncated or exceeds the limit")
     return ConfigurationBody(value["epoch"], value["sequence"], source, value["confirmed"])
 
 
@@ -320,8 +329,8 @@
             "ended": message.ended,
         }
     if isinstance(message, DemandReport):
-        keys = [_plain(key) for key in message.keys]
-        wanted = [_plain(item) for item in message.wanted]
+        keys = [_fields_to_avro(key) for key in message.keys]
+        wanted = [_fields_to_avro(item) for item in message.wanted]
         return {
             "identity": message.identity,
             "keys": keys,
@@ -329,43 +338,47 @@
             "complete": message.complete,
         }
     if isinstance(message, DemandSummary):
-        keys = [_plain(key) for key in message.keys]
-        return {**_plain(message), "keys": keys, "wanted": [_plain(item) for item in message.wanted]}
+        keys = [_fields_to_avro(key) for key in message.keys]
+        return {
+            **_fields_to_avro(message),
+            "keys": keys,
+            "wanted": [_fields_to_avro(item) for item in message.wanted],
+        }
     if isinstance(message, WorkNotices):
-        return {"notices": [_plain(notice) for notice in message.notices]}
+        return {"notices": [_fields_to_avro(notice) for notice in message.notices]}
     if isinstance(message, Status):
-        return {**_plain(message), "roots": [_plain(root) for root in message.roots]}
-    return _plain(message)
+        return {**_fields_to_avro(message), "roots": [_fields_to_avro(root) for root in message.roots]}
+    return _fields_to_avro(message)
 
 
-def _plain(record: Any) -> dict[str, Any]:
+def _fields_to_avro(record: Any) -> dict[str, Any]:
     return {name: getattr(record, name) for name in type(record).__slots__}
 
 
-def _from_avro(kind: type, value: dict[str, Any]) -> Message:
-    if kind is ConfigurationBody:
+def _from_avro(message_type: type, value: dict[str, Any]) -> Message:
+    if message_type is ConfigurationBody:
         return _body_from_avro(value)
-    if kind is ConfigurationDelta:
+    if message_type is ConfigurationDelta:
         return _delta_from_avro(value)
-    if kind is WorkerUpdates:
+    if message_type is WorkerUpdates:
         records = tuple(_worker_from_avro(r) for r in value["records"])
         return WorkerUpdates(records, value["complete"], tuple(value["ended"]))
-    if kind is DemandReport:
+    if message_type is DemandReport:
         keys = tuple(KeyDemand(**key) for key in value["keys"])
         wanted = tuple(WantedWeights(**item) for item in value["wanted"])
         return DemandReport(value["identity"], keys, wanted, value["complete"])
-    if kind is DemandSummary:
+    if message_type is DemandSummary:
         keys = tuple(KeyDemand(**key) for key in value["keys"])
         counted = tuple(CountedWeights(**item) for item in value["wanted"])
         return DemandSummary(value["identity"], value["dispatchers"], keys, counted, value["complete"])
-    if kind is Status:
+    if message_type is Status:
         value["roots"] = [ControlMachine(**root) for root in value.get("roots", ())]
-    if kind is WorkNotices:
+    if message_type is WorkNotices:
         return WorkNotices(tuple(_work_notice(notice) for notice in value["notices"]))
     for name, item in value.items():
         if isinstance(item, list):
             value[name] = tuple(item)
-    message: Message = kind(**value)
+    message: Message = message_type(**value)
     return message
 
 
@@ -374,64 +387,64 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """The message as a whole frame."""
+    """Encode a message as a frame."""
     buffer = io.BytesIO()
-    schemaless_writer(buffer, _PARSED[type(message)], _to_avro(message))
+    schemaless_writer(buffer, _PARSED_SCHEMAS[type(message)], _to_avro(message))
     body = buffer.getvalue()
-    return HEADER.pack(len(body), _NUMBERS[type(message)]) + body
+    return HEADER.pack(len(body), _TYPE_NUMBERS[type(message)]) + body
 
 
 def frame_type(frame: bytes) -> str:
-    """The name of the message type of an encoded frame."""
-    return _TYPES[frame[_TYPE_FIELD]].__name__
+    """Return the name of the message type of an encoded frame."""
+    return _MESSAGE_TYPES[frame[_TYPE_OFFSET]].__name__
 
 
-def decode_message(number: int, body: bytes) -> Message:
-    """The message of a frame's body; raises FrameError."""
-    if number >= len(_TYPES):
-        raise FrameError(f"unknown message type {number}")
-    kind = _TYPES[number]
-    return _from_avro(kind, _read_record(kind, body))
+def decode_message(type_number: int, body: bytes) -> Message:
+    """Decode a message from its type number and its Avro record; raises FrameError."""
+    if type_number >= len(_MESSAGE_TYPES):
+        raise FrameError(f"unknown message type {type_number}")
+    message_type = _MESSAGE_TYPES[type_number]
+    return _from_avro(message_type, _read_record(message_type, body))
 
 
-def _read_record(kind: type, body: bytes) -> dict[str, Any]:
-    """The fields of a record; one of release 0 ends before those that were added."""
+def _read_record(message_type: type, body: bytes) -> dict[str, Any]:
+    """Read the fields of a record, which lacks the added fields if a program of release 0 sent it."""
     try:
-        value = schemaless_reader(io.BytesIO(body), _PARSED[kind], None)
+        value = schemaless_reader(io.BytesIO(body), _PARSED_SCHEMAS[message_type], None)
     except READ_ERRORS as error:
-        value = _read_release_0(kind, body)
+        value = _read_release_0(message_type, body)
         if value is None:
-            raise FrameError(f"{kind.__name__}: {error!r}") from error
+            raise FrameError(f"{message_type.__name__}: {error!r}") from error
     if not isinstance(value, dict):
-        raise FrameError(f"{kind.__name__}: not a record")
+        raise FrameError(f"{message_type.__name__}: not a record")
     return value
 
 
-def _read_release_0(kind: type, body: bytes) -> Any:
-    """The fields of a whole record of release 0; None where it is none."""
-    if kind not in _RELEASE_0:
+def _read_release_0(message_type: type, body: bytes) -> Any:
+    """Read the fields of a record of release 0; None if the bytes are not exactly one."""
+    if message_type not in _RELEASE_0_SCHEMAS:
         return None
     buffer = io.BytesIO(body)
     try:
-        value = schemaless_reader(buffer, _RELEASE_0[kind], None)
+        value = schemaless_reader(buffer, _RELEASE_0_SCHEMAS[message_type], None)
     except READ_ERRORS:
         return None
     return value if buffer.tell() == len(body) else None
 
 
 def read_header(header: bytes) -> tuple[int, int]:
-    """The length and the message type of a frame; raises FrameError."""
-    length, number = HEADER.unpack(header)
-    if length > MAXIMUM_FRAME:
-        raise FrameError(f"a frame of {length} bytes")
-    return length, number
+    """Read the record length and the type number from a frame's header; raises FrameError."""
+    length, type_number = HEADER.unpack(header)
+    if length > MAX_FRAME_BYTES:
+        raise FrameError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
+    return length, type_number
 
 
 LINK_ERRORS = (OSError, EOFError, FrameError, asyncio.TimeoutError)
-"""What reading messages from a stream may raise where the link or the peer fails."""
+"""What reading messages from a stream raises if the link or the peer fails."""
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """The next message; raises FrameError, EOFError (IncompleteReadError) or OSError."""
-    length, number = read_header(await reader.readexactly(HEADER.size))
-    return decode_message(number, await reader.readexactly(length))
+    """Read the next message; raises FrameError, EOFError (IncompleteReadError) or OSError."""
+    length, type_number = read_header(await reader.readexactly(HEADER.size))
+    return decode_message(type_number, await reader.readexactly(length))
--- a/rookwood/cluster/invariants.py
+++ b/rookwood/cluster/invariants.py
@@ -1,4 +1,4 @@
-"""Counts violations of what must always hold, and logs each kind as an error, at a bounded rate."""
+"""Counts violations of invariants and logs each kind as an error, at a limited rate."""
 
 from __future__ import annotations
 
@@ -11,22 +11,28 @@
 
 logger = logging.getLogger("rookwood")
 
-LOG_INTERVAL = 10.0  # seconds between two log records of one kind
+LOG_INTERVAL = 10.0  # seconds between two log records of one invariant
 
 
 class Invariant(StrEnum):
-    """What must always hold."""
-
-    POSITION_MONOTONIC = "position_monotonic"  # the configuration in force never goes back
-    IN_FORCE_IN_TIME = "in_force_in_time"  # what a linked machine announced is in force within `apply-ms`
-    DISPATCHERS_IN_TIME = "dispatchers_in_time"  # linked dispatchers report a commit within `apply-ms`
-    DELTA_FITS = "delta_fits"  # changes lead to the configuration of their sender
-    LINK_QUEUE_BOUNDED = "link_queue_bounded"  # what waits for a slow reader stays below a limit
-    ONE_PRIMARY_PER_EPOCH = "one_primary_per_epoch"  # control machines name one primary of an epoch
+    """A condition that must always hold."""
+
+    POSITION_MONOTONIC = "position_monotonic"  # the position in force never decreases
+    IN_FORCE_IN_TIME = (
+        "in_force_in_time"  # a position announced by a linked machine is in force within `apply-ms`
+    )
+    DISPATCHERS_IN_TIME = (
+        "dispatchers_in_time"  # linked dispatchers report each commit as in force within `apply-ms`
+    )
+    DELTA_FITS = "delta_fits"  # applying a delta gives the configuration of its sender
+    LINK_QUEUE_BOUNDED = "link_queue_bounded"  # the outbox of a link to a slow reader stays within its limit
+    ONE_PRIMARY_PER_EPOCH = (
+        "one_primary_per_epoch"  # only one control machine claims to be the primary of an epoch
+    )
 
 
 class InvariantCounter:
-    """Violations by kind since the start of the process."""
+    """Counts violations by invariant since the start of the process."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -35,16 +41,16 @@
 
     @property
     def counts(self) -> Mapping[Invariant, int]:
-        """How often each invariant was violated; 0 for the others."""
+        """How often each invariant was violated."""
         return MappingProxyType({invariant: self._counts[invariant] for invariant in Invariant})
 
     @property
     def total(self) -> int:
-        """All violations."""
+        """The number of violations of all invariants."""
         return self._counts.total()
 
     def violated(self, invariant: Invariant, detail: str) -> None:
-        """Count a violation; it is logged unless its kind was logged a moment ago."""
+        """Count a violation, and log it unless the same invariant was logged within `LOG_INTERVAL`."""
         self._counts[invariant] += 1
         now = self._clock()
         if now - self._logged_at.get(invariant, float("-inf")) < LOG_INTERVAL:
@@ -61,4 +67,5 @@
             self.violated(invariant, detail)
 
 
-INVARIANTS = InvariantCounter()  # of this process
+INVARIANTS = InvariantCounter()
+"""The counter of this process."""
--- a/rookwood/cluster/logs.py
+++ b/rookwood/cluster/logs.py
@@ -1,4 +1,4 @@
-"""JSON logs on standard error, one object a line."""
+"""JSON logs on standard error, one object per line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def configure_logging(hostname: str, level: int = logging.INFO) -> logging.Logger:
-    """Send the records of the program's logger to standard error as JSON."""
+    """Write the records of the program's logger to standard error as JSON and return that logger."""
     handler = logging.StreamHandler(sys.stderr)
     formatter = JsonFormatter("%(levelname)s %(message)s", static_fields={"node": hostname})
     handler.setFormatter(formatter)
--- a/rookwood/cluster/messages.py
+++ b/rookwood/cluster/messages.py
@@ -1,4 +1,7 @@
-"""Messages on the links between control machines and dispatchers; `frames` encodes them."""
+"""The messages on the links between control machines and dispatchers; `frames` encodes them.
+
+The class names and fields are those of the Avro records on the wire.
+"""
 
 from __future__ import annotations
 
@@ -9,21 +12,24 @@
 from rookwood.clusterconfig.items import ItemChanges
 
 RELEASE = 1
-"""Of the protocol of these links. 0 is that of programs which do not tell it.
+"""The release of the link protocol. Programs that do not send a release have release 0.
 
-Fields are only ever added at the end of a message, and have a default here: a program of the release before
-passes over them, and what it sends is read with the defaults. A new kind of message is sent to programs of a
-release that knows it alone.
+New fields are only added at the end of a message and have a default here: a program of the previous release
+ignores them, and its messages are read with the defaults. A new message type is only sent to programs of a
+release that knows it.
 """
 
-RELEASE_WITH_ONE_FEED = 1  # from this on control machines pass on what dispatchers report, to one another
+RELEASE_WITH_ONE_FEED = (
+    1  # the first release whose control machines relay dispatchers' reports to one another
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """First message of a link, from the side that opened it.
+    """The first message on a link, from the side that opened it.
 
-    `subscribes`: it wants the feed of workers and work notices. Without that it hears statuses and answers.
+    `subscribes` requests the feed of workers and work notices. Without it the link carries only statuses and
+    answers. `tier` is "core" for a control machine and "edge" for a dispatcher.
     """
 
     identity: str
@@ -43,10 +49,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """A control machine's view: who leads, and which configuration is committed. Also the heartbeat.
+    """A control machine's view of the group and of the configuration; also serves as its heartbeat.
 
-    `dispatchers` is how many there are in the whole system, `attached` how many subscribe to this machine.
-    `roots` are the control machines that it is in touch with, itself among them.
+    `epoch` and `primary` name the primary, `fresh` says that the sender is in contact with it, and `settled`
+    that the sender has run long enough to know the workers. `config_epoch` and `config_sequence` are the
+    position of the committed configuration. `dispatchers` counts the dispatchers of the whole system,
+    `attached` those that subscribe to the sender. `roots` are the members in contact with the sender,
+    including itself.
     """
 
     identity: str
@@ -69,16 +78,17 @@
 
     @property
     def claims_primary(self) -> bool:
-        """Whether its sender says to be the primary; only a round of the sender can confirm that."""
+        """Whether the sender claims to be the primary; only a quorum round of the sender can confirm that."""
         return self.fresh and self.primary == self.identity
 
 
 @dataclass(frozen=True, slots=True)
 class FetchConfiguration:
-    """Asks for the newest committed configuration.
+    """Requests the newest committed configuration.
 
     With `confirm` the primary first has a majority acknowledge that it still is the primary. The base is the
-    position of the configuration that the sender has, to which the answer may be told as changes.
+    position of the configuration in force at the sender, against which the response may be a delta.
+    `sequence` is that of the announced position.
     """
 
     sequence: int
@@ -88,16 +98,16 @@
 
     @property
     def base(self) -> ConfigurationPosition:
-        """The position of the configuration that the sender has."""
+        """The position of the configuration in force at the sender."""
         return ConfigurationPosition(self.base_epoch, self.base_sequence)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationBody:
-    """A committed configuration under its position.
+    """A full committed configuration and its position.
 
-    `confirmed`: a majority acknowledged a round of the sender that began after it was asked, so no newer
-    configuration had been acknowledged to an operator when it was asked.
+    `confirmed`: a majority acknowledged a quorum round that the sender began after the fetch request, so no
+    newer configuration had been acknowledged to an operator at the time of the request.
     """
 
     epoch: int
@@ -113,10 +123,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDelta:
-    """A committed configuration under its position, told by its changes since a base.
+    """A committed configuration and its position, as changes since a base.
 
-    It may be applied to any configuration from the base up to this one. `digest` is that of all items of
-    this configuration; whoever gets another one by applying the changes asks for the whole.
+    It may be applied to any configuration between the base and this one. `digest` covers all items of this
+    configuration; a receiver that computes another digest fetches the full configuration.
     """
 
     epoch: int
@@ -139,9 +149,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerUpdates:
-    """Records of workers that are new or changed; `complete` when these are all that are known.
+    """Records of new or changed workers; `complete` if these are all workers that the sender knows.
 
-    `ended` names workers that said lately that they ended, for a receiver that may have missed it.
+    `ended` names workers that deregistered lately, for a receiver that may have missed it.
     """
 
     records: tuple[WorkerRecord, ...]
@@ -151,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerGone:
-    """A worker ended (`deleted`) or fell silent."""
+    """A worker deregistered (`deleted`) or its heartbeats timed out."""
 
     worker: str
     deleted: bool
@@ -159,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PresenceAck:
-    """A control machine has taken from another one that a worker drains, or that it ended (`deleted`)."""
+    """A control machine acknowledges to another one that a worker drains or has deregistered (`deleted`)."""
 
     worker: str
     deleted: bool
@@ -167,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyDemand:
-    """Demand for one model or adapter at one dispatcher."""
+    """Demand for one model or adapter at one dispatcher, or summed over several."""
 
     service: str
     model: str
@@ -180,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WantedWeights:
-    """A dispatcher's placement table wants these weights on this worker."""
+    """A dispatcher's placement table assigns these weights to this worker."""
 
     service: str
     worker: str
@@ -190,9 +200,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """A dispatcher's demand by key, and what its table wants.
+    """A dispatcher's demand by key, and the weights that its placement table assigns to workers.
 
-    A `complete` report replaces what was told before; others only add to it.
+    A `complete` report replaces the earlier ones of its dispatcher; any other report only updates its keys.
     """
 
     identity: str
@@ -203,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountedWeights:
-    """So many dispatchers' placement tables want these weights on this worker."""
+    """How many dispatchers' placement tables assign these weights to this worker."""
 
     service: str
     worker: str
@@ -214,9 +224,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandSummary:
-    """The sum of what the dispatchers report that are attached to one control machine, for the primary.
+    """The summed reports of the dispatchers that subscribe to one control machine, sent to the primary.
 
-    As with a report, a `complete` one replaces what was told before; others only add to it.
+    As with reports, a `complete` summary replaces the earlier ones; any other only updates its keys.
     """
 
     identity: str
@@ -228,9 +238,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkNotice:
-    """A dispatcher sent a prompt to a worker: how long its prefill takes, and which parts are cached then.
+    """A dispatcher sent a prompt to a worker: the prefill time, and the prefixes that are cached afterwards.
 
-    `parts` are hashes of the prompt's shared beginnings under the weights in use.
+    `origin` is the dispatcher, `seconds` the prefill time, and `parts` are hashes of the prompt's prefixes
+    under the weights in use.
     """
 
     origin: str
@@ -241,17 +252,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkNotices:
-    """Notices of several dispatchers, passed on together."""
+    """Notices of several dispatchers, relayed together."""
 
     notices: tuple[WorkNotice, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Keeps a link known to be alive, and tells by which configuration its sender serves.
+    """Shows that a link is alive, and reports the position of the configuration in force at the sender.
 
     `sent_at` is the time by the sender's own clock, in seconds; the answer repeats it. `stalled` is for how
-    many seconds in all the sender's process has stood still since its start.
+    many seconds in total the sender's process has been stalled since its start.
     """
 
     identity: str
@@ -268,10 +279,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAnswer:
-    """What a control machine knew after it read a heartbeat: its newest committed position.
+    """A control machine's answer to a heartbeat, with its newest committed position.
 
-    `fresh`: it was in touch with the primary. `heartbeat_sent_at` is the heartbeat's `sent_at`: whatever this
-    answer tells held later than that, however long the answer was on its way.
+    `fresh`: it was in contact with the primary. `heartbeat_sent_at` repeats the heartbeat's `sent_at`: the
+    contents of the answer were valid at some time after that, however long the answer was in transit.
     """
 
     heartbeat_sent_at: float
--- a/rookwood/cluster/metrics.py
+++ b/rookwood/cluster/metrics.py
@@ -1,4 +1,4 @@
-"""Figures that both programs tell: configuration, links, traffic, violated invariants."""
+"""Metrics of both programs: configuration, links, traffic and violated invariants."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def configuration_families(version: int, progress: ConfigurationProgress) -> Iterator[Metric]:
-    """What is in force here, and how far that is behind what any control machine announced."""
+    """The configuration in force, and how far it is behind the newest announced position."""
     yield gauge("configuration_version", "Version of the configuration in force; 0: none.", version)
     yield gauge("configuration_epoch", "Epoch of the position in force.", progress.in_force.epoch)
     yield gauge("configuration_sequence", "Sequence of the position in force.", progress.in_force.sequence)
@@ -38,7 +38,7 @@
 
 
 def link_families(connections: Iterable[Connection]) -> Iterator[Metric]:
-    """Open feed links and what is queued on them, by kind of peer."""
+    """Open feed links and the bytes queued on them, by kind of peer."""
     links: Counter[str] = Counter()
     queued: Counter[str] = Counter()
     largest: dict[str, int] = {}
@@ -53,7 +53,7 @@
 
 
 def traffic_families(channels: dict[str, MessageTraffic]) -> Iterator[Metric]:
-    """Messages and bytes of each channel."""
+    """Message and byte counts of each channel."""
     records = [(name, record) for name, traffic in channels.items() for record in traffic.records()]
     yield counters(
         "messages",
@@ -70,13 +70,15 @@
 
 
 def invariant_families(invariants: InvariantCounter) -> Iterator[Metric]:
-    """Violations of invariants; anything but 0 is a defect."""
+    """Violations by invariant; any value but 0 is a defect."""
     samples = (Sample({"invariant": name.value}, count) for name, count in invariants.counts.items())
     yield counters("invariant_violations", "Violated invariants.", ("invariant",), samples)
 
 
-def _by_peer(name: str, meaning: str, values: dict[str, int]) -> Metric:
-    return gauges(name, meaning, ("peer",), (Sample({"peer": kind}, value) for kind, value in values.items()))
+def _by_peer(name: str, description: str, values: dict[str, int]) -> Metric:
+    return gauges(
+        name, description, ("peer",), (Sample({"peer": kind}, value) for kind, value in values.items())
+    )
 
 
 def _traffic_labels(channel: str, record: TrafficRecord) -> dict[str, str]:
--- a/rookwood/cluster/options.py
+++ b/rookwood/cluster/options.py
@@ -1,6 +1,7 @@
-"""Command-line arguments of the two programs: switches that operators and measurements need.
+"""Command-line arguments of the two programs, for operators and for measurements.
 
-Read by hand: a library's import would lengthen the start of every process, which clients wait for.
+They are parsed without a library, because importing one would lengthen the start of every process, for which
+clients wait.
 """
 
 from __future__ import annotations
@@ -15,26 +16,26 @@
 
 
 class OptionsError(ValueError):
-    """An argument that the program does not know; its text is one line."""
+    """An unknown or incomplete argument; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What the arguments ask for."""
+    """The parsed arguments."""
 
-    log_losses: bool = False  # write a line for each request that was not served in time
+    log_losses: bool = False  # log a line for each request that was not served in time
     mechanisms: Mechanisms = ALL_MECHANISMS
 
 
 @dataclass(frozen=True, slots=True)
 class ArgumentReader:
-    """Reads the arguments of one program."""
+    """Parses the arguments of one program."""
 
     program: str
     accepted: Collection[str]
 
     def read(self, arguments: Sequence[str]) -> Options:
-        """Read the arguments; raises OptionsError."""
+        """Parse the arguments; raises OptionsError."""
         options = Options()
         remaining = list(arguments)
         while remaining:
@@ -46,13 +47,13 @@
             elif remaining:
                 options = replace(options, mechanisms=_read_names(remaining.pop(0)))
             else:
-                raise OptionsError(f"{WITHOUT} lacks the names of mechanisms; {self._usage()}")
+                raise OptionsError(f"{WITHOUT} requires the names of mechanisms; {self._usage()}")
         return options
 
     def _usage(self) -> str:
         values = {LOG_LOSSES: "", WITHOUT: " NAME[,NAME...]"}
-        shown = " ".join(f"[{argument}{values[argument]}]" for argument in sorted(self.accepted))
-        return f"usage: {self.program} {shown}"
+        usage = " ".join(f"[{argument}{values[argument]}]" for argument in sorted(self.accepted))
+        return f"usage: {self.program} {usage}"
 
 
 DATA_PLANE_ARGUMENTS = ArgumentReader("rookwood_dataplane.py", (LOG_LOSSES, WITHOUT))
--- a/rookwood/cluster/outbox.py
+++ b/rookwood/cluster/outbox.py
@@ -1,8 +1,8 @@
-"""Messages that wait for a peer that reads slowly: bounded, and the newest of a kind in place of all.
+"""The send queue of a link, with conflation: a newer message of the same key replaces the queued one.
 
-A link that carries less than what happens must not fall behind without end. What tells a state is therefore
-queued under the name of that state, and a newer message takes the place of one that still waits. What only
-advises is dropped instead of queued. So the queue holds at most the state, whatever the rate of changes.
+A link whose bandwidth is below the rate of changes must not fall behind without limit. Messages that carry a
+state are queued under a conflation key, so that the queue holds each state at most once, whatever the rate of
+changes. Advisory messages are dropped instead of queued.
 """
 
 from __future__ import annotations
@@ -30,37 +30,37 @@
 
 
 class Subject(enum.Enum):
-    """What a message tells the newest state of, where there is one such state for a link."""
+    """Conflation keys of states of which there is one per link."""
 
     STATUS = enum.auto()
     HEARTBEAT = enum.auto()
     HEARTBEAT_ANSWER = enum.auto()
-    QUESTION = enum.auto()
+    FETCH_REQUEST = enum.auto()
     CONFIGURATION = enum.auto()
     DEMAND = enum.auto()
 
 
-class PresenceSubject(NamedTuple):
-    """Whether a worker is there; its end is final, and no later news of it takes its place."""
+class PresenceKey(NamedTuple):
+    """Conflation key of a worker's presence; its end is `final`, so that no later presence replaces it."""
 
     worker: str
     final: bool
 
 
-class AcknowledgedSubject(NamedTuple):
-    """That the news of a worker was taken."""
+class AcknowledgementKey(NamedTuple):
+    """Conflation key of an acknowledgement of a worker's presence."""
 
     acknowledgement: PresenceAck
 
 
-class Never(enum.Enum):
-    """Marks a message that does not wait."""
+class QueuePolicy(enum.Enum):
+    """Marks a message that is dropped instead of queued while the peer reads slowly."""
 
-    QUEUED = enum.auto()
+    DROP = enum.auto()
 
 
-def subject_of(message: Message) -> Hashable | Never | None:
-    """The state that a message tells; None where it tells news of its own, which no later message repeats."""
+def conflation_key(message: Message) -> Hashable | QueuePolicy | None:
+    """The conflation key of a message; None if it must be queued and no later message may replace it."""
     match message:
         case Status():
             return Subject.STATUS
@@ -69,50 +69,50 @@
         case HeartbeatAnswer():
             return Subject.HEARTBEAT_ANSWER
         case FetchConfiguration():
-            return Subject.QUESTION
+            return Subject.FETCH_REQUEST
         case ConfigurationBody() | ConfigurationDelta():
             return Subject.CONFIGURATION
         case WorkerUpdates(records=(record,), complete=False):
-            return PresenceSubject(record.id, final=False)
+            return PresenceKey(record.id, final=False)
         case WorkerGone():
-            return PresenceSubject(message.worker, final=message.deleted)
+            return PresenceKey(message.worker, final=message.deleted)
         case PresenceAck():
-            return AcknowledgedSubject(message)
+            return AcknowledgementKey(message)
         case DemandReport() | DemandSummary():
             return Subject.DEMAND if message.complete else None
         case WorkNotices():
-            return Never.QUEUED
+            return QueuePolicy.DROP
         case WorkerUpdates() | Hello():
             return None
     assert_never(message)
 
 
 class Outbox:
-    """Frames in the order in which their subjects first had to wait.
+    """A queue of frames, in the order in which their keys were first queued.
 
-    A frame without a subject, such as a list of workers, may tell of several. What comes after it waits
-    behind it, and takes no place before it.
+    A frame without a key, such as a list of workers, may concern several states. It acts as a barrier: frames
+    queued after it replace no frame queued before it.
     """
 
     def __init__(self) -> None:
         self._frames: dict[Hashable, bytes] = {}
-        self._lists = 0
+        self._unkeyed_count = 0
         self.size = 0  # bytes
 
     def __bool__(self) -> bool:
         return bool(self._frames)
 
-    def put(self, subject: Hashable | None, frame: bytes) -> None:
-        """Queue a frame, in place of the one of the same subject if that still waits."""
-        if subject is None:
-            self._lists += 1
-        key = (self._lists, subject)
-        replaced = self._frames.get(key, b"")
-        self._frames[key] = frame
+    def put(self, key: Hashable | None, frame: bytes) -> None:
+        """Queue a frame; it replaces a queued frame of the same key."""
+        if key is None:
+            self._unkeyed_count += 1
+        slot = (self._unkeyed_count, key)
+        replaced = self._frames.get(slot, b"")
+        self._frames[slot] = frame
         self.size += len(frame) - len(replaced)
 
-    def take(self) -> bytes:
-        """The frame that waits longest."""
+    def pop(self) -> bytes:
+        """Remove and return the frame at the head of the queue."""
         key = next(iter(self._frames))
         frame = self._frames.pop(key)
         self.size -= len(frame)
--- a/rookwood/cluster/position.py
+++ b/rookwood/cluster/position.py
@@ -1,4 +1,4 @@
-"""The place of a committed configuration in the order of all of them."""
+"""The position of a committed configuration in the order of all commits."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ConfigurationPosition:
-    """Orders configurations: epoch first, then sequence."""
+    """Orders committed configurations by epoch, then by sequence within the epoch."""
 
     epoch: int
     sequence: int
 
 
-NO_CONFIGURATION = ConfigurationPosition(-1, -1)
+NO_CONFIGURATION = ConfigurationPosition(-1, -1)  # precedes every committed configuration
--- a/rookwood/cluster/primary_witness.py
+++ b/rookwood/cluster/primary_witness.py
@@ -1,4 +1,4 @@
-"""Checks that control machines that claim to be the primary of one epoch are one machine."""
+"""Checks that at most one control machine claims to be the primary of an epoch."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PrimaryWitness:
-    """Remembers the primary of the newest epoch that any machine claimed."""
+    """Compares each claim with the first one of the newest claimed epoch; older claims are ignored."""
 
     def __init__(self, invariants: InvariantCounter = INVARIANTS) -> None:
         self._invariants = invariants
@@ -14,7 +14,7 @@
         self._primary = ""
 
     def claimed(self, epoch: int, machine: str) -> None:
-        """A control machine says that it is the primary of this epoch."""
+        """Check the claim of a control machine to be the primary of an epoch."""
         if epoch > self._epoch:
             self._epoch, self._primary = epoch, machine
         elif epoch == self._epoch:
--- a/rookwood/cluster/progress.py
+++ b/rookwood/cluster/progress.py
@@ -1,4 +1,4 @@
-"""How far configurations have come: in force here, announced elsewhere, reported by dispatchers; no I/O."""
+"""Tracks the positions in force here, announced by control machines and reported by dispatchers; no I/O."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 Clock = Callable[[], float]
 
 REMEMBERED_COMMITS = 4096
-REMEMBERED_HEARTBEATS = 32  # of a dispatcher; some 13 s
-NOTABLE_STALL = 0.05  # seconds; less is how late timers are anyway
-STALL_RESOLUTION = LOOP_LAG_INTERVAL  # seconds of a stall that its meter may not see
-LONGEST_CHECK_INTERVAL = 1.5  # seconds between two checks of a process that runs
-MOST_AWAITED = 256  # announced positions whose times are kept
+REMEMBERED_HEARTBEATS = 32  # per dispatcher; about 13 s
+MIN_STALL = 0.05  # seconds; shorter delays are normal for timers
+STALL_RESOLUTION = LOOP_LAG_INTERVAL  # seconds of a stall that its measurement may miss
+MAX_CHECK_INTERVAL = 1.5  # seconds between two checks; a longer gap counts as a stall
+MAX_AWAITED = 256  # announced positions that are remembered
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,24 +31,24 @@
     announced_at: float
 
 
-class PeriodicCheck:
-    """When a periodic check may judge by the clock: not soon after this process itself stood still."""
+class StallGuard:
+    """Tells a periodic check whether it may rely on the clock: not soon after a stall of this process."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._pauses = PauseDetector(LONGEST_CHECK_INTERVAL, clock())
+        self._stalls = PauseDetector(MAX_CHECK_INTERVAL, clock())
         self._running_since = clock()
 
-    def has_run_for(self, span: float) -> bool:
-        """Whether the process has run without a pause for so many seconds; called at every check."""
+    def has_run_without_stall(self, span: float) -> bool:
+        """Whether the process has run longer than `span` seconds without a stall; call it at every check."""
         now = self._clock()
-        if self._pauses.paused(now):
+        if self._stalls.paused(now):
             self._running_since = now
         return now - self._running_since > span
 
 
 class ConfigurationProgress:
-    """The position in force in this process, and the newest one that any control machine announced."""
+    """The position in force in this process, and the newest position that a control machine announced."""
 
     def __init__(self, clock: Clock = time.monotonic, invariants: InvariantCounter = INVARIANTS) -> None:
         self._clock = clock
@@ -57,24 +57,27 @@
         self.announced = NO_CONFIGURATION
         self._in_force_since = clock()
         self._awaited: deque[Awaited] = deque()
-        self._periodic = PeriodicCheck(clock)
+        self._check_guard = StallGuard(clock)
 
     def announce(self, position: ConfigurationPosition) -> None:
-        """A control machine tells that this position is committed."""
+        """Record that a control machine announced a committed position."""
         if position <= self.announced:
             return
         self.announced = position
-        if len(self._awaited) == MOST_AWAITED:
-            self._awaited.pop()  # the older ones tell the lag
+        if len(self._awaited) == MAX_AWAITED:
+            self._awaited.pop()  # drops the newest, since the lag is measured from the oldest
         self._awaited.append(Awaited(position, self._clock()))
 
-    def expect_nothing(self) -> None:
-        """No control machine that is linked has anything newer: the limits begin anew with the next one."""
+    def clear_announced(self) -> None:
+        """Forget the announced positions when no linked control machine has a newer one any more.
+
+        The time limit then starts again with the next announcement.
+        """
         self._awaited.clear()
         self.announced = self.in_force
 
     def put_in_force(self, position: ConfigurationPosition) -> None:
-        """The configuration of this position is in force from now on."""
+        """Record that the configuration of a position is in force from now on."""
         detail = f"{position} after {self.in_force}"
         self._invariants.check(position >= self.in_force, Invariant.POSITION_MONOTONIC, detail)
         self.in_force = position
@@ -84,67 +87,71 @@
             self._awaited.popleft()
 
     def seconds_in_force(self) -> float:
-        """How long the present configuration has been in force; 0 while there is none."""
+        """How long the current configuration has been in force; 0 while there is none."""
         return 0.0 if self.in_force == NO_CONFIGURATION else self._clock() - self._in_force_since
 
     def check(self, limit: float) -> None:
-        """Count a position that is awaited for longer than the limit, in seconds, as a violation."""
-        if not self._periodic.has_run_for(limit):
+        """Count a violation if a position has been awaited for longer than `limit` seconds."""
+        if not self._check_guard.has_run_without_stall(limit):
             return
         behind = self.seconds_behind()
-        detail = f"{self.in_force} is in force, {behind:.1f} s after a newer one was announced"
+        detail = f"{self.in_force} is in force {behind:.1f} s after a newer position was announced"
         self._invariants.check(behind <= limit, Invariant.IN_FORCE_IN_TIME, detail)
 
     def seconds_behind(self) -> float:
-        """How long ago the oldest position that is not in force yet was announced; 0 when level."""
+        """How long ago the oldest position that is not in force yet was announced; 0 when up to date."""
         return self._clock() - self._awaited[0].announced_at if self._awaited else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """When a position was committed, as far as this machine knows, and its stalls until then."""
+    """A commit, when this machine learned of it, and for how long this process had been stalled by then."""
 
     position: ConfigurationPosition
-    at: float
+    time: float
     stalled: float
 
 
 @dataclass(frozen=True, slots=True)
-class HeardHeartbeat:
-    """When a heartbeat came, and for how many seconds its sender's process had stood still by then."""
+class ReceivedHeartbeat:
+    """When a heartbeat arrived, and for how long its sender's process had been stalled by then."""
 
-    at: float
+    time: float
     stalled: float
 
 
 @dataclass(slots=True)
 class DispatcherReport:
-    """What one dispatcher last reported, and how long after its commit; None for the first over a link."""
+    """The last reported position of one dispatcher, with its recent heartbeats.
+
+    `take_up_seconds` is the time from the commit of the position to its report, None as in `DispatcherLag`.
+    """
 
     position: ConfigurationPosition
-    take_up: float | None
-    linked_at: float  # when it first reported over its link
-    heartbeats: deque[HeardHeartbeat] = field(default_factory=lambda: deque(maxlen=REMEMBERED_HEARTBEATS))
+    take_up_seconds: float | None
+    linked_at: float  # when it first reported over the current link
+    heartbeats: deque[ReceivedHeartbeat] = field(default_factory=lambda: deque(maxlen=REMEMBERED_HEARTBEATS))
 
     def stalled_since(self, moment: float) -> float:
-        """For how long its process stood still from a moment to its newest heartbeat, at the most."""
-        before = [heard.stalled for heard in self.heartbeats if heard.at <= moment]
+        """The longest time for which its process may have stalled between `moment` and its last heartbeat."""
+        before = [heartbeat.stalled for heartbeat in self.heartbeats if heartbeat.time <= moment]
         first = before[-1] if before else self.heartbeats[0].stalled
-        return at_most_stalled(self.heartbeats[-1].stalled - first)
+        return max_stall(self.heartbeats[-1].stalled - first)
 
 
-def at_most_stalled(seen: float) -> float:
-    """The longest stall of which a meter may have seen so much, in seconds."""
-    return seen + STALL_RESOLUTION if seen > NOTABLE_STALL else 0.0
+def max_stall(measured: float) -> float:
+    """The longest stall, in seconds, that a measurement of this length may stand for."""
+    return measured + STALL_RESOLUTION if measured > MIN_STALL else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class DispatcherLag:
     """How far one dispatcher is behind the newest commit.
 
-    `behind` is the age of the oldest commit that it has not reported, 0 when level. `take_up` is the time
-    from the commit of its position to its report, None if that was its first report over this link (it may
-    have had the position long before) or the commit isn't remembered.
+    `behind_seconds` is the age of the oldest commit that it has not reported, 0 when up to date.
+    `take_up_seconds` is the time from the commit of its position to its report. It is None if that was its
+    first report over this link, as it may have had the position long before, or if the commit is not
+    remembered.
     """
 
     dispatcher: str
@@ -154,10 +161,10 @@
 
 
 class DispatcherProgress:
-    """Compares what dispatchers report with the commits known here.
+    """Compares the positions that dispatchers report with the commits known here.
 
-    `stalled` tells for how many seconds in all this process has stood still; dispatchers tell theirs in their
-    heartbeats. Neither is time that a dispatcher took.
+    `stalled` returns for how many seconds in total this process has been stalled; dispatchers report their
+    own stalls in their heartbeats. Neither counts as time that a dispatcher needs to apply a commit.
     """
 
     def __init__(
@@ -171,72 +178,72 @@
         self._invariants = invariants
         self._commits: deque[Commit] = deque(maxlen=REMEMBERED_COMMITS)
         self._reports: dict[str, DispatcherReport] = {}
-        self._periodic = PeriodicCheck(clock)
+        self._check_guard = StallGuard(clock)
 
     def committed(self, position: ConfigurationPosition) -> None:
-        """A position is committed; positions only rise."""
+        """Record a commit; commits with older positions are ignored."""
         if not self._commits or position > self._commits[-1].position:
             self._commits.append(Commit(position, self._clock(), self._stalled()))
 
     def reported(self, dispatcher: str, position: ConfigurationPosition, stalled: float = 0.0) -> None:
-        """A dispatcher has this position in force; called for each of its heartbeats."""
+        """Record the position in force at a dispatcher and its stalls; called for each of its heartbeats."""
         report = self._reports.get(dispatcher)
         if report is None:
             report = self._reports[dispatcher] = DispatcherReport(position, None, self._clock())
         elif report.position != position:
-            report.take_up = self._take_up(position)
+            report.take_up_seconds = self._seconds_since_commit(position)
             report.position = position
-        report.heartbeats.append(HeardHeartbeat(self._clock(), stalled))
+        report.heartbeats.append(ReceivedHeartbeat(self._clock(), stalled))
 
     def lost(self, dispatcher: str) -> None:
-        """A dispatcher's link ended; it is counted again once it reports."""
+        """Forget a dispatcher whose link ended, until it reports again."""
         self._reports.pop(dispatcher, None)
 
     def lags(self) -> Iterator[DispatcherLag]:
-        """Each dispatcher that is linked and has reported."""
+        """Yield the lag of each linked dispatcher that has reported."""
         for dispatcher, report in self._reports.items():
             yield DispatcherLag(
-                dispatcher, report.position, self._seconds_behind(report.position), report.take_up
+                dispatcher, report.position, self._seconds_behind(report.position), report.take_up_seconds
             )
 
     def farthest_behind(self) -> DispatcherLag | None:
-        """The dispatcher that lacks the oldest commit; None where all that have reported are level."""
+        """The dispatcher with the oldest position; None if all that have reported are up to date."""
         farthest = min(self.lags(), key=lambda lag: (lag.position, lag.dispatcher), default=None)
         return farthest if farthest is not None and farthest.behind > 0 else None
 
     def check(self, limit: float) -> None:
-        """Count dispatchers that lack a commit for longer than the limit, in seconds, as violations.
+        """Count a violation for each dispatcher that is behind a commit for longer than `limit` seconds.
 
-        One that has just linked has the whole limit from then on. What counts is the time up to its newest
-        heartbeat, without that in which its process or this one stood still: one that says nothing more is
-        found by the silence of its link.
+        The time starts when the dispatcher linked, if that was after the commit. It ends with its last
+        heartbeat, since the idle timeout of the link detects a dispatcher that stops sending, and excludes
+        stalls of its process and of this one.
         """
-        if not self._periodic.has_run_for(limit):
+        if not self._check_guard.has_run_without_stall(limit):
             return
         for lag in self.lags():
-            taken = self._time_taken(self._reports[lag.dispatcher])
+            own_seconds = self._own_seconds_behind(self._reports[lag.dispatcher])
             detail = f"{lag.dispatcher} has {lag.position}, {lag.behind:.1f} s after a newer commit"
-            self._invariants.check(taken <= limit, Invariant.DISPATCHERS_IN_TIME, detail)
+            self._invariants.check(own_seconds <= limit, Invariant.DISPATCHERS_IN_TIME, detail)
 
-    def _time_taken(self, report: DispatcherReport) -> float:
-        """Seconds of its own for which a dispatcher has lacked the oldest commit that it has not reported."""
-        index = self._first_after(report.position)
+    def _own_seconds_behind(self, report: DispatcherReport) -> float:
+        """Seconds, stalls excluded, for which a dispatcher has been behind the oldest commit not reported."""
+        index = self._first_commit_after(report.position)
         if index == len(self._commits):
             return 0.0
-        missing = self._commits[index]
-        begin = max(missing.at, report.linked_at)
-        own_stall = at_most_stalled(self._stalled() - missing.stalled)
-        return report.heartbeats[-1].at - begin - report.stalled_since(begin) - own_stall
+        commit = self._commits[index]
+        start = max(commit.time, report.linked_at)
+        own_stall = max_stall(self._stalled() - commit.stalled)
+        return report.heartbeats[-1].time - start - report.stalled_since(start) - own_stall
 
-    def _first_after(self, position: ConfigurationPosition) -> int:
+    def _first_commit_after(self, position: ConfigurationPosition) -> int:
         return bisect.bisect_right(self._commits, position, key=lambda commit: commit.position)
 
     def _seconds_behind(self, position: ConfigurationPosition) -> float:
-        index = self._first_after(position)
-        return self._clock() - self._commits[index].at if index < len(self._commits) else 0.0
+        index = self._first_commit_after(position)
+        return self._clock() - self._commits[index].time if index < len(self._commits) else 0.0
 
-    def _take_up(self, position: ConfigurationPosition) -> float | None:
-        index = self._first_after(position) - 1
+    def _seconds_since_commit(self, position: ConfigurationPosition) -> float | None:
+        index = self._first_commit_after(position) - 1
         if index < 0 or self._commits[index].position != position:
             return None
-        return self._clock() - self._commits[index].at
+        return self._clock() - self._commits[index].time
--- a/rookwood/cluster/settings.py
+++ b/rookwood/cluster/settings.py
@@ -13,11 +13,11 @@
 
 SETTINGS_VARIABLE = "ROOKWOOD_NODE_FILE"
 DEFAULT_SETTINGS_PATH = "/etc/rookwood/local.json"
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
 
 class SettingsError(Exception):
-    """The settings file is missing, unreadable, or lacks a key; the text names file and key."""
+    """The settings file is missing or invalid; the text names the file and, if one is missing, the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read `ip:port`."""
+        """Parse `ip:port`."""
         ip, _, port = text.rpartition(":")
         return cls(ip, int(port))
 
@@ -39,7 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Time limits and budgets of the deployment; times in seconds."""
+    """Time limits and budgets of the deployment; times are in seconds.
+
+    `apply` is the time within which a committed configuration must be in force, `grace` the time from the
+    signal to stop until the process is killed, and `lease` the time within which two primaries must not both
+    issue load orders. `retry_ratio`, `retry_window` and `retry_slack` define the retry budget; `load_window`
+    and `load_rate_tolerance` limit the rate of model loads. `fenced` says that workers check the fencing
+    tokens of load orders. `acknowledge`, `drain` and `synchronise` are parsed but not used.
+    """
 
     acknowledge: float = 4.0
     drain: float = 2.0
@@ -57,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Everything that one process is told at its start."""
+    """The settings of one process; sizes and times have their unit in the name or are in seconds."""
 
     hostname: str
     ip: str
@@ -80,7 +87,7 @@
 
     @property
     def feed_port(self) -> int:
-        """The port on which control machines serve updates to dispatchers."""
+        """The port on which control machines serve feeds."""
         return self.internal_ports[0] + 1
 
     @property
@@ -95,7 +102,7 @@
 
 
 def load_settings(path: str) -> NodeSettings:
-    """Read and check the settings file; raises SettingsError."""
+    """Read and parse the settings file; raises SettingsError."""
     try:
         with open(path, "rb") as file:
             document = json.load(file)
@@ -107,7 +114,7 @@
 
 
 class SettingsFile:
-    """The settings file of a running process; it may change with or without a signal."""
+    """The settings file of a running process, which may change with or without a signal."""
 
     def __init__(self, path: str, settings: NodeSettings) -> None:
         self._path = path
@@ -115,7 +122,10 @@
         self.settings = settings
 
     def refresh(self) -> bool:
-        """Read the file again if it changed; a file that can't be used leaves the old settings in force."""
+        """Read the file again if it changed, and return whether new settings are in force.
+
+        An invalid file leaves the old settings in force.
+        """
         changed_at = _modification_time(self._path)
         if changed_at == self._changed_at:
             return False
@@ -123,9 +133,9 @@
         try:
             self.settings = load_settings(self._path)
         except SettingsError as error:
-            logger.warning("settings are not taken over", extra={"reason": str(error)})
+            logger.warning("changed settings are invalid, keeping the old ones", extra={"reason": str(error)})
             return False
-        logger.info("settings taken over")
+        logger.info("changed settings are in force")
         return True
 
 
@@ -137,7 +147,7 @@
 
 
 def parse_settings(document: Mapping[str, Any]) -> NodeSettings:
-    """Build the settings from the parsed file; unknown keys are ignored."""
+    """Build the settings from the parsed JSON document; unknown keys are ignored."""
     limits = document.get("limits") or {}
     first_port, last_port = document["port-range"]
     return NodeSettings(
@@ -152,20 +162,20 @@
         data_directory=document.get("datadir"),
         disk_megabytes=int(limits.get("disk-mb", 0)),
         descriptors=int(limits.get("nofile", 1024)),
-        beat=float(document.get("beat-ms", 1200)) / MILLISECONDS,
+        beat=float(document.get("beat-ms", 1200)) / MILLISECONDS_PER_SECOND,
         bounds=parse_bounds(document.get("bounds") or {}),
     )
 
 
 def parse_bounds(document: Mapping[str, Any]) -> Bounds:
-    """Build the bounds; absent ones keep their defaults."""
+    """Build the bounds; absent keys keep their defaults."""
     default = Bounds()
 
-    def seconds(key: str, fallback: float) -> float:
-        return float(document[key]) / MILLISECONDS if key in document else fallback
+    def seconds(key: str, default_value: float) -> float:
+        return float(document[key]) / MILLISECONDS_PER_SECOND if key in document else default_value
 
-    def number(key: str, fallback: float) -> float:
-        return float(document.get(key, fallback))
+    def number(key: str, default_value: float) -> float:
+        return float(document.get(key, default_value))
 
     return Bounds(
         acknowledge=seconds("ack-ms", default.acknowledge),
--- a/rookwood/cluster/startup.py
+++ b/rookwood/cluster/startup.py
@@ -1,4 +1,4 @@
-"""What the programs do before they import the rest, so that a start after a kill takes little time."""
+"""What the programs do before they import other modules, to restart quickly after being killed."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def leave_out_tls() -> None:
-    """Keep the `ssl` module from being imported.
+    """Prevent the import of the `ssl` module.
 
-    All connections of the system are plain TCP. With `ssl` at hand, aiohttp reads the certificate store
-    when it is imported, which takes a quarter of a program's start.
+    All connections of the system are plain TCP. If `ssl` is available, aiohttp reads the certificate store
+    when it is imported, which takes a quarter of a program's startup time.
     """
     sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]
--- a/rookwood/cluster/tasks.py
+++ b/rookwood/cluster/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a process: periodic work, and an end of the process when one of them fails."""
+"""Background tasks: periodic work, and stopping the process when a task fails."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def repeat(interval: float, action: Callable[[], Awaitable[None] | None]) -> None:
-    """Call an action for ever at a fixed pause; cancelled by its task."""
+    """Call an action repeatedly, `interval` seconds after the last call returned, until cancelled."""
     while True:
         await asyncio.sleep(interval)
         result = action()
@@ -20,19 +20,19 @@
 
 
 async def run_until(stopping: asyncio.Event, tasks: Iterable[asyncio.Task[None]]) -> None:
-    """Wait for the signal to stop; raises the exception of a task that failed before."""
-    signal = asyncio.create_task(stopping.wait())
+    """Wait until `stopping` is set or a task ends; raises the exception of a task that failed."""
+    stop_wait = asyncio.create_task(stopping.wait())
     try:
-        done, _ = await asyncio.wait([signal, *tasks], return_when=asyncio.FIRST_COMPLETED)
+        done, _ = await asyncio.wait([stop_wait, *tasks], return_when=asyncio.FIRST_COMPLETED)
     finally:
-        signal.cancel()
-    for task in done - {signal}:
-        logger.critical("a background task ended", extra={"task": task.get_name()})
+        stop_wait.cancel()
+    for task in done - {stop_wait}:
+        logger.critical("a background task ended unexpectedly", extra={"task": task.get_name()})
         task.result()
 
 
 async def cancel_tasks(tasks: Iterable[asyncio.Task[None]]) -> None:
-    """Cancel tasks and wait until they ended."""
+    """Cancel tasks and wait until they have ended."""
     pending = list(tasks)
     for task in pending:
         task.cancel()
--- a/rookwood/cluster/throttle.py
+++ b/rookwood/cluster/throttle.py
@@ -1,4 +1,4 @@
-"""Has something done soon after it is asked for, but not more often than once in an interval."""
+"""Limits how often an action runs."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 class Throttle:
-    """Runs an action: at once where it rested, else an interval after it ran last.
+    """Runs an action on request, at most once per interval.
 
-    So news that is rare is not late, and news that is frequent is collected. What is asked for in one turn of
-    the event loop is done together.
+    A request after an idle interval runs the action in the next iteration of the event loop; any other waits
+    until an interval has passed since the last run. Rare updates are thus sent without delay and frequent
+    ones are batched. Requests made before the action runs share one run.
     """
 
     def __init__(self, interval: float, action: Callable[[], None]) -> None:
@@ -20,7 +21,7 @@
         self._pending: asyncio.Handle | None = None
 
     def request(self) -> None:
-        """Have the action run."""
+        """Schedule the action, unless it is already scheduled."""
         if self._pending is not None:
             return
         loop = asyncio.get_running_loop()
@@ -31,7 +32,7 @@
             self._pending = loop.call_at(due, self.run)
 
     def run(self) -> None:
-        """Run the action now, in place of the next time."""
+        """Run the action now; this replaces a scheduled run."""
         if self._pending is not None:
             self._pending.cancel()
             self._pending = None
--- a/rookwood/cluster/view.py
+++ b/rookwood/cluster/view.py
@@ -1,4 +1,4 @@
-"""A process's view of workers and control machines, merged from the feeds that it hears."""
+"""A process's view of workers and control machines, merged from the feeds of several control machines."""
 
 from __future__ import annotations
 
@@ -9,21 +9,25 @@
 from rookwood.cluster.primary_witness import PrimaryWitness
 from rookwood.cluster.workers import WorkerRecord, WorkerRegistry
 
-LINGER = 6.0  # seconds for which a lost source's workers are still believed in
+WORKER_RETENTION = 6.0  # seconds for which workers stay that only a lost or restarted machine reported
 
 
 @dataclass(slots=True)
-class Source:
-    """What one control machine last told."""
+class ControlMachineState:
+    """The state of one control machine as last received.
+
+    `unconfirmed` holds the workers that it reported before a restart and has not reported since, with the
+    time when they were first missing.
+    """
 
     status: Status | None = None
     linked: bool = False
     unlinked_at: float = 0.0
-    unconfirmed: dict[str, float] = field(default_factory=dict)  # told before its restart, and when
+    unconfirmed: dict[str, float] = field(default_factory=dict)
 
 
 class ClusterView:
-    """Merges feeds. A worker goes when every informed source lacks it."""
+    """Merges the feeds of control machines. A worker is removed when no machine reports it any more."""
 
     def __init__(
         self,
@@ -31,130 +35,142 @@
         on_worker_gone: Callable[[str], None],
     ) -> None:
         self.registry = WorkerRegistry()
-        self._witness = PrimaryWitness()
+        self._primary_check = PrimaryWitness()
         self._on_worker = on_worker
         self._on_worker_gone = on_worker_gone
-        self._sources: dict[str, Source] = {}
-        self._presence: dict[str, set[str]] = {}
+        self._machines: dict[str, ControlMachineState] = {}
+        self._reported_by: dict[str, set[str]] = {}
 
     def linked(self, peer: str) -> None:
-        """A link to a control machine is open."""
-        self._sources.setdefault(peer, Source()).linked = True
+        """Record that the link to a control machine is open."""
+        self._machines.setdefault(peer, ControlMachineState()).linked = True
 
     def unlinked(self, peer: str, now: float) -> None:
-        """A link is gone; the workers that it told of stay for a while."""
-        source = self._sources.get(peer)
-        if source is None:
+        """Record that a link closed; the workers that the machine reported stay for a while."""
+        machine = self._machines.get(peer)
+        if machine is None:
             return
-        source.status = None
-        if source.linked:
-            source.linked = False
-            source.unlinked_at = now
+        machine.status = None
+        if machine.linked:
+            machine.linked = False
+            machine.unlinked_at = now
 
     def received(self, peer: str, message: Message, now: float) -> None:
-        """Take in a message; those that tell nothing of workers or control machines are passed over."""
+        """Handle a message; messages that do not concern workers or control machines are ignored."""
         if isinstance(message, Status):
-            self._sources.setdefault(peer, Source(linked=True)).status = message
+            self._machines.setdefault(peer, ControlMachineState(linked=True)).status = message
             if message.claims_primary:
-                self._witness.claimed(message.epoch, message.identity)
+                self._primary_check.claimed(message.epoch, message.identity)
         elif isinstance(message, WorkerUpdates):
-            self._take_workers(peer, message, now)
+            self._handle_updates(peer, message, now)
         elif isinstance(message, WorkerGone):
-            self._take_gone(peer, message)
+            self._handle_worker_gone(peer, message)
 
     def primary(self) -> str | None:
-        """The IP of the primary by the newest epoch that a linked machine tells."""
-        best: Status | None = None
-        for source in self._sources.values():
-            status = source.status
+        """The IP address of the primary of the newest epoch that a machine in contact with it reports."""
+        newest: Status | None = None
+        for machine in self._machines.values():
+            status = machine.status
             if status is None or not status.fresh or not status.primary:
                 continue
-            if best is None or status.epoch > best.epoch:
-                best = status
-        return best.primary if best else None
+            if newest is None or status.epoch > newest.epoch:
+                newest = status
+        return newest.primary if newest else None
 
     def members(self) -> frozenset[str]:
-        """All control machines that linked ones name."""
-        named: set[str] = set()
-        for source in self._sources.values():
-            if source.status is not None:
-                named.update(source.status.members)
-        return frozenset(named)
+        """All members of the control group that linked machines report."""
+        reported: set[str] = set()
+        for machine in self._machines.values():
+            if machine.status is not None:
+                reported.update(machine.status.members)
+        return frozenset(reported)
 
     def attached(self) -> int:
-        """How many dispatchers subscribe to the linked machines, all together."""
-        return sum(s.status.attached for s in self._sources.values() if s.status is not None)
+        """How many dispatchers subscribe to the linked machines in total."""
+        return sum(
+            machine.status.attached for machine in self._machines.values() if machine.status is not None
+        )
 
     def release(self, peer: str) -> int:
-        """The release of a linked machine; 0 where it is not known."""
-        source = self._sources.get(peer)
-        return source.status.release if source is not None and source.status is not None else 0
+        """The protocol release of a linked machine; 0 if it is not known."""
+        machine = self._machines.get(peer)
+        return machine.status.release if machine is not None and machine.status is not None else 0
 
     def dispatchers(self) -> int:
-        """The largest number of dispatchers that a linked machine counts."""
-        counts = [s.status.dispatchers for s in self._sources.values() if s.status is not None]
+        """The largest dispatcher count that a linked machine reports; 1 without any."""
+        counts = [
+            machine.status.dispatchers for machine in self._machines.values() if machine.status is not None
+        ]
         return max(counts, default=1)
 
     def drop_silent(self, now: float) -> tuple[str, ...]:
-        """Forget workers that no source knows any more, once a settled one is linked; returns them."""
-        for peer, source in self._sources.items():
-            if not source.linked and now - source.unlinked_at > LINGER:
-                self._absent_at(peer)
-            for worker, since in list(source.unconfirmed.items()):
-                if now - since > LINGER:
-                    del source.unconfirmed[worker]
-                    self._presence.get(worker, set()).discard(peer)
-        settled = any(s.linked and s.status is not None and s.status.settled for s in self._sources.values())
+        """Remove and return the workers that no machine reports any more, if a settled machine is linked."""
+        for peer, machine in self._machines.items():
+            if not machine.linked and now - machine.unlinked_at > WORKER_RETENTION:
+                self._remove_reporter(peer)
+            for worker, since in list(machine.unconfirmed.items()):
+                if now - since > WORKER_RETENTION:
+                    del machine.unconfirmed[worker]
+                    self._reported_by.get(worker, set()).discard(peer)
+        settled = any(
+            machine.linked and machine.status is not None and machine.status.settled
+            for machine in self._machines.values()
+        )
         if not settled:
             return ()
-        silent = tuple(record.id for record in self.registry if not self._presence.get(record.id))
-        for worker in silent:
-            self._remove(worker)
-        return silent
-
-    def _compare(self, peer: str, source: Source, named: set[str], now: float) -> None:
-        """Workers that a complete list lacks are gone; a source that just started may hear of them yet."""
-        settled = source.status is not None and source.status.settled
-        for worker, present in self._presence.items():
-            if worker in named or peer not in present:
+        unreported = tuple(record.id for record in self.registry if not self._reported_by.get(record.id))
+        for worker in unreported:
+            self._remove_worker(worker)
+        return unreported
+
+    def _handle_complete_list(
+        self, peer: str, machine: ControlMachineState, reported: set[str], now: float
+    ) -> None:
+        """Apply a complete list: the machine no longer reports the other workers.
+
+        A machine that has just started may not have received their heartbeats yet, so they stay for a while.
+        """
+        settled = machine.status is not None and machine.status.settled
+        for worker, reporters in self._reported_by.items():
+            if worker in reported or peer not in reporters:
                 continue
             if settled:
-                present.discard(peer)
+                reporters.discard(peer)
             else:
-                source.unconfirmed.setdefault(worker, now)
+                machine.unconfirmed.setdefault(worker, now)
 
-    def _take_workers(self, peer: str, updates: WorkerUpdates, now: float) -> None:
-        source = self._sources.setdefault(peer, Source(linked=True))
+    def _handle_updates(self, peer: str, updates: WorkerUpdates, now: float) -> None:
+        machine = self._machines.setdefault(peer, ControlMachineState(linked=True))
         for worker in updates.ended:
-            self._end(worker)
+            self._delete_worker(worker)
         if updates.complete:
-            self._compare(peer, source, {record.id for record in updates.records}, now)
+            self._handle_complete_list(peer, machine, {record.id for record in updates.records}, now)
         for record in updates.records:
             if self.registry.was_deleted(record.id):
                 continue
-            source.unconfirmed.pop(record.id, None)
-            self._presence.setdefault(record.id, set()).add(peer)
+            machine.unconfirmed.pop(record.id, None)
+            self._reported_by.setdefault(record.id, set()).add(peer)
             changed = self.registry.merge(record)
             if changed is not None:
                 self._on_worker(changed)
 
-    def _take_gone(self, peer: str, gone: WorkerGone) -> None:
-        if gone.deleted:
-            self._end(gone.worker)
+    def _handle_worker_gone(self, peer: str, message: WorkerGone) -> None:
+        if message.deleted:
+            self._delete_worker(message.worker)
         else:
-            self._presence.get(gone.worker, set()).discard(peer)
+            self._reported_by.get(message.worker, set()).discard(peer)
 
-    def _end(self, worker: str) -> None:
-        """A worker said that it ended: it is gone whoever still tells of it."""
-        self._presence.pop(worker, None)
+    def _delete_worker(self, worker: str) -> None:
+        """Remove a worker that has deregistered, whichever machines still report it."""
+        self._reported_by.pop(worker, None)
         if self.registry.delete(worker):
             self._on_worker_gone(worker)
 
-    def _absent_at(self, peer: str) -> None:
-        for present in self._presence.values():
-            present.discard(peer)
+    def _remove_reporter(self, peer: str) -> None:
+        for reporters in self._reported_by.values():
+            reporters.discard(peer)
 
-    def _remove(self, worker: str) -> None:
-        self._presence.pop(worker, None)
+    def _remove_worker(self, worker: str) -> None:
+        self._reported_by.pop(worker, None)
         if self.registry.forget(worker):
             self._on_worker_gone(worker)
--- a/rookwood/cluster/workers.py
+++ b/rookwood/cluster/workers.py
@@ -1,4 +1,4 @@
-"""Worker records and the registry that merges what several sources tell of the same workers."""
+"""Worker records, and the registry that merges the records of several sources."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-TOMBSTONES = 4096
-DRAINED = 4096  # workers that are remembered to drain, also once they fell silent
+MAX_DELETED = 4096  # deregistered workers that are remembered
+MAX_DRAINED = 4096  # draining workers that are remembered, even after their heartbeats timed out
 
 
 class WorkerState(enum.Enum):
-    """What a worker says of itself in its heartbeat."""
+    """The state that a worker reports in its heartbeat."""
 
     UP = "up"
     DRAINING = "draining"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldModel:
-    """A model in a worker's memory, with its adapters there."""
+    """A model in a worker's memory, and which of its adapters are there."""
 
     name: str
     version: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldingStamp:
-    """Orders statements about a worker's weights: the reporting epoch, then a counter within it."""
+    """Orders reports on a worker's weights: by the epoch of the reporting primary, then by its counter."""
 
     epoch: int = 0
     counter: int = 0
@@ -42,7 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRecord:
-    """One incarnation of a worker as its heartbeats and reports describe it."""
+    """One incarnation of a worker, as its heartbeats and reports describe it.
+
+    `sequence` numbers the heartbeats. `holding` stamps `models`, which a report of the primary may update.
+    """
 
     id: str
     service: str
@@ -55,7 +58,7 @@
     holding: HoldingStamp = field(default=HoldingStamp())
 
     def holds(self, model: str, adapter: str) -> bool:
-        """Whether the worker has the model, and the adapter if one is named."""
+        """Whether the worker holds the model, and the adapter if one is given."""
         for held in self.models:
             if held.name == model:
                 return not adapter or adapter in held.adapters
@@ -63,11 +66,11 @@
 
 
 class MalformedHeartbeatError(ValueError):
-    """A heartbeat lacks a field or has one of a wrong type."""
+    """A heartbeat has a missing or invalid field."""
 
 
 def parse_models(items: Any) -> tuple[HeldModel, ...]:
-    """Read the `models` list of a heartbeat or a report."""
+    """Parse the `models` list of a heartbeat or a report."""
     models = []
     for item in items or ():
         held = HeldModel(str(item["name"]), int(item.get("ver", 0)), frozenset(item.get("loras") or ()))
@@ -76,7 +79,7 @@
 
 
 def parse_heartbeat(worker: str, document: Mapping[str, Any]) -> WorkerRecord:
-    """Read a heartbeat's body; raises MalformedHeartbeatError."""
+    """Parse the body of a heartbeat; raises MalformedHeartbeatError."""
     try:
         state = WorkerState.DRAINING if document.get("state") == "draining" else WorkerState.UP
         return WorkerRecord(
@@ -93,19 +96,23 @@
         raise MalformedHeartbeatError(f"heartbeat of {worker}: {error!r}") from error
 
 
-def merge_records(known: WorkerRecord, told: WorkerRecord) -> WorkerRecord:
-    """Combine two statements about one incarnation: each part from whoever knows it later."""
-    newest = told if told.sequence > known.sequence else known
-    holder = known if told.holding < known.holding else told
-    if not (known.holding < told.holding) and not (told.holding < known.holding):
-        holder = newest
-    draining = WorkerState.DRAINING in (known.state, told.state)
+def merge_records(known: WorkerRecord, received: WorkerRecord) -> WorkerRecord:
+    """Merge two records of one incarnation.
+
+    The models come from the record with the newer holding stamp, or the higher sequence if the stamps are
+    equal. Draining is never undone. All other fields come from the record with the higher sequence.
+    """
+    newest = received if received.sequence > known.sequence else known
+    newer_holding = known if received.holding < known.holding else received
+    if not (known.holding < received.holding) and not (received.holding < known.holding):
+        newer_holding = newest
+    draining = WorkerState.DRAINING in (known.state, received.state)
     state = WorkerState.DRAINING if draining else WorkerState.UP
-    return replace(newest, state=state, models=holder.models, holding=holder.holding)
+    return replace(newest, state=state, models=newer_holding.models, holding=newer_holding.holding)
 
 
 class WorkerRegistry:
-    """The workers known here. Ids are never used again, so a deleted one stays deleted."""
+    """The known workers. Ids are never reused, so a deleted worker stays deleted."""
 
     def __init__(self) -> None:
         self._records: dict[str, WorkerRecord] = {}
@@ -119,58 +126,58 @@
         return len(self._records)
 
     def get(self, worker: str) -> WorkerRecord | None:
-        """The record of a worker, if it is known."""
+        """Return the record of a worker, if it is known."""
         return self._records.get(worker)
 
     def was_deleted(self, worker: str) -> bool:
-        """Whether the worker said that it ended."""
+        """Whether the worker has deregistered."""
         return worker in self._deleted
 
-    def merge(self, told: WorkerRecord) -> WorkerRecord | None:
-        """Take in a statement; returns the merged record if it changed what others see."""
-        if told.id in self._deleted:
+    def merge(self, received: WorkerRecord) -> WorkerRecord | None:
+        """Merge a record; returns the result if anything but the sequence changed."""
+        if received.id in self._deleted:
             return None
-        told = self._with_drain(told)
-        known = self._records.get(told.id)
+        received = self._keep_draining(received)
+        known = self._records.get(received.id)
         if known is None:
-            self._records[told.id] = told
-            return told
-        if told == known:
+            self._records[received.id] = received
+            return received
+        if received == known:
             return None
-        merged = merge_records(known, told)
-        self._records[told.id] = merged
+        merged = merge_records(known, received)
+        self._records[received.id] = merged
         if merged.sequence != known.sequence:
             known = replace(known, sequence=merged.sequence)
         return None if merged == known else merged
 
-    def _with_drain(self, told: WorkerRecord) -> WorkerRecord:
-        """A worker that drains never serves again, also when it fell silent and a late heartbeat comes."""
-        if told.state is WorkerState.DRAINING:
-            remember(self._drained, told.id, DRAINED)
-        elif told.id in self._drained:
-            return replace(told, state=WorkerState.DRAINING)
-        return told
+    def _keep_draining(self, received: WorkerRecord) -> WorkerRecord:
+        """Keep a draining worker draining, even if it timed out and a late heartbeat says otherwise."""
+        if received.state is WorkerState.DRAINING:
+            add_bounded(self._drained, received.id, MAX_DRAINED)
+        elif received.id in self._drained:
+            return replace(received, state=WorkerState.DRAINING)
+        return received
 
     def forget(self, worker: str) -> bool:
-        """Drop a worker that fell silent; it may come back. Returns whether it was known."""
+        """Remove a worker that timed out; it may come back. Returns whether it was known."""
         return self._records.pop(worker, None) is not None
 
     def delete(self, worker: str) -> bool:
-        """Drop a worker for good. Returns whether that is news."""
-        news = worker not in self._deleted
-        remember(self._deleted, worker, TOMBSTONES)
+        """Remove a worker permanently. Returns whether it had not been deleted before."""
+        is_new = worker not in self._deleted
+        add_bounded(self._deleted, worker, MAX_DELETED)
         self._drained.pop(worker, None)
         self._records.pop(worker, None)
-        return news
+        return is_new
 
-    def deleted_lately(self, most: int) -> tuple[str, ...]:
-        """The workers that said last that they ended, the oldest of them first."""
-        newest = itertools.islice(reversed(self._deleted), most)
+    def deleted_lately(self, max_count: int) -> tuple[str, ...]:
+        """Return the workers that deregistered last, oldest first."""
+        newest = itertools.islice(reversed(self._deleted), max_count)
         return tuple(newest)[::-1]
 
 
-def remember(ids: OrderedDict[str, None], worker: str, most: int) -> None:
-    """Add a worker to a bounded memory, in which the oldest entry makes room."""
+def add_bounded(ids: OrderedDict[str, None], worker: str, max_count: int) -> None:
+    """Add a worker id, and drop the oldest one beyond `max_count`."""
     ids[worker] = None
-    if len(ids) > most:
+    if len(ids) > max_count:
         ids.popitem(last=False)
--- a/tests/test_cluster_feed.py
+++ b/tests/test_cluster_feed.py
@@ -165,14 +165,14 @@
         self.assertEqual(frozenset(), self.server.connections)
 
     async def test_a_silent_subscriber_is_dropped(self) -> None:
-        with mock.patch.object(connection_module, "SILENCE_LIMIT", SHORT_SILENCE):
+        with mock.patch.object(connection_module, "IDLE_TIMEOUT", SHORT_SILENCE):
             reader, _ = await self.subscribe_raw()
             await within(read_to_end(reader))
             await within(self.handler.losses.get())
 
     async def test_heartbeats_keep_a_quiet_link_open(self) -> None:
         with (
-            mock.patch.object(connection_module, "SILENCE_LIMIT", KEPT_SILENCE),
+            mock.patch.object(connection_module, "IDLE_TIMEOUT", KEPT_SILENCE),
             mock.patch.object(feed, "HEARTBEAT_INTERVAL", SHORT_INTERVAL),
         ):
             recorder = LinkRecorder()
@@ -207,13 +207,13 @@
             self.server.broadcast(replace(STATUS, config_sequence=sequence))
         self.assertLess(
             connection.queued_bytes,
-            connection_module.OUTBOX_LIMIT + connection_module.UNSENT_LIMIT + len(LARGE_SOURCE),
+            connection_module.OUTBOX_LIMIT + connection_module.WRITE_HIGH_WATER + len(LARGE_SOURCE),
         )
         self.assertEqual(frozenset({connection}), self.server.connections)
 
     async def test_a_slow_subscriber_gets_the_newest_state_of_all(self) -> None:
         self.enterContext(
-            mock.patch.object(connection_module, "SILENCE_LIMIT", WAIT_LIMIT)
+            mock.patch.object(connection_module, "IDLE_TIMEOUT", WAIT_LIMIT)
         )  # it sends nothing
         reader, writer = await self.subscribe_raw()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -235,7 +235,7 @@
     async def test_a_message_whose_bytes_keep_coming_is_no_silence(self) -> None:
         recorder = LinkRecorder()
         frame = encode_frame(ConfigurationBody(1, 1, os.urandom(SLOW_PIECES * SLOW_PIECE), True))
-        with mock.patch.object(connection_module, "SILENCE_LIMIT", KEPT_SILENCE):
+        with mock.patch.object(connection_module, "IDLE_TIMEOUT", KEPT_SILENCE):
             writers = await self.serve_raw(recorder)
             writer = await within(writers.get())
             loop = asyncio.get_running_loop()
@@ -265,7 +265,7 @@
 class FeedLinkTests(FeedCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.enterContext(mock.patch.object(feed, "RECONNECT_PAUSE", SHORT_INTERVAL))
+        self.enterContext(mock.patch.object(feed, "RECONNECT_DELAY", SHORT_INTERVAL))
 
     async def test_a_link_opens_again_after_its_server_restarted(self) -> None:
         recorder = LinkRecorder()
@@ -303,7 +303,7 @@
         self.addCleanup(silent_server.close)
         port = silent_server.sockets[0].getsockname()[1]
         recorder = LinkRecorder()
-        with mock.patch.object(connection_module, "SILENCE_LIMIT", SHORT_SILENCE):
+        with mock.patch.object(connection_module, "IDLE_TIMEOUT", SHORT_SILENCE):
             link = FeedLink(HOST, port, HELLO, recorder)
             self.addCleanup(link.close)
             self.assertEqual(HELLO, await within(hellos.get()))
@@ -367,14 +367,14 @@
     def test_links_that_opened_at_any_time_beat_at_the_same_moments(self) -> None:
         for number in range(1000):
             now = number * 0.0137
-            due = now + feed.time_to_beat(now) + feed.BEAT_PHASE
+            due = now + feed.time_to_heartbeat(now) + feed.HEARTBEAT_PHASE
             beats = due / feed.HEARTBEAT_INTERVAL
             self.assertAlmostEqual(round(beats), beats, places=6)
 
     def test_no_beat_is_sent_twice(self) -> None:
-        beat = 10 * feed.HEARTBEAT_INTERVAL - feed.BEAT_PHASE
+        beat = 10 * feed.HEARTBEAT_INTERVAL - feed.HEARTBEAT_PHASE
         for moment in (beat - 1e-6, beat, beat + 1e-6):
-            self.assertAlmostEqual(feed.HEARTBEAT_INTERVAL, feed.time_to_beat(moment), places=4)
+            self.assertAlmostEqual(feed.HEARTBEAT_INTERVAL, feed.time_to_heartbeat(moment), places=4)
 
 
 async def read_to_end(reader: asyncio.StreamReader) -> bytes:
--- a/tests/test_cluster_messages.py
+++ b/tests/test_cluster_messages.py
@@ -10,7 +10,7 @@
 
 from rookwood.cluster.frames import (
     HEADER,
-    MAXIMUM_FRAME,
+    MAX_FRAME_BYTES,
     FrameError,
     decode_message,
     encode_frame,
@@ -168,7 +168,7 @@
 
     async def test_an_oversized_frame_is_refused_before_its_body_is_read(self) -> None:
         reader = asyncio.StreamReader()
-        reader.feed_data(HEADER.pack(MAXIMUM_FRAME + 1, 0))
+        reader.feed_data(HEADER.pack(MAX_FRAME_BYTES + 1, 0))
         with self.assertRaises(FrameError):
             await read_message(reader)
 
--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from rookwood.cluster.messages import Message, Status, WorkerGone, WorkerUpdates
-from rookwood.cluster.view import LINGER, ClusterView
+from rookwood.cluster.view import WORKER_RETENTION, ClusterView
 from rookwood.cluster.workers import WorkerRecord, WorkerState
 
 FIRST, SECOND = "10.0.0.1", "10.0.0.2"
@@ -105,9 +105,9 @@
         self.link_settled(FIRST, SECOND)
         self.tell(FIRST, WORKER)
         self.restart_unsettled(FIRST)
-        self.view.drop_silent(START + LINGER - 0.01)
+        self.view.drop_silent(START + WORKER_RETENTION - 0.01)
         self.assertEqual([], self.gone)
-        self.view.drop_silent(START + LINGER + 0.01)
+        self.view.drop_silent(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_a_source_that_heard_of_its_workers_again_keeps_them(self) -> None:
@@ -115,7 +115,7 @@
         self.tell(FIRST, WORKER)
         self.restart_unsettled(FIRST)
         self.tell(FIRST, replace(WORKER, sequence=6))
-        self.view.drop_silent(START + 2 * LINGER)
+        self.view.drop_silent(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
     def restart_unsettled(self, peer: str) -> None:
@@ -136,17 +136,17 @@
         self.link_settled(FIRST, SECOND)
         self.tell(FIRST, WORKER)
         self.view.unlinked(FIRST, START)
-        self.view.drop_silent(START + LINGER - 0.01)
+        self.view.drop_silent(START + WORKER_RETENTION - 0.01)
         self.assertEqual([], self.gone)
-        self.view.drop_silent(START + LINGER + 0.01)
+        self.view.drop_silent(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_repeated_losses_of_one_link_do_not_prolong_the_time(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.tell(FIRST, WORKER)
         self.view.unlinked(FIRST, START)
-        self.view.unlinked(FIRST, START + LINGER)
-        self.view.drop_silent(START + LINGER + 0.01)
+        self.view.unlinked(FIRST, START + WORKER_RETENTION)
+        self.view.drop_silent(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_a_source_that_comes_back_keeps_its_workers(self) -> None:
@@ -155,7 +155,7 @@
         self.view.unlinked(FIRST, START)
         self.link_settled(FIRST)
         self.tell(FIRST, WORKER, complete=True)
-        self.view.drop_silent(START + 2 * LINGER)
+        self.view.drop_silent(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
     def test_workers_stay_while_no_settled_source_is_linked(self) -> None:
@@ -164,7 +164,7 @@
         self.view.unlinked(FIRST, START)
         self.view.linked(SECOND)
         self.receive(SECOND, replace(STATUS, identity=SECOND, settled=False))
-        self.view.drop_silent(START + 2 * LINGER)
+        self.view.drop_silent(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
     def test_a_deleted_worker_goes_at_once_and_never_returns(self) -> None:
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -5,7 +5,11 @@
 import unittest
 from dataclasses import replace
 
-from rookwood.cluster.configuration_follower import ANSWER_LIMIT, LEVEL_AGE, ConfigurationFollower
+from rookwood.cluster.configuration_follower import (
+    ANSWER_LIMIT,
+    HEARTBEAT_ANSWER_LIFETIME,
+    ConfigurationFollower,
+)
 from rookwood.cluster.invariants import Invariant, InvariantCounter
 from rookwood.cluster.messages import (
     ConfigurationBody,
@@ -220,7 +224,7 @@
     def test_an_answer_to_a_heartbeat_that_was_sent_a_while_ago_makes_nobody_level(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
-        thawed_at = HEARTBEAT_AT + LEVEL_AGE
+        thawed_at = HEARTBEAT_AT + HEARTBEAT_ANSWER_LIFETIME
         self.receive(FIRST, STATUS, thawed_at)
         self.receive(FIRST, ANSWER, thawed_at)
         self.assertFalse(self.follower.is_level(thawed_at))
@@ -240,7 +244,7 @@
         self.receive(FIRST, replace(STATUS, config_sequence=6))
         self.receive(FIRST, replace(ANSWER, config_sequence=8))
         self.receive(FIRST, replace(STATUS, config_sequence=7))
-        self.assertEqual(ConfigurationPosition(3, 8), self.follower.newest)
+        self.assertEqual(ConfigurationPosition(3, 8), self.follower.newest_announced)
         self.receive(FIRST, self.delta(6, 7))
         self.assertFalse(self.follower.is_level(START))
 
--- a/tests/test_frame_buffer.py
+++ b/tests/test_frame_buffer.py
@@ -6,7 +6,7 @@
 import unittest
 
 from rookwood.cluster.frame_buffer import FrameBuffer
-from rookwood.cluster.frames import HEADER, MAXIMUM_FRAME, FrameError, decode_message, encode_frame
+from rookwood.cluster.frames import HEADER, MAX_FRAME_BYTES, FrameError, decode_message, encode_frame
 from rookwood.cluster.messages import Heartbeat, Message, WorkerGone, WorkerUpdates
 from rookwood.cluster.workers import WorkerRecord, WorkerState
 
@@ -22,8 +22,8 @@
 def take_all(buffer: FrameBuffer) -> list[Message]:
     """Every whole message in the buffer."""
     taken = []
-    while (frame := buffer.take()) is not None:
-        taken.append(decode_message(frame.number, frame.body))
+    while (frame := buffer.next_frame()) is not None:
+        taken.append(decode_message(frame.type_number, frame.body))
     return taken
 
 
@@ -47,19 +47,19 @@
         frame = encode_frame(MESSAGES[0])
         buffer = FrameBuffer()
         buffer.add(frame[: HEADER.size - 1])
-        self.assertFalse(buffer.holds_part())
+        self.assertFalse(buffer.has_partial_frame())
         buffer.add(frame[HEADER.size - 1 : HEADER.size])
-        self.assertTrue(buffer.holds_part())
-        self.assertIsNone(buffer.take())
+        self.assertTrue(buffer.has_partial_frame())
+        self.assertIsNone(buffer.next_frame())
         buffer.add(frame[HEADER.size :])
         self.assertEqual([MESSAGES[0]], take_all(buffer))
-        self.assertFalse(buffer.holds_part())
+        self.assertFalse(buffer.has_partial_frame())
 
     def test_a_frame_beyond_the_limit_is_refused_before_it_came(self) -> None:
         buffer = FrameBuffer()
-        buffer.add(HEADER.pack(MAXIMUM_FRAME + 1, 0))
+        buffer.add(HEADER.pack(MAX_FRAME_BYTES + 1, 0))
         with self.assertRaises(FrameError):
-            buffer.take()
+            buffer.next_frame()
 
 
 if __name__ == "__main__":
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -17,7 +17,7 @@
     WorkerUpdates,
     WorkNotices,
 )
-from rookwood.cluster.outbox import Never, Outbox, subject_of
+from rookwood.cluster.outbox import Outbox, QueuePolicy, conflation_key
 from rookwood.cluster.workers import WorkerRecord, WorkerState
 
 FIRST = WorkerRecord("i-1", "models", "10.0.0.9:80", "z1", 8, WorkerState.UP, 5, ())
@@ -29,12 +29,12 @@
     """What comes out of an outbox into which all of these were put."""
     outbox = Outbox()
     for message in messages:
-        subject = subject_of(message)
-        assert subject is not Never.QUEUED
+        subject = conflation_key(message)
+        assert subject is not QueuePolicy.DROP
         outbox.put(subject, encode_frame(message))
     taken = []
     while outbox:
-        frame = outbox.take()
+        frame = outbox.pop()
         _, number = read_header(frame[: HEADER.size])
         taken.append(decode_message(number, frame[HEADER.size :]))
     assert outbox.size == 0
@@ -80,7 +80,7 @@
         self.assertEqual([silent, everyone, silent], pass_through(silent, everyone, silent))
 
     def test_what_only_advises_does_not_wait(self) -> None:
-        self.assertIs(Never.QUEUED, subject_of(WorkNotices(())))
+        self.assertIs(QueuePolicy.DROP, conflation_key(WorkNotices(())))
 
 
 if __name__ == "__main__":
