--- a/rookwood/clusterconfig/configuration_store.py
+++ b/rookwood/clusterconfig/configuration_store.py
@@ -1,6 +1,6 @@
-"""The configuration in force, kept up to date at a cost that follows what has changed.
+"""The configuration in force, updated at a cost proportional to the changed items.
 
-Both programs hold one: control machines to tell changes from, dispatchers to serve by.
+Control machines keep one to compute deltas, dispatchers to serve requests.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     Item,
     ItemChanges,
     ItemKey,
-    ItemTexts,
+    ItemSerialiser,
     Section,
     digest_after,
     find_changes,
@@ -23,9 +23,10 @@
 from rookwood.clusterconfig.loading import build_limits, build_route, build_service
 from rookwood.clusterconfig.routing import RouteIndex
 
-VERSION = ItemKey(Section.SETTING, "ver")
-LIMITS = ItemKey(Section.SETTING, "limits")
+VERSION_KEY = ItemKey(Section.SETTING, "ver")
+LIMITS_KEY = ItemKey(Section.SETTING, "limits")
 BUILD_ERRORS = (JsonTextError, KeyError, TypeError, ValueError)
+"""What building a configuration raises if it was never validated."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DigestMismatch:
-    """The changes lead to other items than their sender has; nothing was changed."""
+    """The changes would not give the items that their sender has; nothing was changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """An item can't be read; nothing was changed."""
+    """The document or an item is invalid; nothing was changed."""
 
-    why: str
+    reason: str
 
 
 ApplyOutcome = Applied | DigestMismatch | Malformed
@@ -50,7 +51,7 @@
 
 @dataclass(slots=True)
 class BuiltItems:
-    """What the changed items were built into, before any of it is put in force."""
+    """The typed values built from changed items, before any of them is put in force."""
 
     routes: dict[str, Route]
     services: dict[str, Service]
@@ -58,10 +59,10 @@
 
 
 class ConfigurationStore:
-    """The items of one configuration and what is built from them."""
+    """The items of one configuration and the typed configuration built from them."""
 
     def __init__(self) -> None:
-        self._reader = ItemTexts()
+        self._serialiser = ItemSerialiser()
         self._texts: dict[ItemKey, bytes] = {}
         self._routes: dict[str, Route] = {}
         self._services: dict[str, Service] = {}
@@ -73,20 +74,20 @@
 
     @property
     def texts(self) -> Mapping[ItemKey, bytes]:
-        """The items' JSON texts."""
+        """The JSON texts of the items."""
         return self._texts
 
     def replace(self, source: bytes) -> ItemChanges:
-        """Take a whole, validated document; returns what it changed.
+        """Replace the configuration by a full, validated document; returns the changed items.
 
-        Raises one of BUILD_ERRORS where the document was never validated, and changes nothing then.
+        Raises one of BUILD_ERRORS and changes nothing if the document was never validated.
         """
-        changes = find_changes(self._texts, self._reader.read(read_object(source)))
+        changes = find_changes(self._texts, self._serialiser.serialise(read_object(source)))
         self._commit(changes, build_items(changes))
         return changes
 
     def try_replace(self, source: bytes) -> ApplyOutcome:
-        """Take a whole document that may be one which this program can't read."""
+        """Replace the configuration by a full document, which this program may be unable to read."""
         try:
             self.replace(source)
         except BUILD_ERRORS as error:
@@ -94,7 +95,7 @@
         return Applied()
 
     def apply(self, changes: ItemChanges, digest: int) -> ApplyOutcome:
-        """Take changes that lead to items of this digest."""
+        """Apply changes, if they lead to items with the given digest."""
         if digest_after(self.digest, self._texts, changes) != digest:
             return DigestMismatch()
         try:
@@ -112,13 +113,13 @@
             self._texts[item.key] = item.text
         self._replace_routes(built.routes)
         self._services.update(built.services)
-        self._version = built.settings.get(VERSION.name, self._version)
-        if LIMITS.name in built.settings:
-            self._limits = built.settings[LIMITS.name]
+        self._version = built.settings.get(VERSION_KEY.name, self._version)
+        if LIMITS_KEY.name in built.settings:
+            self._limits = built.settings[LIMITS_KEY.name]
         self.configuration = self._build()
 
     def _build(self) -> Configuration:
-        """The typed configuration. Its `source` is empty, as only the items are kept."""
+        """Return the typed configuration. Its `source` is empty, since only the items are kept."""
         routes = tuple(self._routes.values())
         return Configuration(self._version, routes, dict(self._services), self._limits, source=b"")
 
@@ -130,11 +131,11 @@
                 self.index.remove(route)
         elif key.section is Section.SERVICE:
             self._services.pop(key.name, None)
-        elif key == LIMITS:
+        elif key == LIMITS_KEY:
             self._limits = ClientLimits()
 
     def _replace_routes(self, routes: Mapping[str, Route]) -> None:
-        """Two routes may have exchanged their places, so all old ones leave before any new one comes."""
+        """Remove the old routes before adding new ones, since routes may have exchanged host and prefix."""
         for name in routes:
             known = self._routes.get(name)
             if known is not None:
@@ -159,7 +160,7 @@
         built.routes[name] = build_route(value)
     elif item.key.section is Section.SERVICE:
         built.services[name] = build_service(value)
-    elif item.key == LIMITS:
+    elif item.key == LIMITS_KEY:
         built.settings[name] = build_limits(value or {})
     else:
         built.settings[name] = value
--- a/rookwood/clusterconfig/control_document.py
+++ b/rookwood/clusterconfig/control_document.py
@@ -1,8 +1,9 @@
 """The replicated control document and its binary encoding.
 
-The encoding is one byte of version and an Avro record: `version` (long), `source` (bytes) and `taken` (an
-array, in one block, of records of `digest`, 16 bytes, and `version`, a long). It is written and read by hand,
-since a general codec makes every one of thousands of entries anew for each change; the tests compare both.
+The encoding is one version byte followed by an Avro record: `version` (long), `source` (bytes) and `taken`
+(an array in one block, of records of `digest`, 16 bytes, and `version`, a long). It does not use a general
+codec, which would process each of thousands of entries for every change; the tests compare the bytes with
+those of one.
 """
 
 from __future__ import annotations
@@ -11,23 +12,23 @@
 from dataclasses import dataclass
 
 from rookwood.clusterconfig.taken_changes import (
-    DamagedError,
+    CorruptDataError,
     TakenChange,
     TakenChanges,
     decode_long,
     encode_long,
 )
 
-# The encoding does not tell whether older changes were forgotten; `may_have_forgotten` infers it from this
-# bound. It must not be raised without a new encoding version that stores it.
+# The encoding does not store whether older changes were dropped; `may_have_dropped` infers it from this
+# limit. It must not be raised without a new encoding version that stores it.
 MAX_TAKEN_CHANGES = 4096
 ENCODING_VERSION = 1
 END_OF_ARRAY = b"\0"
-NOTHING_TAKEN = TakenChanges()
+NO_ACCEPTED_CHANGES = TakenChanges()
 
 
 class ControlDocumentError(ValueError):
-    """Bytes are not an encoded control document of a known encoding version."""
+    """Bytes are not a control document of a known encoding version."""
 
 
 @dataclass(frozen=True)
@@ -39,26 +40,26 @@
 
     version: int = 0
     source: bytes = b""
-    taken: TakenChanges = NOTHING_TAKEN
+    taken: TakenChanges = NO_ACCEPTED_CHANGES
 
     def find_taken(self, digest: bytes) -> TakenChange | None:
-        """Return the remembered change with this digest."""
+        """Return the remembered change with a digest, if any."""
         return self.taken.find(digest)
 
-    def may_have_forgotten(self, base: int) -> bool:
-        """Tell whether a change on this base may have been accepted and forgotten since.
+    def may_have_dropped(self, base: int) -> bool:
+        """Whether a change based on version `base` may have been accepted and dropped since.
 
-        Versions rise with each accepted change, and a change builds on the version before its own, so all
-        changes on the oldest remembered version and on later ones are remembered.
+        Each accepted change raises the version and is based on the one before it, so every accepted change
+        based on the oldest remembered version or a later one is still remembered.
         """
         return len(self.taken) >= MAX_TAKEN_CHANGES and base < self.taken[0].version
 
     def with_change(self, change: TakenChange, source: bytes) -> ControlDocument:
-        """Return the document after an accepted change, forgetting the oldest beyond the bound."""
+        """Return the document after an accepted change, without the oldest changes beyond the limit."""
         return ControlDocument(change.version, source, self.taken.with_change(change, MAX_TAKEN_CHANGES))
 
     def encode(self) -> bytes:
-        """Serialise as one byte of encoding version followed by an Avro record."""
+        """Serialise as one version byte followed by an Avro record."""
         parts = [
             bytes([ENCODING_VERSION]),
             encode_long(self.version),
@@ -71,27 +72,27 @@
 
     @staticmethod
     def decode(encoded: bytes, known: Iterable[TakenChanges] = ()) -> ControlDocument:
-        """Read what `encode` wrote; raises `ControlDocumentError` for anything else.
+        """Decode what `encode` returned; raises `ControlDocumentError` for anything else.
 
-        Accepted changes that are in one of the known lists as well are not read again.
+        Accepted changes that are also in one of the `known` lists are not decoded again.
         """
         if encoded[:1] != bytes([ENCODING_VERSION]):
             raise ControlDocumentError("unknown encoding version")
         try:
             return _decode_record(encoded, known)
-        except DamagedError as error:
-            raise ControlDocumentError(f"damaged control document: {error}") from error
+        except CorruptDataError as error:
+            raise ControlDocumentError(f"corrupt control document: {error}") from error
 
 
 def _decode_record(encoded: bytes, known: Iterable[TakenChanges]) -> ControlDocument:
-    version, place = decode_long(encoded, 1)
-    size, place = decode_long(encoded, place)
-    source = encoded[place : place + size]
+    version, offset = decode_long(encoded, 1)
+    size, offset = decode_long(encoded, offset)
+    source = encoded[offset : offset + size]
     if size < 0 or len(source) != size:
-        raise DamagedError("the source is cut short")
-    count, place = decode_long(encoded, place + size)
-    if count == 0 and place == len(encoded):
+        raise CorruptDataError("the source is truncated")
+    count, offset = decode_long(encoded, offset + size)
+    if count == 0 and offset == len(encoded):
         return ControlDocument(version, source)
     if count <= 0 or encoded[-1:] != END_OF_ARRAY:
-        raise DamagedError("the list of changes has no end")
-    return ControlDocument(version, source, TakenChanges.read(encoded[place:-1], count, known))
+        raise CorruptDataError("the list of changes is not terminated")
+    return ControlDocument(version, source, TakenChanges.decode(encoded[offset:-1], count, known))
--- a/rookwood/clusterconfig/document.py
+++ b/rookwood/clusterconfig/document.py
@@ -13,7 +13,7 @@
 
 
 class RouteKind(enum.Enum):
-    """How often a request of a route may run, and how its answer is sent."""
+    """Whether a request of a route may run more than once, and whether its response is a stream."""
 
     SAFE = "safe"
     MUTATING = "mutating"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """The weight of one service in the traffic of a route."""
+    """The share of a route's traffic that one service receives, as a weight."""
 
     service: str
     weight: float
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A host and path prefix, with the services and limits of the requests it matches.
+    """A host and path prefix, and the services and limits for the requests that match them.
 
     `priority` 0 is the most urgent. `tries` is the largest number of workers that one request may be
-    sent to. `gap_aim_ms` is the longest pause between stream events that is still in time; 0 means
-    that the route sets none. `shares` holds only services with a weight above 0.
+    sent to. `gap_aim_ms` is the longest pause between stream events that counts as in time; 0 means
+    no limit. `shares` holds only services with a weight above 0.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """The inference engine of a service's workers. A limit of 0 was not configured."""
+    """The inference engine of a service's workers. A limit of 0 means that none is configured."""
 
     slots: int
     kv_tokens: int
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of interchangeable workers. `engine` is None where they serve no models."""
+    """A group of interchangeable workers. `engine` is None if they serve no models."""
 
     name: str
     health: str
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Bounds on what a client may send and on how long it may take or stay idle."""
+    """Limits on the size and duration of client requests and on idle client connections."""
 
     header_bytes: int = DEFAULT_HEADER_BYTES
     body_bytes: int = DEFAULT_BODY_BYTES
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of the whole configuration. `source` is its compact JSON text, unknown keys included."""
+    """One version of the full configuration. `source` is its compact JSON text, unknown keys included."""
 
     version: int
     routes: tuple[Route, ...]
--- a/rookwood/clusterconfig/faults.py
+++ b/rookwood/clusterconfig/faults.py
@@ -1,4 +1,4 @@
-"""What validation reports about a configuration that cannot be accepted."""
+"""Validation results for a configuration that cannot be accepted."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault. `key` is the dotted path of the value, empty for the document as a whole."""
+    """One fault. `key` is the dotted path of the value, or empty for the document itself."""
 
     key: str
     message: str
@@ -15,6 +15,6 @@
 
 @dataclass(frozen=True)
 class Invalid:
-    """Every fault found in one document."""
+    """All faults found in one document."""
 
     faults: tuple[Fault, ...]
--- a/rookwood/clusterconfig/history.py
+++ b/rookwood/clusterconfig/history.py
@@ -1,6 +1,6 @@
-"""Deciding on configuration changes against the replicated control document.
+"""Decides on configuration changes against the replicated control document.
 
-`decide` is a pure function of the document and the change, so every replica reaches the same result.
+`decide` is a pure function of the document and the change, so every replica computes the same result.
 """
 
 from __future__ import annotations
@@ -45,21 +45,21 @@
 
 @dataclass(frozen=True)
 class Change:
-    """A change as an operator sent it. `base` is the `If-Match` version, -1 where it was unreadable."""
+    """A change as an operator sent it. `base` is the `If-Match` version, -1 if it was missing or invalid."""
 
     method: ChangeMethod
     base: int
     body: bytes
 
     def digest(self) -> bytes:
-        """Identify the change; JSON bodies that differ only in whitespace or key order are the same."""
+        """Return the digest that identifies the change, whatever the whitespace and key order of its body."""
         header = f"{self.method.value} {self.base}\n".encode("ascii")
         return hashlib.sha256(header + _canonical_body(self.body)).digest()[:DIGEST_BYTES]
 
 
 @dataclass(frozen=True)
 class Accepted:
-    """The change is valid; `document` is the control document after it."""
+    """The change is valid; `document` is the control document that includes it."""
 
     document: ControlDocument
     version: int
@@ -74,32 +74,32 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """The change builds on a version other than the current one."""
+    """The change is based on a version other than the current one."""
 
     current: int
 
 
 @dataclass(frozen=True)
 class InvalidChange:
-    """The change, or the configuration it leads to, has faults."""
+    """The change or the resulting configuration has faults."""
 
     faults: tuple[Fault, ...]
 
 
 @dataclass(frozen=True)
 class Forgotten:
-    """The change builds on a version before the remembered ones: it may have been accepted."""
+    """The change is based on a version older than the remembered changes, so it may have been accepted."""
 
 
 Decision = Accepted | AlreadyTaken | Conflict | Forgotten | InvalidChange
 
 
 def decide(document: ControlDocument, change: Change) -> Decision:
-    """Decide on a change: repeated, forgotten, in conflict, invalid or accepted, in this order.
+    """Decide on a change: already accepted, base too old, conflict, invalid or accepted, in this order.
 
-    A change that was accepted before is never `Conflict` or `InvalidChange`, whatever came after it. It
-    built on the version that was current then, which is below today's. So it is either found by its
-    digest, or it builds on a version that `may_have_forgotten` names, before anything else is looked at.
+    A change that was accepted before never gives `Conflict` or `InvalidChange`, whatever was accepted since.
+    Its base was the current version at that time, which is below the current one. So either its digest is
+    found, or `may_have_dropped` is true for its base, and both are checked first.
     """
     digest = change.digest()
     taken = document.find_taken(digest)
@@ -107,7 +107,7 @@
         return AlreadyTaken(taken.version)
     if change.base < 0:
         return InvalidChange((Fault("If-Match", "required: the version that the change builds on"),))
-    if document.may_have_forgotten(change.base):
+    if document.may_have_dropped(change.base):
         return Forgotten()
     if change.base != document.version:
         return Conflict(document.version)
--- a/rookwood/clusterconfig/items.py
+++ b/rookwood/clusterconfig/items.py
@@ -1,8 +1,8 @@
-"""A configuration as a set of named items, which is what changes are told in.
+"""A configuration as a set of named items, the units of which deltas consist.
 
-Routes and services are items of their own; each other key of the document is one. An item is its key and its
-JSON text, written the same way everywhere, so that equal texts mean equal items. The digest of a set of items
-is the sum of the digests of its items: a change costs as much as the items that it touches.
+Each route, each service and each other key of the document is one item. An item is a key and a canonical JSON
+text, so that equal texts mean equal items. The digest of a set of items is the sum of the items' digests, so
+that updating it costs only as much as the changed items.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 DIGEST_BYTES = 8
 DIGEST_SPACE = 1 << (8 * DIGEST_BYTES)
 NAME_KEY = "name"
-FINGERPRINT_FORMAT = 2  # the last one of `marshal` in which equal values always give equal bytes
+FINGERPRINT_FORMAT = 2  # the last `marshal` format that gives equal bytes for equal values
 
 
 class Section(enum.StrEnum):
@@ -30,11 +30,11 @@
     SETTING = "setting"
 
 
-LISTED_SECTIONS = {"routes": Section.ROUTE, "svcs": Section.SERVICE}  # by the document's key
+LISTED_SECTIONS = {"routes": Section.ROUTE, "svcs": Section.SERVICE}  # by document key
 
 
 class ItemKey(NamedTuple):
-    """Names an item; the name of a setting is its key in the document."""
+    """The name of an item; a setting is named by its key in the document."""
 
     section: Section
     name: str
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemChanges:
-    """What leads from one set of items to another."""
+    """The difference between two sets of items."""
 
     changed: tuple[Item, ...]
     removed: tuple[ItemKey, ...]
 
 
 def read_items(document: JsonObject) -> Iterator[tuple[ItemKey, Any]]:
-    """The items of a document, with their values."""
+    """Yield the items of a document with their values."""
     for key, value in document.items():
         section = LISTED_SECTIONS.get(key)
         if section is None:
@@ -66,63 +66,63 @@
             yield ItemKey(section, item[NAME_KEY]), item
 
 
-class KnownText(NamedTuple):
-    """The JSON text of an item's value, and a serialisation that is cheaper to make and to compare.
+class CachedText(NamedTuple):
+    """The JSON text of an item's value, and a fingerprint that is cheaper to compute and to compare.
 
-    The latter tells apart what Python takes for equal: 1, 1.0 and True.
+    The fingerprint distinguishes 1, 1.0 and True, which Python compares as equal.
     """
 
     fingerprint: bytes
     text: bytes
 
 
-class ItemTexts:
-    """Writes the items of one document after another; what stays the same is not written again."""
+class ItemSerialiser:
+    """Serialises successive documents; items unchanged since the previous one are not serialised again."""
 
     def __init__(self) -> None:
-        self._known: dict[ItemKey, KnownText] = {}
+        self._cache: dict[ItemKey, CachedText] = {}
 
-    def read(self, document: JsonObject) -> dict[ItemKey, bytes]:
-        """The items of a document, with their JSON texts."""
-        known: dict[ItemKey, KnownText] = {}
+    def serialise(self, document: JsonObject) -> dict[ItemKey, bytes]:
+        """Return the items of a document with their JSON texts."""
+        cache: dict[ItemKey, CachedText] = {}
         for key, value in read_items(document):
             fingerprint = marshal.dumps(value, FINGERPRINT_FORMAT)
-            before = self._known.get(key)
+            before = self._cache.get(key)
             if before is not None and before.fingerprint == fingerprint:
-                known[key] = before
+                cache[key] = before
             else:
-                known[key] = KnownText(fingerprint, write_value(value))
-        self._known = known
-        return {key: item.text for key, item in known.items()}
+                cache[key] = CachedText(fingerprint, write_value(value))
+        self._cache = cache
+        return {key: item.text for key, item in cache.items()}
 
 
 def find_changes(before: Mapping[ItemKey, bytes], after: Mapping[ItemKey, bytes]) -> ItemChanges:
-    """What leads from the items `before` to those `after`."""
+    """Return the changes that lead from the items `before` to the items `after`."""
     changed = tuple(Item(key, text) for key, text in after.items() if before.get(key) != text)
     removed = tuple(key for key in before if key not in after)
     return ItemChanges(changed, removed)
 
 
 def encode_name(name: str) -> bytes:
-    """A name as bytes; JSON has strings that are no valid Unicode text, and they are names all the same."""
+    """Encode a name, which in JSON may contain unpaired surrogates that plain UTF-8 rejects."""
     return name.encode("utf-8", "surrogatepass")
 
 
 def decode_name(encoded: bytes) -> str:
-    """Read what `encode_name` wrote; raises ValueError."""
+    """Decode what `encode_name` returned; raises ValueError."""
     return encoded.decode("utf-8", "surrogatepass")
 
 
 def digest_item(key: ItemKey, text: bytes) -> int:
-    """The digest of one item."""
+    """Return the digest of one item."""
     head = f"{key.section.value}\n".encode() + encode_name(key.name) + b"\n"
     return int.from_bytes(hashlib.blake2b(head + text, digest_size=DIGEST_BYTES).digest(), "big")
 
 
 def digest_after(digest: int, before: Mapping[ItemKey, bytes], changes: ItemChanges) -> int:
-    """The digest of the items `before`, which is `digest`, after the changes."""
-    touched: Iterable[ItemKey] = (*(item.key for item in changes.changed), *changes.removed)
-    for key in touched:
+    """Return the digest after applying changes to the items `before`, whose digest is `digest`."""
+    touched_keys: Iterable[ItemKey] = (*(item.key for item in changes.changed), *changes.removed)
+    for key in touched_keys:
         text = before.get(key)
         if text is not None:
             digest -= digest_item(key, text)
--- a/rookwood/clusterconfig/json_text.py
+++ b/rookwood/clusterconfig/json_text.py
@@ -10,7 +10,7 @@
 
 
 class JsonTextError(ValueError):
-    """Bytes are not one whole JSON object, or a value cannot be written as JSON."""
+    """Bytes are not a single JSON object, or a value cannot be written as JSON."""
 
 
 def read_object(body: bytes) -> JsonObject:
--- a/rookwood/clusterconfig/loading.py
+++ b/rookwood/clusterconfig/loading.py
@@ -1,4 +1,4 @@
-"""Building the typed configuration from a document that has already been validated."""
+"""Builds the typed configuration from a document that has already been validated."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 def load_configuration(source: bytes) -> Configuration:
-    """Build a configuration from the JSON text of a validated one; unknown keys are ignored.
+    """Build a configuration from the JSON text of a validated document; unknown keys are ignored.
 
     Raises `JsonTextError` if `source` is not a JSON object, and `KeyError`, `TypeError` or
-    `ValueError` if it was never validated and lacks or misuses a key.
+    `ValueError` if a key is missing or invalid because the document was never validated.
     """
     return build_configuration(read_object(source), source)
 
@@ -112,7 +112,7 @@
 
 
 def build_limits(item: _JsonItem) -> ClientLimits:
-    """Build the bounds on clients from their validated JSON object."""
+    """Build the client limits from their validated JSON object."""
     return ClientLimits(
         header_bytes=item.get("hdr-bytes", DEFAULT_HEADER_BYTES),
         body_bytes=item.get("body-bytes", DEFAULT_BODY_BYTES),
--- a/rookwood/clusterconfig/routing.py
+++ b/rookwood/clusterconfig/routing.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request by host and longest path prefix."""
+"""Finds the route of a request by host and longest path prefix."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RouteIndex:
-    """An index over routes, to and from which single ones are added and removed."""
+    """An index of routes by host and prefix, updated one route at a time."""
 
     def __init__(self, configuration: Configuration | None = None) -> None:
         """Index the routes of `configuration`."""
@@ -17,11 +17,11 @@
             self.add(route)
 
     def add(self, route: Route) -> None:
-        """Add a route; one at the same place is replaced."""
+        """Add a route; it replaces a route with the same host and prefix."""
         self._hosts.setdefault(normalize_host(route.host), _HostRoutes()).add(route)
 
     def remove(self, route: Route) -> None:
-        """Remove a route, if it is the one at its place."""
+        """Remove a route, unless another one has replaced it."""
         host = normalize_host(route.host)
         host_routes = self._hosts.get(host)
         if host_routes is None:
@@ -39,7 +39,10 @@
 
 
 class _HostRoutes:
-    """The routes of one host, looked up by each distinct prefix length, longest first."""
+    """The routes of one host, looked up by each distinct prefix length, longest first.
+
+    `_counts` is the number of routes by prefix length, `_lengths` its keys in descending order.
+    """
 
     __slots__ = ("_counts", "_lengths", "routes")
 
@@ -52,7 +55,7 @@
         if route.prefix not in self.routes:
             self._counts[len(route.prefix)] += 1
             if self._counts[len(route.prefix)] == 1:
-                self._order_lengths()
+                self._sort_lengths()
         self.routes[route.prefix] = route
 
     def remove(self, route: Route) -> None:
@@ -62,7 +65,7 @@
         self._counts[len(route.prefix)] -= 1
         if not self._counts[len(route.prefix)]:
             del self._counts[len(route.prefix)]
-            self._order_lengths()
+            self._sort_lengths()
 
     def longest_match(self, path: str) -> Route | None:
         for length in self._lengths:
@@ -71,7 +74,7 @@
                 return route
         return None
 
-    def _order_lengths(self) -> None:
+    def _sort_lengths(self) -> None:
         self._lengths = sorted(self._counts, reverse=True)
 
 
--- a/rookwood/clusterconfig/schema.py
+++ b/rookwood/clusterconfig/schema.py
@@ -1,4 +1,4 @@
-"""Cerberus rules for the shape of a configuration document and of a patch to one."""
+"""Cerberus schemas of a configuration document and of a patch to one."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
     },
 }
 
-# The items of the two lists are checked one by one, against the schemas above.
+# The items of `routes` and `svcs` are checked one at a time against ROUTE_SCHEMA and SERVICE_SCHEMA.
 DOCUMENT_SCHEMA: _Rules = {
     "ver": _VERSION,
     "routes": {"type": "list", "required": True},
--- a/rookwood/clusterconfig/taken_changes.py
+++ b/rookwood/clusterconfig/taken_changes.py
@@ -1,7 +1,7 @@
-"""The changes that were accepted, as they are stored: an Avro array of digests and versions.
+"""The accepted changes in their stored form: an Avro array of digests and versions.
 
-The list holds thousands of entries, of which a change adds one and drops one. So it is kept in its stored
-form, and only what is new in it is read or written; the entries themselves are made where they are asked for.
+The list holds thousands of entries, and each change adds one and drops one. It is therefore kept encoded,
+only new entries are decoded or encoded, and entry objects are only created on access.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 MAX_LONG_BYTES = 10
 
 
-class DamagedError(ValueError):
-    """Bytes are not in the stored form."""
+class CorruptDataError(ValueError):
+    """Bytes are not valid in the stored form."""
 
 
 @dataclass(frozen=True)
 class TakenChange:
-    """A change that was accepted, by its digest, and the version it led to."""
+    """The digest of an accepted change and the version that it led to."""
 
     digest: bytes
     version: int
@@ -40,19 +40,19 @@
 
     @classmethod
     def of(cls, changes: Iterable[TakenChange]) -> TakenChanges:
-        """Return these changes."""
-        listed = [change.encode() for change in changes]
-        return cls(b"".join(listed), len(listed))
+        """Return the list of these changes."""
+        encoded_changes = [change.encode() for change in changes]
+        return cls(b"".join(encoded_changes), len(encoded_changes))
 
     @classmethod
-    def read(cls, encoded: bytes, count: int, known: Iterable[TakenChanges] = ()) -> TakenChanges:
-        """Return the changes in their stored form; what is in a known list as well is not looked at again.
+    def decode(cls, encoded: bytes, count: int, known: Iterable[TakenChanges] = ()) -> TakenChanges:
+        """Return the list of this stored form; entries that are also in a `known` list are not checked again.
 
-        Raises `DamagedError` where these are not as many changes, and nothing else.
+        Raises `CorruptDataError` unless the bytes are exactly `count` changes.
         """
-        shared_bytes, shared = max((earlier._shared_with(encoded) for earlier in known), default=(0, 0))
-        if shared > count or _skip(encoded, shared_bytes, count - shared) != len(encoded):
-            raise DamagedError("not the changes that were counted")
+        overlap_bytes, overlap = max((earlier._overlap_with(encoded) for earlier in known), default=(0, 0))
+        if overlap > count or _skip_changes(encoded, overlap_bytes, count - overlap) != len(encoded):
+            raise CorruptDataError("the bytes are not the stated number of changes")
         return cls(encoded, count)
 
     @property
@@ -61,33 +61,33 @@
         return self._encoded
 
     def find(self, digest: bytes) -> TakenChange | None:
-        """Return the change with this digest."""
+        """Return the change with a digest, if any."""
         if digest not in self._encoded:
             return None
-        return next((change for change in _read_all(self._encoded) if change.digest == digest), None)
+        return next((change for change in _iterate_changes(self._encoded) if change.digest == digest), None)
 
-    def with_change(self, change: TakenChange, most: int) -> TakenChanges:
-        """Return these changes and a new one, without the oldest beyond the bound."""
-        dropped = max(0, self._count + 1 - most)
-        start = _skip(self._encoded, 0, min(dropped, self._count))
+    def with_change(self, change: TakenChange, max_count: int) -> TakenChanges:
+        """Return the list with a new change, without the oldest beyond `max_count`."""
+        dropped = max(0, self._count + 1 - max_count)
+        start = _skip_changes(self._encoded, 0, min(dropped, self._count))
         return TakenChanges(self._encoded[start:] + change.encode(), self._count + 1 - dropped)
 
-    def _shared_with(self, encoded: bytes) -> tuple[int, int]:
-        """Return how many bytes and changes at the begin of a list are the end of this one."""
+    def _overlap_with(self, encoded: bytes) -> tuple[int, int]:
+        """Return how many bytes and changes at the beginning of `encoded` are the end of this list."""
         if not encoded or not self._encoded:
             return 0, 0
         try:
-            first = encoded[: _skip(encoded, 0, 1)]
+            first = encoded[: _skip_changes(encoded, 0, 1)]
             start = self._encoded.find(first)
             if start < 0 or not encoded.startswith(self._encoded[start:]):
                 return 0, 0
-            return len(self._encoded) - start, self._count - _count(self._encoded, start)
-        except DamagedError:
+            return len(self._encoded) - start, self._count - _count_changes(self._encoded, start)
+        except CorruptDataError:
             return 0, 0
 
-    def _all(self) -> tuple[TakenChange, ...]:
+    def _decode_all(self) -> tuple[TakenChange, ...]:
         if self._changes is None:
-            self._changes = tuple(_read_all(self._encoded))
+            self._changes = tuple(_iterate_changes(self._encoded))
         return self._changes
 
     def __len__(self) -> int:
@@ -101,8 +101,8 @@
 
     def __getitem__(self, index: int | slice) -> TakenChange | tuple[TakenChange, ...]:
         if index == 0 and self._count:
-            return _read_change(self._encoded, 0)[0]
-        return self._all()[index]
+            return _decode_change(self._encoded, 0)[0]
+        return self._decode_all()[index]
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, TakenChanges) and self._encoded == other._encoded
@@ -115,18 +115,18 @@
 
 
 def encode_long(value: int) -> bytes:
-    """Return an Avro long: zigzag, seven bits a byte, the lowest first."""
-    rest = (value << 1) ^ (value >> 63)
+    """Return an Avro long: zigzag encoding, seven bits per byte, lowest bits first."""
+    remaining = (value << 1) ^ (value >> 63)
     encoded = bytearray()
-    while rest > 0x7F:
-        encoded.append(rest & 0x7F | 0x80)
-        rest >>= 7
-    encoded.append(rest)
+    while remaining > 0x7F:
+        encoded.append(remaining & 0x7F | 0x80)
+        remaining >>= 7
+    encoded.append(remaining)
     return bytes(encoded)
 
 
 def decode_long(encoded: bytes, start: int) -> tuple[int, int]:
-    """Return the Avro long at a place, and the place after it; raises `DamagedError`."""
+    """Return the Avro long at `start` and the offset after it; raises `CorruptDataError`."""
     end = _end_of_long(encoded, start)
     value = 0
     for byte in reversed(encoded[start:end]):
@@ -138,36 +138,36 @@
     for end in range(start, min(start + MAX_LONG_BYTES, len(encoded))):
         if encoded[end] < 0x80:
             return end + 1
-    raise DamagedError("a number without an end")
+    raise CorruptDataError("a number is not terminated")
 
 
-def _skip(encoded: bytes, start: int, count: int) -> int:
-    """Return the place after so many changes."""
+def _skip_changes(encoded: bytes, start: int, count: int) -> int:
+    """Return the offset after `count` changes; raises `CorruptDataError`."""
     for _ in range(count):
         start = _end_of_long(encoded, start + DIGEST_BYTES)
     return start
 
 
-def _count(encoded: bytes, end: int) -> int:
-    """Return how many changes there are before a place; raises `DamagedError` if it is within one."""
+def _count_changes(encoded: bytes, end: int) -> int:
+    """Return how many changes end at or before an offset; raises `CorruptDataError` if it is within one."""
     count = 0
-    place = 0
-    while place < end:
-        place = _skip(encoded, place, 1)
+    offset = 0
+    while offset < end:
+        offset = _skip_changes(encoded, offset, 1)
         count += 1
-    if place != end:
-        raise DamagedError("a place within a change")
+    if offset != end:
+        raise CorruptDataError("the offset is within a change")
     return count
 
 
-def _read_change(encoded: bytes, start: int) -> tuple[TakenChange, int]:
-    version_at = start + DIGEST_BYTES
-    version, end = decode_long(encoded, version_at)
-    return TakenChange(encoded[start:version_at], version), end
+def _decode_change(encoded: bytes, start: int) -> tuple[TakenChange, int]:
+    version_offset = start + DIGEST_BYTES
+    version, end = decode_long(encoded, version_offset)
+    return TakenChange(encoded[start:version_offset], version), end
 
 
-def _read_all(encoded: bytes) -> Iterator[TakenChange]:
-    place = 0
-    while place < len(encoded):
-        change, place = _read_change(encoded, place)
+def _iterate_changes(encoded: bytes) -> Iterator[TakenChange]:
+    offset = 0
+    while offset < len(encoded):
+        change, offset = _decode_change(encoded, offset)
         yield change
--- a/rookwood/clusterconfig/validation.py
+++ b/rookwood/clusterconfig/validation.py
@@ -35,7 +35,7 @@
 
 
 def parse_document(body: bytes) -> JsonObject | Invalid:
-    """Parse a request body that must hold one whole JSON object."""
+    """Parse a request body that must be a single JSON object."""
     try:
         return read_object(body)
     except JsonTextError as error:
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True)
 class CheckedDocument:
-    """A configuration that passed validation, and its compact JSON text with unknown keys in it."""
+    """The version of a valid configuration and its compact JSON text, unknown keys included."""
 
     version: int
     source: bytes
 
 
 def check_document(document: JsonObject) -> Configuration | Invalid:
-    """Validate a whole configuration and build it; unknown keys are kept in its `source`."""
+    """Validate and build a full configuration; its `source` keeps unknown keys."""
     checked = check_change(document, {})
     if isinstance(checked, Invalid):
         return checked
@@ -59,18 +59,18 @@
 
 
 def check_change(document: JsonObject, accepted: JsonObject) -> CheckedDocument | Invalid:
-    """Validate a configuration that a change led to.
+    """Validate a configuration that results from a change to the document `accepted`.
 
-    `accepted` is a document that passed before. Items unchanged since are neither checked again by themselves
-    nor built, which makes a small change to a large configuration cheap. All others are built, so that a
-    configuration that passes is one that dispatchers can read.
+    `accepted` has passed validation before. Items unchanged since then are neither checked against their
+    schema again nor built, which makes a small change to a large configuration cheap. All others are built,
+    so that dispatchers can read every configuration that passes.
     """
     try:
         source = write_compact(document)
     except JsonTextError as error:
         return _invalid_document(error)
     faults = [
-        *_find_shape_faults(document, DOCUMENT_SCHEMA),
+        *_find_schema_faults(document, DOCUMENT_SCHEMA),
         *_find_item_faults(document, accepted),
         *find_reference_faults(document),
     ]
@@ -83,8 +83,8 @@
 def apply_patch(current: JsonObject, patch: JsonObject) -> JsonObject | Invalid:
     """Return `current` with a patch applied, or the faults of the patch itself.
 
-    An upserted item replaces the one of its name in place, or is appended. Removals come first, and
-    removing an absent name has no effect. `limits` are merged key by key. The result still has to
+    An upserted item replaces the item of the same name in place, or is appended. Removals are applied first,
+    and removing an absent name has no effect. `limits` are merged key by key. The result still has to
     pass `check_document`. Neither argument is modified.
     """
     faults = list(_find_patch_faults(patch))
@@ -115,15 +115,15 @@
 
 
 def _find_patch_faults(patch: JsonObject) -> Iterator[Fault]:
-    yield from _find_shape_faults(patch, PATCH_SCHEMA)
+    yield from _find_schema_faults(patch, PATCH_SCHEMA)
     upsert = patch.get("upsert")
     if isinstance(upsert, dict):
         for section in ITEM_SCHEMAS:
             yield from find_duplicate_names(f"upsert.{section}", upsert.get(section))
 
 
-def _find_shape_faults(document: JsonObject, schema: dict[str, Any]) -> list[Fault]:
-    return list(_run_validator(_ShapeValidator(schema, allow_unknown=True), document, prefix=""))
+def _find_schema_faults(document: JsonObject, schema: dict[str, Any]) -> list[Fault]:
+    return list(_run_validator(_SchemaValidator(schema, allow_unknown=True), document, prefix=""))
 
 
 def _find_item_faults(document: JsonObject, accepted: JsonObject) -> Iterator[Fault]:
@@ -131,13 +131,13 @@
         items = document.get(section)
         if not isinstance(items, list):
             continue
-        validator = _ShapeValidator(schema, allow_unknown=True)
+        validator = _SchemaValidator(schema, allow_unknown=True)
         accepted_items = {item["name"]: item for item in accepted.get(section, [])}
         for index, item in enumerate(items):
             path = f"{section}.{index}"
             if not isinstance(item, dict):
                 yield Fault(path, "must be of dict type")
-            elif not _is_accepted(item, accepted_items):
+            elif not _is_unchanged(item, accepted_items):
                 yield from _run_validator(validator, item, prefix=f"{path}.")
 
 
@@ -145,15 +145,15 @@
     for section, build in ITEM_BUILDERS.items():
         accepted_items = {item["name"]: item for item in accepted.get(section, [])}
         for item in document[section]:
-            if not _is_accepted(item, accepted_items):
+            if not _is_unchanged(item, accepted_items):
                 build(item)
     build_limits(document.get("limits") or {})
 
 
-def _is_accepted(item: JsonObject, accepted_items: Mapping[str, JsonObject]) -> bool:
-    """Tell whether an item is one that passed before. A patch leaves most items the same objects.
+def _is_unchanged(item: JsonObject, accepted_items: Mapping[str, JsonObject]) -> bool:
+    """Whether an item equals the accepted item of its name. A patch keeps the objects of most items.
 
-    Others are compared as text, since Python takes 1, 1.0 and True for equal.
+    Other objects are compared as text, since Python compares 1, 1.0 and True as equal.
     """
     name = item.get("name")
     accepted = accepted_items.get(name) if isinstance(name, str) else None
@@ -162,13 +162,13 @@
     return accepted is item or json.dumps(item) == json.dumps(accepted)
 
 
-def _run_validator(validator: _ShapeValidator, value: JsonObject, prefix: str) -> Iterator[Fault]:
+def _run_validator(validator: _SchemaValidator, value: JsonObject, prefix: str) -> Iterator[Fault]:
     if not validator.validate(value, normalize=False):
         yield from _flatten_errors(prefix, validator.errors)
 
 
 def _flatten_errors(prefix: str, errors: dict[object, list[Any]]) -> Iterator[Fault]:
-    """Turn the nested error lists of cerberus into faults with dotted keys."""
+    """Convert the nested error lists of cerberus to faults with dotted keys."""
     for key, entries in errors.items():
         path = f"{prefix}{key}"
         for entry in entries:
@@ -182,8 +182,8 @@
     return Invalid((Fault(WHOLE_DOCUMENT, str(error)),))
 
 
-class _ShapeValidator(cerberus.Validator):  # type: ignore[misc]
-    """Adds the value checks that cerberus has no rule for, and does not take booleans for numbers."""
+class _SchemaValidator(cerberus.Validator):  # type: ignore[misc]
+    """A validator with additional value checks, for which booleans are not numbers."""
 
     types_mapping = {
         **cerberus.Validator.types_mapping,
--- a/tests/test_taken_changes.py
+++ b/tests/test_taken_changes.py
@@ -103,7 +103,7 @@
         for known in ((), (taken,)):
             for count in (0, 1, 4, 6, 4096):
                 with self.assertRaises(ValueError):
-                    TakenChanges.read(taken.encoded, count, known)
+                    TakenChanges.decode(taken.encoded, count, known)
 
     def test_a_digest_is_found_only_where_one_begins(self) -> None:
         first, second = TakenChange(bytes(range(16)), 300), TakenChange(bytes(range(16, 32)), 400)
@@ -122,14 +122,14 @@
             for end in range(begin, 31, 3):
                 read = TakenChanges.of(listed[begin:end])
                 for known in (listed[:10], listed[10:20], listed, [], listed[5:25], listed[::2], listed[:1]):
-                    result = TakenChanges.read(read.encoded, end - begin, [TakenChanges.of(known)])
+                    result = TakenChanges.decode(read.encoded, end - begin, [TakenChanges.of(known)])
                     self.assertEqual(listed[begin:end], list(result))
 
     def test_a_known_list_in_which_the_first_digest_is_found_out_of_place(self) -> None:
         change = TakenChange(bytes(16), 0)  # its bytes are found at every place of a list of zeros
         known = TakenChanges.of([TakenChange(bytes(16), 5), TakenChange(bytes(16), 0)])
         read = TakenChanges.of([change, change, TakenChange(bytes(16), 9)])
-        self.assertEqual(list(read), list(TakenChanges.read(read.encoded, 3, [known])))
+        self.assertEqual(list(read), list(TakenChanges.decode(read.encoded, 3, [known])))
 
     def test_oldest_is_dropped_beyond_the_bound(self) -> None:
         listed = changes(Random(5), 9)
