--- a/rookwood/cluster/frames.py
+++ b/rookwood/cluster/frames.py
@@ -436,7 +436,7 @@
     """Read the record length and the type number from a frame's header; raises FrameError."""
     length, type_number = HEADER.unpack(header)
     if length > MAX_FRAME_BYTES:
-        raise FrameError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
+        raise FrameError(f"frame too large: {length} bytes")
     return length, type_number
 
 
--- a/rookwood/cluster/invariants.py
+++ b/rookwood/cluster/invariants.py
@@ -67,5 +67,4 @@
             self.violated(invariant, detail)
 
 
-INVARIANTS = InvariantCounter()
-"""The counter of this process."""
+INVARIANTS = InvariantCounter()  # the counter of this process
--- a/rookwood/cluster/progress.py
+++ b/rookwood/cluster/progress.py
@@ -95,7 +95,7 @@
         if not self._check_guard.has_run_without_stall(limit):
             return
         behind = self.seconds_behind()
-        detail = f"{self.in_force} is in force {behind:.1f} s after a newer position was announced"
+        detail = f"{self.in_force} is in force, {behind:.1f} s after a newer one was announced"
         self._invariants.check(behind <= limit, Invariant.IN_FORCE_IN_TIME, detail)
 
     def seconds_behind(self) -> float:
--- a/rookwood/cluster/view.py
+++ b/rookwood/cluster/view.py
@@ -113,8 +113,8 @@
                     del machine.unconfirmed[worker]
                     self._reported_by.get(worker, set()).discard(peer)
         settled = any(
-            machine.linked and machine.status is not None and machine.status.settled
-            for machine in self._machines.values()
+            known.linked and known.status is not None and known.status.settled
+            for known in self._machines.values()
         )
         if not settled:
             return ()
--- a/rookwood/clusterconfig/configuration_store.py
+++ b/rookwood/clusterconfig/configuration_store.py
@@ -25,8 +25,8 @@
 
 VERSION_KEY = ItemKey(Section.SETTING, "ver")
 LIMITS_KEY = ItemKey(Section.SETTING, "limits")
+# What building a configuration raises if it was never validated.
 BUILD_ERRORS = (JsonTextError, KeyError, TypeError, ValueError)
-"""What building a configuration raises if it was never validated."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookwood/clusterconfig/control_document.py
+++ b/rookwood/clusterconfig/control_document.py
@@ -21,7 +21,7 @@
 
 # The encoding does not store whether older changes were dropped; `may_have_dropped` infers it from this
 # limit. It must not be raised without a new encoding version that stores it.
-MAX_TAKEN_CHANGES = 4096
+MAX_ACCEPTED_CHANGES = 4096
 ENCODING_VERSION = 1
 END_OF_ARRAY = b"\0"
 NO_ACCEPTED_CHANGES = TakenChanges()
@@ -52,11 +52,11 @@
         Each accepted change raises the version and is based on the one before it, so every accepted change
         based on the oldest remembered version or a later one is still remembered.
         """
-        return len(self.taken) >= MAX_TAKEN_CHANGES and base < self.taken[0].version
+        return len(self.taken) >= MAX_ACCEPTED_CHANGES and base < self.taken[0].version
 
     def with_change(self, change: TakenChange, source: bytes) -> ControlDocument:
         """Return the document after an accepted change, without the oldest changes beyond the limit."""
-        return ControlDocument(change.version, source, self.taken.with_change(change, MAX_TAKEN_CHANGES))
+        return ControlDocument(change.version, source, self.taken.with_change(change, MAX_ACCEPTED_CHANGES))
 
     def encode(self) -> bytes:
         """Serialise as one version byte followed by an Avro record."""
--- a/tests/test_cluster_feed.py
+++ b/tests/test_cluster_feed.py
@@ -1,4 +1,4 @@
-"""Links over loopback: greetings, updates to all, silent and slow peers, and links that come back."""
+"""Feed links over loopback: initial messages, broadcasts, idle and slow peers, and reconnection."""
 
 from __future__ import annotations
 
@@ -31,55 +31,55 @@
 HELLO = Hello("10.0.0.7", "edge", "z1")
 STATUS = Status("10.0.0.1", 3, "10.0.0.1", True, True, 3, 7, 4, ("10.0.0.1",))
 GONE = WorkerGone("i-1", deleted=True)
-LARGE_SOURCE = os.urandom(128 * 1024)  # as it is, compression makes nothing of it
+LARGE_SOURCE = os.urandom(128 * 1024)  # random, so that compression does not shrink it
 RECORD = WorkerRecord("i-1", "models", "10.0.0.9:80", "z1", 8, WorkerState.UP, 5, ())
 LARGE_LIST = WorkerUpdates((RECORD,) * 20_000, complete=True)
-SLOW_PIECES, SLOW_PIECE = 6, 1024  # of a message on a slow link, in bytes
-SHORT_SILENCE = 0.15
-KEPT_SILENCE = 0.5  # well above the interval of heartbeats, also on a busy machine
+SLOW_CHUNKS, SLOW_CHUNK_BYTES = 6, 1024  # a message on a slow link arrives in chunks
+SHORT_IDLE_TIMEOUT = 0.15
+LONG_IDLE_TIMEOUT = 0.5  # well above the heartbeat interval, even on a busy machine
 SHORT_INTERVAL = 0.02
 
 
 class ServerRecorder:
-    """A feed handler that greets with fixed messages and keeps what it is told."""
+    """A feed handler that sends fixed initial messages and records its callbacks."""
 
     def __init__(self, greeting: Iterable[Message] = (STATUS,)) -> None:
         self._greeting = tuple(greeting)
         self.messages: asyncio.Queue[Message] = asyncio.Queue()
-        self.losses: asyncio.Queue[Connection] = asyncio.Queue()
+        self.closed: asyncio.Queue[Connection] = asyncio.Queue()
 
     def greeting(self, connection: Connection) -> Iterable[Message]:
-        """The fixed messages."""
+        """Return the fixed messages."""
         return self._greeting
 
     def received(self, connection: Connection, message: Message) -> None:
-        """Keep the message."""
+        """Record the message."""
         self.messages.put_nowait(message)
 
     def lost(self, connection: Connection) -> None:
-        """Keep the loss."""
-        self.losses.put_nowait(connection)
+        """Record the end of the link."""
+        self.closed.put_nowait(connection)
 
 
 class LinkRecorder:
-    """A link handler that keeps what it is told."""
+    """A link handler that records its callbacks."""
 
     def __init__(self) -> None:
         self.links: asyncio.Queue[Connection] = asyncio.Queue()
         self.messages: asyncio.Queue[Message] = asyncio.Queue()
-        self.losses: asyncio.Queue[str] = asyncio.Queue()
+        self.closed: asyncio.Queue[str] = asyncio.Queue()
 
     def linked(self, peer: str, connection: Connection) -> None:
-        """Keep the link."""
+        """Record the connection."""
         self.links.put_nowait(connection)
 
     def received(self, peer: str, message: Message) -> None:
-        """Keep the message."""
+        """Record the message."""
         self.messages.put_nowait(message)
 
     def unlinked(self, peer: str) -> None:
-        """Keep the loss."""
-        self.losses.put_nowait(peer)
+        """Record the end of the link."""
+        self.closed.put_nowait(peer)
 
 
 class FeedCase(unittest.IsolatedAsyncioTestCase):
@@ -93,27 +93,27 @@
         self.addAsyncCleanup(self.server.stop)
 
     def open_link(self, recorder: LinkRecorder, hello: Hello = HELLO) -> FeedLink:
-        """A link to the server, closed at the end."""
+        """Open a link to the server, which is closed after the test."""
         link = FeedLink(HOST, self.port, hello, recorder)
         self.addCleanup(link.close)
         return link
 
-    async def open_raw(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection on which the test decides about every byte."""
+    async def open_raw_connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Open a connection on which the test writes and reads bytes."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
         self.addCleanup(writer.transport.abort)
         return reader, writer
 
     async def subscribe_raw(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A raw connection after its greeting."""
-        reader, writer = await self.open_raw()
+        """Open a raw connection, send a hello and read the initial message."""
+        reader, writer = await self.open_raw_connection()
         writer.write(encode_frame(HELLO))
         self.assertEqual(STATUS, await within(read_message(reader)))
         return reader, writer
 
 
 class FeedServerTests(FeedCase):
-    async def test_a_subscriber_is_greeted_first(self) -> None:
+    async def test_a_subscriber_first_receives_the_initial_messages(self) -> None:
         recorder = LinkRecorder()
         self.open_link(recorder)
         self.assertEqual(STATUS, await within(recorder.messages.get()))
@@ -134,71 +134,71 @@
         self.server.broadcast(GONE)
         self.assertEqual(frozenset(), self.server.connections)
 
-    async def test_what_a_subscriber_sends_is_received(self) -> None:
+    async def test_messages_from_a_subscriber_reach_the_handler(self) -> None:
         recorder = LinkRecorder()
         self.open_link(recorder)
         connection = await within(recorder.links.get())
         connection.send(FetchConfiguration(7, False))
         self.assertEqual(FetchConfiguration(7, False), await within(self.handler.messages.get()))
 
-    async def test_a_subscriber_that_leaves_is_lost(self) -> None:
+    async def test_the_end_of_a_subscribers_link_is_reported(self) -> None:
         recorder = LinkRecorder()
         link = self.open_link(recorder)
         await within(recorder.messages.get())
         link.close()
-        lost = await within(self.handler.losses.get())
-        self.assertEqual(HELLO, lost.hello)
+        closed_connection = await within(self.handler.closed.get())
+        self.assertEqual(HELLO, closed_connection.hello)
         self.assertEqual(frozenset(), self.server.connections)
 
-    async def test_a_peer_that_does_not_say_hello_is_no_subscriber(self) -> None:
-        reader, writer = await self.open_raw()
+    async def test_a_peer_without_a_hello_is_not_a_subscriber(self) -> None:
+        reader, writer = await self.open_raw_connection()
         writer.write(encode_frame(Heartbeat("10.0.0.7")))
         self.assertEqual(b"", await within(read_to_end(reader)))
         self.assertEqual(frozenset(), self.server.connections)
-        self.assertTrue(self.handler.losses.empty())
+        self.assertTrue(self.handler.closed.empty())
 
-    async def test_garbage_ends_a_subscription(self) -> None:
+    async def test_invalid_bytes_end_a_subscription(self) -> None:
         reader, writer = await self.subscribe_raw()
         writer.write(b"GET / HTTP/1.1\r\n\r\n")
         await within(read_to_end(reader))
-        await within(self.handler.losses.get())
+        await within(self.handler.closed.get())
         self.assertEqual(frozenset(), self.server.connections)
 
-    async def test_a_silent_subscriber_is_dropped(self) -> None:
-        with mock.patch.object(connection_module, "IDLE_TIMEOUT", SHORT_SILENCE):
+    async def test_an_idle_subscriber_is_disconnected(self) -> None:
+        with mock.patch.object(connection_module, "IDLE_TIMEOUT", SHORT_IDLE_TIMEOUT):
             reader, _ = await self.subscribe_raw()
             await within(read_to_end(reader))
-            await within(self.handler.losses.get())
+            await within(self.handler.closed.get())
 
-    async def test_heartbeats_keep_a_quiet_link_open(self) -> None:
+    async def test_heartbeats_keep_a_link_without_other_messages_open(self) -> None:
         with (
-            mock.patch.object(connection_module, "IDLE_TIMEOUT", KEPT_SILENCE),
+            mock.patch.object(connection_module, "IDLE_TIMEOUT", LONG_IDLE_TIMEOUT),
             mock.patch.object(feed, "HEARTBEAT_INTERVAL", SHORT_INTERVAL),
         ):
             recorder = LinkRecorder()
             self.open_link(recorder)
             loop = asyncio.get_running_loop()
-            began = loop.time()
-            sent_at = began
-            while loop.time() - began < 2 * KEPT_SILENCE:
+            started_at = loop.time()
+            sent_at = started_at
+            while loop.time() - started_at < 2 * LONG_IDLE_TIMEOUT:
                 heartbeat = await within(self.handler.messages.get())
                 assert isinstance(heartbeat, Heartbeat)
                 self.assertEqual(Heartbeat(HELLO.identity, sent_at=heartbeat.sent_at), heartbeat)
                 self.assertGreater(heartbeat.sent_at, sent_at)
                 sent_at = heartbeat.sent_at
                 self.server.broadcast(STATUS)
-            self.assertTrue(self.handler.losses.empty())
-            self.assertTrue(recorder.losses.empty())
+            self.assertTrue(self.handler.closed.empty())
+            self.assertTrue(recorder.closed.empty())
 
-    async def test_a_subscriber_that_does_not_read_is_dropped(self) -> None:
+    async def test_a_subscriber_that_does_not_read_is_disconnected(self) -> None:
         _, writer = await self.subscribe_raw()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         for _ in range(64):
             self.server.broadcast(LARGE_LIST)
-        await within(self.handler.losses.get())
+        await within(self.handler.closed.get())
         self.assertEqual(frozenset(), self.server.connections)
 
-    async def test_what_waits_for_a_slow_subscriber_stays_below_the_limit(self) -> None:
+    async def test_the_queue_of_a_slow_subscriber_stays_below_its_limit(self) -> None:
         _, writer = await self.subscribe_raw()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         (connection,) = self.server.connections
@@ -211,10 +211,10 @@
         )
         self.assertEqual(frozenset({connection}), self.server.connections)
 
-    async def test_a_slow_subscriber_gets_the_newest_state_of_all(self) -> None:
+    async def test_a_slow_subscriber_receives_the_newest_state_and_every_worker_end(self) -> None:
         self.enterContext(
             mock.patch.object(connection_module, "IDLE_TIMEOUT", WAIT_LIMIT)
-        )  # it sends nothing
+        )  # the subscriber sends no heartbeats
         reader, writer = await self.subscribe_raw()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         for sequence in range(64):
@@ -232,23 +232,23 @@
         self.assertEqual(63, bodies[-1])
         self.assertLess(len(bodies), 64)
 
-    async def test_a_message_whose_bytes_keep_coming_is_no_silence(self) -> None:
+    async def test_a_link_on_which_a_message_keeps_arriving_is_not_idle(self) -> None:
         recorder = LinkRecorder()
-        frame = encode_frame(ConfigurationBody(1, 1, os.urandom(SLOW_PIECES * SLOW_PIECE), True))
-        with mock.patch.object(connection_module, "IDLE_TIMEOUT", KEPT_SILENCE):
+        frame = encode_frame(ConfigurationBody(1, 1, os.urandom(SLOW_CHUNKS * SLOW_CHUNK_BYTES), True))
+        with mock.patch.object(connection_module, "IDLE_TIMEOUT", LONG_IDLE_TIMEOUT):
             writers = await self.serve_raw(recorder)
             writer = await within(writers.get())
             loop = asyncio.get_running_loop()
-            began = loop.time()
-            for start in range(0, len(frame), SLOW_PIECE):
-                writer.write(frame[start : start + SLOW_PIECE])
-                await asyncio.sleep(KEPT_SILENCE / 4)  # the pace of a slow link, which the test is about
+            started_at = loop.time()
+            for start in range(0, len(frame), SLOW_CHUNK_BYTES):
+                writer.write(frame[start : start + SLOW_CHUNK_BYTES])
+                await asyncio.sleep(LONG_IDLE_TIMEOUT / 4)  # the pace of a slow link
             self.assertIsInstance(await within(recorder.messages.get()), ConfigurationBody)
-            self.assertGreater(loop.time() - began, KEPT_SILENCE)
-        self.assertTrue(recorder.losses.empty())
+            self.assertGreater(loop.time() - started_at, LONG_IDLE_TIMEOUT)
+        self.assertTrue(recorder.closed.empty())
 
     async def serve_raw(self, recorder: LinkRecorder) -> asyncio.Queue[asyncio.StreamWriter]:
-        """A server on which the test decides about every byte, and a link to it."""
+        """Start a server on which the test writes bytes, and a link to it."""
         writers: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
         server = await asyncio.start_server(lambda reader, writer: writers.put_nowait(writer), HOST, 0)
         self.addCleanup(server.close)
@@ -256,7 +256,7 @@
         self.addCleanup(link.close)
         return writers
 
-    async def test_stopping_drops_all_subscribers(self) -> None:
+    async def test_stopping_disconnects_all_subscribers(self) -> None:
         reader, _ = await self.subscribe_raw()
         await self.server.stop()
         self.assertEqual(b"", await within(read_to_end(reader)))
@@ -267,12 +267,12 @@
         await super().asyncSetUp()
         self.enterContext(mock.patch.object(feed, "RECONNECT_DELAY", SHORT_INTERVAL))
 
-    async def test_a_link_opens_again_after_its_server_restarted(self) -> None:
+    async def test_a_link_reconnects_after_its_server_restarted(self) -> None:
         recorder = LinkRecorder()
         self.open_link(recorder)
         await within(recorder.messages.get())
         await self.server.stop()
-        self.assertEqual(HOST, await within(recorder.losses.get()))
+        self.assertEqual(HOST, await within(recorder.closed.get()))
         successor = FeedServer(ServerRecorder((STATUS, GONE)))
         await successor.start(HOST, self.port)
         self.addAsyncCleanup(successor.stop)
@@ -287,10 +287,10 @@
         self.addAsyncCleanup(successor.stop)
         self.assertEqual(STATUS, await within(recorder.messages.get()))
 
-    async def test_a_silent_server_is_left_and_called_again(self) -> None:
+    async def test_a_link_to_an_idle_server_is_closed_and_reopened(self) -> None:
         hellos: asyncio.Queue[Message] = asyncio.Queue()
 
-        async def stay_silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def send_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 while True:
                     message = await read_message(reader)
@@ -299,29 +299,29 @@
             except LINK_ERRORS:
                 writer.transport.abort()
 
-        silent_server = await asyncio.start_server(stay_silent, HOST, 0)
-        self.addCleanup(silent_server.close)
-        port = silent_server.sockets[0].getsockname()[1]
+        idle_server = await asyncio.start_server(send_nothing, HOST, 0)
+        self.addCleanup(idle_server.close)
+        port = idle_server.sockets[0].getsockname()[1]
         recorder = LinkRecorder()
-        with mock.patch.object(connection_module, "IDLE_TIMEOUT", SHORT_SILENCE):
+        with mock.patch.object(connection_module, "IDLE_TIMEOUT", SHORT_IDLE_TIMEOUT):
             link = FeedLink(HOST, port, HELLO, recorder)
             self.addCleanup(link.close)
             self.assertEqual(HELLO, await within(hellos.get()))
-            self.assertEqual(HOST, await within(recorder.losses.get()))
+            self.assertEqual(HOST, await within(recorder.closed.get()))
             self.assertEqual(HELLO, await within(hellos.get()))
 
-    async def test_garbage_from_the_server_ends_the_link(self) -> None:
-        async def answer_garbage(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def test_invalid_bytes_from_the_server_end_the_link(self) -> None:
+        async def send_invalid_bytes(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"\xff" * 64)
             await reader.read()
             writer.transport.abort()
 
-        server = await asyncio.start_server(answer_garbage, HOST, 0)
+        server = await asyncio.start_server(send_invalid_bytes, HOST, 0)
         self.addCleanup(server.close)
         recorder = LinkRecorder()
         link = FeedLink(HOST, server.sockets[0].getsockname()[1], HELLO, recorder)
         self.addCleanup(link.close)
-        self.assertEqual(HOST, await within(recorder.losses.get()))
+        self.assertEqual(HOST, await within(recorder.closed.get()))
         self.assertTrue(recorder.messages.empty())
 
     async def test_a_closed_link_stays_closed(self) -> None:
@@ -329,7 +329,7 @@
         link = self.open_link(recorder)
         await within(recorder.messages.get())
         link.close()
-        await within(recorder.losses.get())
+        await within(recorder.closed.get())
         self.assertIsNone(link.connection)
 
 
@@ -340,45 +340,45 @@
         self.links = LinkSet(self.port, HELLO, self.recorder, own_ip=HELLO.identity)
         self.addCleanup(self.links.close)
 
-    async def test_wanted_peers_are_linked_but_not_the_machine_itself(self) -> None:
+    async def test_the_given_peers_are_linked_except_the_process_itself(self) -> None:
         self.links.want([HOST, HELLO.identity])
         connection = await within(self.recorder.links.get())
         self.assertEqual({HOST}, self.links.peers)
         self.assertIs(connection, self.links.connection(HOST))
         self.assertEqual([connection], self.links.connections())
 
-    async def test_peers_that_are_no_longer_wanted_are_left(self) -> None:
+    async def test_links_to_removed_peers_are_closed(self) -> None:
         self.links.want([HOST])
         await within(self.recorder.messages.get())
         self.links.want([])
-        await within(self.handler.losses.get())
+        await within(self.handler.closed.get())
         self.assertEqual(frozenset(), self.links.peers)
         self.assertIsNone(self.links.connection(HOST))
 
-    async def test_wanting_the_same_peers_again_keeps_the_links(self) -> None:
+    async def test_setting_the_same_peers_again_keeps_the_links(self) -> None:
         self.links.want([HOST])
         connection = await within(self.recorder.links.get())
         self.links.want([HOST])
         self.assertIs(connection, self.links.connection(HOST))
-        self.assertTrue(self.recorder.losses.empty())
+        self.assertTrue(self.recorder.closed.empty())
 
 
-class BeatTests(unittest.TestCase):
-    def test_links_that_opened_at_any_time_beat_at_the_same_moments(self) -> None:
+class HeartbeatTimeTests(unittest.TestCase):
+    def test_heartbeats_of_links_opened_at_any_time_coincide(self) -> None:
         for number in range(1000):
             now = number * 0.0137
             due = now + feed.time_to_heartbeat(now) + feed.HEARTBEAT_PHASE
-            beats = due / feed.HEARTBEAT_INTERVAL
-            self.assertAlmostEqual(round(beats), beats, places=6)
+            intervals = due / feed.HEARTBEAT_INTERVAL
+            self.assertAlmostEqual(round(intervals), intervals, places=6)
 
-    def test_no_beat_is_sent_twice(self) -> None:
-        beat = 10 * feed.HEARTBEAT_INTERVAL - feed.HEARTBEAT_PHASE
-        for moment in (beat - 1e-6, beat, beat + 1e-6):
+    def test_no_heartbeat_is_sent_twice(self) -> None:
+        heartbeat_time = 10 * feed.HEARTBEAT_INTERVAL - feed.HEARTBEAT_PHASE
+        for moment in (heartbeat_time - 1e-6, heartbeat_time, heartbeat_time + 1e-6):
             self.assertAlmostEqual(feed.HEARTBEAT_INTERVAL, feed.time_to_heartbeat(moment), places=4)
 
 
 async def read_to_end(reader: asyncio.StreamReader) -> bytes:
-    """All that still comes; a reset counts as the end."""
+    """Read until the end of the stream; a reset counts as the end."""
     received = b""
     try:
         while data := await reader.read(65536):
--- a/tests/test_cluster_messages.py
+++ b/tests/test_cluster_messages.py
@@ -1,4 +1,4 @@
-"""Frames between the machines of a cluster: each message survives the wire, and nothing else is accepted."""
+"""The encoding of messages in frames: every message round-trips, and invalid bytes are rejected."""
 
 from __future__ import annotations
 
@@ -102,21 +102,21 @@
     ),
     ConfigurationDelta(7, 2, 6, 91, ItemChanges((), ()), 0),
 )
-WHOLE = ConfigurationBody(6, 91, b'{"ver":9,"name":"\xc3\xa9"}\x00', True)
-TYPES_BEYOND_ALL = 255
+BODY = ConfigurationBody(6, 91, b'{"ver":9,"name":"\xc3\xa9"}\x00', True)
+UNKNOWN_TYPE = 255
 FUZZ_SEED = 20261202
 FUZZ_ROUNDS = 3000
 
 
-def body_of(frame: bytes) -> tuple[int, bytes]:
-    """The type number and the body of a frame."""
-    _, number = HEADER.unpack(frame[: HEADER.size])
-    return number, frame[HEADER.size :]
+def split_frame(frame: bytes) -> tuple[int, bytes]:
+    """Return the type number and the body of a frame."""
+    _, type_number = HEADER.unpack(frame[: HEADER.size])
+    return type_number, frame[HEADER.size :]
 
 
-def length_in_release_0(message: Message) -> int | None:
-    """How long the body was before fields were added; None for kinds of messages that have none."""
-    _, body = body_of(encode_frame(message))
+def body_length_in_release_0(message: Message) -> int | None:
+    """Return the length of the body without the fields added since release 0; None if there are none."""
+    _, body = split_frame(encode_frame(message))
     match message:
         case Hello():
             return len(body) - 2
@@ -125,39 +125,39 @@
         case Status(roots=()):
             return len(body) - 3
         case Status():
-            return len(body_of(encode_frame(replace(message, roots=())))[1]) - 3
+            return len(split_frame(encode_frame(replace(message, roots=())))[1]) - 3
     return None
 
 
-def decode_or_refuse(number: int, body: bytes) -> None:
-    """Decode; only FrameError may be raised."""
+def decode_or_frame_error(type_number: int, body: bytes) -> None:
+    """Decode a body; no exception but FrameError may be raised."""
     try:
-        decode_message(number, body)
+        decode_message(type_number, body)
     except FrameError:
         return
 
 
 class RoundTripTests(unittest.IsolatedAsyncioTestCase):
-    def test_every_type_of_message_has_an_example_here(self) -> None:
+    def test_every_message_type_has_an_example(self) -> None:
         self.assertEqual(set(get_args(Message)), {type(message) for message in MESSAGES})
 
-    async def test_every_message_is_read_as_it_was_written(self) -> None:
+    async def test_every_message_decodes_to_itself(self) -> None:
         reader = asyncio.StreamReader()
         reader.feed_data(b"".join(encode_frame(message) for message in MESSAGES))
         for message in MESSAGES:
             self.assertEqual(message, await read_message(reader))
 
-    async def test_a_frame_may_come_byte_by_byte(self) -> None:
+    async def test_a_frame_may_arrive_byte_by_byte(self) -> None:
         reader = asyncio.StreamReader()
-        message = WHOLE
+        message = BODY
         reading = asyncio.create_task(read_message(reader))
-        for number in encode_frame(message):
+        for byte in encode_frame(message):
             self.assertFalse(reading.done())
-            reader.feed_data(bytes([number]))
+            reader.feed_data(bytes([byte]))
         self.assertEqual(message, await reading)
 
-    async def test_a_frame_that_is_cut_off_is_no_message(self) -> None:
-        frame = encode_frame(WHOLE)
+    async def test_a_truncated_frame_is_not_a_message(self) -> None:
+        frame = encode_frame(BODY)
         for length in range(len(frame)):
             with self.subTest(length=length):
                 reader = asyncio.StreamReader()
@@ -166,49 +166,49 @@
                 with self.assertRaises(EOFError):
                     await read_message(reader)
 
-    async def test_an_oversized_frame_is_refused_before_its_body_is_read(self) -> None:
+    async def test_an_oversized_frame_is_rejected_before_its_body_is_read(self) -> None:
         reader = asyncio.StreamReader()
         reader.feed_data(HEADER.pack(MAX_FRAME_BYTES + 1, 0))
         with self.assertRaises(FrameError):
             await read_message(reader)
 
 
-class GarbageTests(unittest.TestCase):
-    def test_an_unknown_type_is_refused(self) -> None:
+class InvalidBytesTests(unittest.TestCase):
+    def test_an_unknown_type_is_rejected(self) -> None:
         with self.assertRaises(FrameError):
-            decode_message(TYPES_BEYOND_ALL, b"")
+            decode_message(UNKNOWN_TYPE, b"")
 
-    def test_a_body_that_is_cut_short_is_refused(self) -> None:
+    def test_a_truncated_body_is_rejected(self) -> None:
         for message in MESSAGES:
-            number, body = body_of(encode_frame(message))
-            whole = length_in_release_0(message)
+            type_number, body = split_frame(encode_frame(message))
+            release_0_length = body_length_in_release_0(message)
             for length in range(len(body)):
-                if length == whole:
-                    continue  # a whole message of release 0, see test_release_before.py
+                if length == release_0_length:
+                    continue  # a complete message of release 0, see test_release_before.py
                 with (
                     self.subTest(message=type(message).__name__, length=length),
                     self.assertRaises(FrameError),
                 ):
-                    decode_message(number, body[:length])
+                    decode_message(type_number, body[:length])
 
     def test_flipped_bits_raise_frame_errors_only(self) -> None:
         for message in MESSAGES:
-            number, body = body_of(encode_frame(message))
+            type_number, body = split_frame(encode_frame(message))
             for position in range(len(body)):
                 for bit in range(8):
                     damaged = bytearray(body)
                     damaged[position] ^= 1 << bit
                     with self.subTest(message=type(message).__name__, position=position, bit=bit):
-                        decode_or_refuse(number, bytes(damaged))
+                        decode_or_frame_error(type_number, bytes(damaged))
 
     def test_random_bytes_raise_frame_errors_only(self) -> None:
         source = random.Random(FUZZ_SEED)
-        numbers = sorted({body_of(encode_frame(message))[0] for message in MESSAGES})
+        numbers = sorted({split_frame(encode_frame(message))[0] for message in MESSAGES})
         for round_number in range(FUZZ_ROUNDS):
-            number = source.choice(numbers)
+            type_number = source.choice(numbers)
             body = source.randbytes(source.randrange(64))
-            with self.subTest(round=round_number, number=number, body=body.hex()):
-                decode_or_refuse(number, body)
+            with self.subTest(round=round_number, type_number=type_number, body=body.hex()):
+                decode_or_frame_error(type_number, body)
 
 
 if __name__ == "__main__":
--- a/tests/test_cluster_settings.py
+++ b/tests/test_cluster_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: what is read from it, and how faults in it are told."""
+"""The settings file of a process: the values read from it, and the errors for invalid files."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 class SettingsTests(unittest.TestCase):
     def load(self, text: str) -> None:
-        """Load a file with this text; raises what `load_settings` raises."""
+        """Load a settings file with this text; raises what `load_settings` raises."""
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / "local.json"
             path.write_text(text)
             load_settings(str(path))
 
-    def test_what_the_file_says_is_read(self) -> None:
+    def test_the_values_of_the_file_are_read(self) -> None:
         settings = parse_settings(DOCUMENT)
         self.assertEqual(("node-7", "10.0.0.4", "z1"), (settings.hostname, settings.ip, settings.zone))
         self.assertEqual(Address("10.0.0.4", 8080), settings.listen["edge"])
@@ -62,8 +62,8 @@
             with self.subTest(key=key), self.assertRaisesRegex(SettingsError, key):
                 self.load(json.dumps(document))
 
-    def test_a_spoilt_file_is_a_settings_error(self) -> None:
-        spoilt = [
+    def test_an_invalid_file_is_a_settings_error(self) -> None:
+        invalid_texts = [
             "",
             "{",
             "[]",
@@ -73,7 +73,7 @@
             json.dumps({**DOCUMENT, "seeds": 7}),
             json.dumps({**DOCUMENT, "bounds": {"grace-s": "long"}}),
         ]
-        for text in spoilt:
+        for text in invalid_texts:
             with self.subTest(text=text), self.assertRaises(SettingsError):
                 self.load(text)
 
@@ -81,7 +81,7 @@
         with self.assertRaises(SettingsError):
             load_settings("/nonexistent/local.json")
 
-    def test_the_environment_names_the_file(self) -> None:
+    def test_the_environment_variable_names_the_file(self) -> None:
         with mock.patch.dict("os.environ", {SETTINGS_VARIABLE: "/etc/other.json"}):
             self.assertEqual("/etc/other.json", settings_path())
 
--- a/tests/test_cluster_settings_file.py
+++ b/tests/test_cluster_settings_file.py
@@ -1,4 +1,4 @@
-"""A settings file that changes while the process runs, and the check of a configuration file."""
+"""A settings file that changes while the process runs, and the command that checks a configuration file."""
 
 from __future__ import annotations
 
@@ -30,38 +30,38 @@
         self.write(json.dumps(SETTINGS), 1)
         self.file = SettingsFile(str(self.path), load_settings(str(self.path)))
 
-    def write(self, text: str, time: int) -> None:
-        """Write the file as of this time."""
+    def write(self, text: str, modified_at: int) -> None:
+        """Write the file with this modification time, in nanoseconds."""
         self.path.write_text(text)
-        os.utime(self.path, ns=(time, time))
+        os.utime(self.path, ns=(modified_at, modified_at))
 
     def seeds(self) -> list[str]:
-        """The seeds in force."""
+        """Return the seeds in force."""
         return [seed.ip for seed in self.file.settings.seeds]
 
     def test_an_unchanged_file_is_not_read_again(self) -> None:
         self.assertFalse(self.file.refresh())
 
-    def test_other_seeds_are_taken_over(self) -> None:
+    def test_changed_seeds_are_put_in_force(self) -> None:
         self.write(json.dumps(SETTINGS | {"seeds": ["127.0.0.9:8080"], "new-field": 1}), 2)
         self.assertTrue(self.file.refresh())
         self.assertEqual(["127.0.0.9"], self.seeds())
 
-    def test_a_faulty_file_leaves_the_old_settings_in_force(self) -> None:
+    def test_an_invalid_file_leaves_the_old_settings_in_force(self) -> None:
         for number, text in enumerate(("{", "[]", "{}", json.dumps(SETTINGS | {"seeds": 7}))):
             with self.subTest(text=text):
                 self.write(text, 10 + number)
                 self.assertFalse(self.file.refresh())
                 self.assertEqual(["127.0.0.2"], self.seeds())
 
-    def test_a_file_that_is_gone_leaves_the_old_settings_in_force(self) -> None:
+    def test_a_deleted_file_leaves_the_old_settings_in_force(self) -> None:
         self.path.unlink()
         self.assertFalse(self.file.refresh())
         self.assertEqual(["127.0.0.2"], self.seeds())
 
 
 class ConfigCommandTests(unittest.TestCase):
-    def test_faults_and_a_missing_file_end_with_2(self) -> None:
+    def test_an_invalid_and_a_missing_file_give_exit_status_2(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / "config.json"
             path.write_text("{")
--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -1,4 +1,4 @@
-"""The merged view of all feeds: workers go when nobody has them."""
+"""The merged view of several feeds: a worker is removed when no control machine reports it any more."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ViewCase(unittest.TestCase):
-    """A view whose news are collected."""
+    """A view whose callbacks are recorded."""
 
     def setUp(self) -> None:
         self.changed: list[WorkerRecord] = []
@@ -25,33 +25,33 @@
         self.view = ClusterView(self.changed.append, self.gone.append)
 
     def receive(self, peer: str, message: Message, now: float = START) -> None:
-        """A message of one source."""
+        """Handle a message from a control machine."""
         self.view.received(peer, message, now)
 
-    def tell(self, peer: str, *records: WorkerRecord, complete: bool = False) -> None:
-        """Updates from one source."""
+    def update(self, peer: str, *records: WorkerRecord, complete: bool = False) -> None:
+        """Handle worker records from a control machine."""
         self.receive(peer, WorkerUpdates(records, complete))
 
     def link_settled(self, *peers: str) -> None:
-        """Sources that are linked and know all their workers."""
+        """Link control machines that are settled, so that their lists of workers are reliable."""
         for peer in peers:
             self.view.linked(peer)
             self.receive(peer, replace(STATUS, identity=peer))
 
 
 class StatusTests(ViewCase):
-    def test_the_primary_of_the_newest_epoch_counts(self) -> None:
+    def test_the_primary_of_the_newest_epoch_is_reported(self) -> None:
         self.receive(FIRST, STATUS)
         self.receive(SECOND, replace(STATUS, identity=SECOND, epoch=4, primary=SECOND))
         self.assertEqual(SECOND, self.view.primary())
 
-    def test_a_machine_that_is_not_fresh_names_no_primary(self) -> None:
+    def test_the_status_of_a_machine_without_contact_to_the_primary_is_ignored(self) -> None:
         self.receive(FIRST, STATUS)
         stale = replace(STATUS, identity=SECOND, epoch=4, primary=SECOND, fresh=False)
         self.receive(SECOND, stale)
         self.assertEqual(FIRST, self.view.primary())
 
-    def test_a_lost_link_names_no_primary(self) -> None:
+    def test_the_status_of_a_machine_whose_link_closed_is_ignored(self) -> None:
         self.view.linked(FIRST)
         self.receive(FIRST, STATUS)
         self.view.unlinked(FIRST, START)
@@ -62,7 +62,7 @@
         self.receive(SECOND, replace(STATUS, members=("10.0.0.3",)))
         self.assertEqual({FIRST, SECOND, "10.0.0.3"}, self.view.members())
 
-    def test_the_largest_count_of_dispatchers_holds(self) -> None:
+    def test_the_largest_dispatcher_count_is_returned(self) -> None:
         self.assertEqual(1, self.view.dispatchers())
         self.receive(FIRST, STATUS)
         self.receive(SECOND, replace(STATUS, dispatchers=9))
@@ -70,119 +70,119 @@
 
 
 class WorkerTests(ViewCase):
-    def test_news_of_workers_are_told_once(self) -> None:
-        self.tell(FIRST, WORKER)
-        self.tell(SECOND, WORKER)
+    def test_the_same_worker_from_two_machines_is_reported_once(self) -> None:
+        self.update(FIRST, WORKER)
+        self.update(SECOND, WORKER)
         self.assertEqual([WORKER], self.changed)
 
-    def test_a_worker_stays_while_one_source_has_it(self) -> None:
+    def test_a_worker_stays_while_one_machine_reports_it(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER)
-        self.tell(SECOND, WORKER)
+        self.update(FIRST, WORKER)
+        self.update(SECOND, WORKER)
         self.receive(FIRST, WorkerGone(WORKER.id, deleted=False))
         self.view.drop_silent(START)
         self.assertEqual([], self.gone)
 
-    def test_a_worker_goes_when_no_source_has_it(self) -> None:
+    def test_a_worker_is_removed_when_no_machine_reports_it(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER, OTHER_WORKER)
-        self.tell(SECOND, WORKER)
+        self.update(FIRST, WORKER, OTHER_WORKER)
+        self.update(SECOND, WORKER)
         for peer in (FIRST, SECOND):
             self.receive(peer, WorkerGone(WORKER.id, deleted=False))
         self.view.drop_silent(START)
         self.assertEqual([WORKER.id], self.gone)
         self.assertEqual([OTHER_WORKER], list(self.view.registry))
 
-    def test_a_complete_list_names_all_that_its_source_has(self) -> None:
+    def test_a_complete_list_replaces_the_workers_of_its_machine(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER, OTHER_WORKER)
-        self.tell(SECOND, OTHER_WORKER)
-        self.tell(FIRST, complete=True)
+        self.update(FIRST, WORKER, OTHER_WORKER)
+        self.update(SECOND, OTHER_WORKER)
+        self.update(FIRST, complete=True)
         self.view.drop_silent(START)
         self.assertEqual([WORKER.id], self.gone)
 
-    def test_a_source_that_just_restarted_may_hear_of_its_workers_yet(self) -> None:
+    def test_a_restarted_machine_has_time_to_report_its_workers_again(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER)
+        self.update(FIRST, WORKER)
         self.restart_unsettled(FIRST)
         self.view.drop_silent(START + WORKER_RETENTION - 0.01)
         self.assertEqual([], self.gone)
         self.view.drop_silent(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
-    def test_a_source_that_heard_of_its_workers_again_keeps_them(self) -> None:
+    def test_workers_that_a_restarted_machine_reports_again_stay(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER)
+        self.update(FIRST, WORKER)
         self.restart_unsettled(FIRST)
-        self.tell(FIRST, replace(WORKER, sequence=6))
+        self.update(FIRST, replace(WORKER, sequence=6))
         self.view.drop_silent(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
     def restart_unsettled(self, peer: str) -> None:
-        """A source comes back, has heard of no worker and is not settled."""
+        """Restart a control machine, which knows no worker and is not settled yet."""
         self.view.unlinked(peer, START)
         self.view.linked(peer)
         self.receive(peer, replace(STATUS, identity=peer, settled=False))
-        self.tell(peer, complete=True)
+        self.update(peer, complete=True)
 
-    def test_an_incomplete_list_takes_nothing_away(self) -> None:
+    def test_an_incomplete_list_removes_no_worker(self) -> None:
         self.link_settled(FIRST)
-        self.tell(FIRST, WORKER)
-        self.tell(FIRST, OTHER_WORKER)
+        self.update(FIRST, WORKER)
+        self.update(FIRST, OTHER_WORKER)
         self.view.drop_silent(START)
         self.assertEqual([], self.gone)
 
-    def test_the_workers_of_a_lost_source_linger(self) -> None:
+    def test_the_workers_of_a_lost_machine_stay_for_a_while(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER)
+        self.update(FIRST, WORKER)
         self.view.unlinked(FIRST, START)
         self.view.drop_silent(START + WORKER_RETENTION - 0.01)
         self.assertEqual([], self.gone)
         self.view.drop_silent(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
-    def test_repeated_losses_of_one_link_do_not_prolong_the_time(self) -> None:
+    def test_closing_a_closed_link_again_does_not_extend_the_time(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER)
+        self.update(FIRST, WORKER)
         self.view.unlinked(FIRST, START)
         self.view.unlinked(FIRST, START + WORKER_RETENTION)
         self.view.drop_silent(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
-    def test_a_source_that_comes_back_keeps_its_workers(self) -> None:
+    def test_the_workers_of_a_machine_that_reconnects_stay(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER)
+        self.update(FIRST, WORKER)
         self.view.unlinked(FIRST, START)
         self.link_settled(FIRST)
-        self.tell(FIRST, WORKER, complete=True)
+        self.update(FIRST, WORKER, complete=True)
         self.view.drop_silent(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
-    def test_workers_stay_while_no_settled_source_is_linked(self) -> None:
+    def test_workers_stay_while_no_settled_machine_is_linked(self) -> None:
         self.link_settled(FIRST)
-        self.tell(FIRST, WORKER)
+        self.update(FIRST, WORKER)
         self.view.unlinked(FIRST, START)
         self.view.linked(SECOND)
         self.receive(SECOND, replace(STATUS, identity=SECOND, settled=False))
         self.view.drop_silent(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
-    def test_a_deleted_worker_goes_at_once_and_never_returns(self) -> None:
+    def test_a_deleted_worker_is_removed_at_once_and_never_returns(self) -> None:
         self.link_settled(FIRST, SECOND)
-        self.tell(FIRST, WORKER)
-        self.tell(SECOND, WORKER)
+        self.update(FIRST, WORKER)
+        self.update(SECOND, WORKER)
         self.receive(FIRST, WorkerGone(WORKER.id, deleted=True))
         self.assertEqual([WORKER.id], self.gone)
-        self.tell(SECOND, replace(WORKER, sequence=99), complete=True)
+        self.update(SECOND, replace(WORKER, sequence=99), complete=True)
         self.assertEqual([], list(self.view.registry))
         self.assertEqual([WORKER], self.changed)
 
-    def test_a_worker_that_fell_silent_may_come_back(self) -> None:
+    def test_a_worker_that_timed_out_may_come_back(self) -> None:
         self.link_settled(FIRST)
-        self.tell(FIRST, WORKER)
+        self.update(FIRST, WORKER)
         self.receive(FIRST, WorkerGone(WORKER.id, deleted=False))
         self.view.drop_silent(START)
-        self.tell(FIRST, replace(WORKER, sequence=9))
+        self.update(FIRST, replace(WORKER, sequence=9))
         self.assertEqual([replace(WORKER, sequence=9)], list(self.view.registry))
         self.assertEqual(2, len(self.changed))
 
--- a/tests/test_cluster_workers.py
+++ b/tests/test_cluster_workers.py
@@ -1,4 +1,4 @@
-"""Worker records: what a heartbeat says, and how statements about one worker from several sources merge."""
+"""Worker records: parsing heartbeats, and merging records of one worker from several sources."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class HeartbeatTests(unittest.TestCase):
-    def test_all_that_a_worker_says_is_read(self) -> None:
+    def test_all_fields_of_a_heartbeat_are_read(self) -> None:
         record = parse_heartbeat("i-1", HEARTBEAT)
         held = (HeldModel("small", 1, frozenset({"a1", "a2"})),)
         self.assertEqual(
@@ -54,8 +54,8 @@
     def test_a_missing_or_wrong_field_is_a_malformed_heartbeat(self) -> None:
         broken: list[dict[str, object]] = [
             *(
-                {key: value for key, value in HEARTBEAT.items() if key != gone}
-                for gone in ("svc", "addr", "seq")
+                {key: value for key, value in HEARTBEAT.items() if key != missing}
+                for missing in ("svc", "addr", "seq")
             ),
             {**HEARTBEAT, "seq": "four"},
             {**HEARTBEAT, "slots": []},
@@ -87,11 +87,11 @@
         up = replace(RECORD, sequence=7)
         self.assertIs(WorkerState.DRAINING, merge_records(draining, up).state)
 
-    def test_a_late_heartbeat_that_says_draining_still_counts(self) -> None:
+    def test_a_late_heartbeat_of_a_draining_worker_still_counts(self) -> None:
         late = replace(RECORD, state=WorkerState.DRAINING, sequence=4)
         self.assertIs(WorkerState.DRAINING, merge_records(RECORD, late).state)
 
-    def test_holdings_are_ordered_by_stamp_whatever_the_sequence(self) -> None:
+    def test_models_are_ordered_by_holding_stamp_whatever_the_sequence(self) -> None:
         reported = replace(RECORD, models=(LARGE,), holding=HoldingStamp(2, 1), sequence=3)
         heartbeat = replace(RECORD, sequence=9)
         for first, second in ((reported, heartbeat), (heartbeat, reported)):
@@ -100,30 +100,30 @@
             self.assertEqual(HoldingStamp(2, 1), merged.holding)
             self.assertEqual(9, merged.sequence)
 
-    def test_the_reporting_epoch_goes_before_the_counter(self) -> None:
+    def test_the_epoch_of_a_stamp_takes_precedence_over_its_counter(self) -> None:
         old_primary = replace(RECORD, models=(SMALL,), holding=HoldingStamp(2, 900))
         new_primary = replace(RECORD, models=(LARGE,), holding=HoldingStamp(3, 1))
         for first, second in ((old_primary, new_primary), (new_primary, old_primary)):
             self.assertEqual((LARGE,), merge_records(first, second).models)
 
     def test_the_order_of_arrival_makes_no_difference(self) -> None:
-        statements = (
+        records = (
             replace(RECORD, sequence=6, models=(LARGE,)),
             replace(RECORD, sequence=7, state=WorkerState.DRAINING),
             replace(RECORD, sequence=8, models=(SMALL_WITH_ADAPTER,), holding=HoldingStamp(1, 2)),
             replace(RECORD, sequence=5, models=(LARGE,), holding=HoldingStamp(1, 3)),
         )
         results = set()
-        for ordering in itertools.permutations(statements):
+        for ordering in itertools.permutations(records):
             registry = WorkerRegistry()
-            for statement in ordering:
-                registry.merge(statement)
+            for record in ordering:
+                registry.merge(record)
             results.add(registry.get("i-1"))
         self.assertEqual(1, len(results), results)
 
 
 class RegistryTests(unittest.TestCase):
-    def test_news_are_returned_and_repetitions_are_not(self) -> None:
+    def test_changes_are_returned_and_repetitions_are_not(self) -> None:
         registry = WorkerRegistry()
         self.assertEqual(RECORD, registry.merge(RECORD))
         self.assertIsNone(registry.merge(RECORD))
--- a/tests/test_clusterconfig.py
+++ b/tests/test_clusterconfig.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from rookwood.cli.config import main
-from rookwood.clusterconfig.control_document import MAX_TAKEN_CHANGES, ControlDocumentError
+from rookwood.clusterconfig.control_document import MAX_ACCEPTED_CHANGES, ControlDocumentError
 from rookwood.clusterconfig.document import ClientLimits, Configuration, RouteKind, ServiceShare
 from rookwood.clusterconfig.history import (
     Accepted,
@@ -47,7 +47,7 @@
 
 
 def example_document() -> JsonObject:
-    """A valid configuration with two routes and two services, one of them with an engine."""
+    """Return a valid configuration with two routes and two services, one of which has an engine."""
     return {
         "ver": 7,
         "routes": [
@@ -111,66 +111,66 @@
 
 
 def example_with(edit: Edit) -> JsonObject:
-    """The example configuration after `edit` has modified it in place."""
+    """Return the example configuration, modified in place by `edit`."""
     document = example_document()
     edit(document)
     return document
 
 
 def encode(document: JsonObject) -> bytes:
-    """Compact JSON, as operators send it."""
+    """Return a document as compact JSON, as operators send it."""
     return json.dumps(document, separators=(",", ":")).encode()
 
 
 def put(base: int, document: JsonObject) -> Change:
-    """A PUT of a whole configuration."""
+    """Return a PUT of a full configuration."""
     return Change(ChangeMethod.PUT, base, encode(document))
 
 
 def patch(base: int, document: JsonObject) -> Change:
-    """A PATCH of named items."""
+    """Return a PATCH of named items."""
     return Change(ChangeMethod.PATCH, base, encode(document))
 
 
-def version(number: int) -> JsonObject:
-    """The example configuration under another version number."""
+def example_version(number: int) -> JsonObject:
+    """Return the example configuration with another version number."""
     return {**example_document(), "ver": number}
 
 
 class ConfigurationCase(unittest.TestCase):
     """Assertions shared by the test cases below."""
 
-    def accepted(self, decision: Decision) -> ControlDocument:
+    def require_accepted(self, decision: Decision) -> ControlDocument:
         """Require acceptance and return the new control document."""
         self.assertIsInstance(decision, Accepted)
         assert isinstance(decision, Accepted)
         self.assertEqual(decision.version, decision.document.version)
         return decision.document
 
-    def valid(self, document: JsonObject) -> Configuration:
+    def require_valid(self, document: JsonObject) -> Configuration:
         """Require a valid configuration and return it."""
         result = check_document(document)
         self.assertIsInstance(result, Configuration, result)
         assert isinstance(result, Configuration)
         return result
 
-    def fault_keys(self, result: object) -> list[str]:
+    def require_fault_keys(self, result: object) -> list[str]:
         """Require an invalid result and return the keys of its faults."""
         self.assertIsInstance(result, Invalid | InvalidChange)
         assert isinstance(result, Invalid | InvalidChange)
         self.assertTrue(result.faults)
         return [fault.key for fault in result.faults]
 
-    def started(self) -> ControlDocument:
-        """A control document that holds the example at version 7."""
-        return self.accepted(decide(ControlDocument(), put(0, example_document())))
+    def initial_document(self) -> ControlDocument:
+        """Return a control document that contains the example as version 7."""
+        return self.require_accepted(decide(ControlDocument(), put(0, example_document())))
 
 
 class BuildTest(ConfigurationCase):
-    """The typed configuration that a valid document becomes."""
+    """The typed configuration built from a valid document."""
 
     def test_routes(self) -> None:
-        configuration = self.valid(example_document())
+        configuration = self.require_valid(example_document())
         one, two = configuration.routes
         self.assertEqual((one.kind, one.timeout_ms, one.target_ms), (RouteKind.STREAM, 15000.0, 5000.0))
         self.assertEqual((one.sticky, one.resume, one.gap_aim_ms), (True, False, 300.0))
@@ -178,7 +178,7 @@
         self.assertEqual(two.shares, (ServiceShare("huvo11a", 90.0), ServiceShare("wuno96b", 10.0)))
         self.assertEqual((two.priority, two.tries, two.sticky, two.gap_aim_ms), (1, 2, False, 0.0))
 
-    def test_repeatable_kinds(self) -> None:
+    def test_which_routes_are_repeatable(self) -> None:
         cases = [
             ("safe", False, True),
             ("mutating", True, False),
@@ -188,10 +188,10 @@
         for kind, resume, repeatable in cases:
             document = example_document()
             document["routes"][0].update(kind=kind, resume=resume)
-            self.assertEqual(self.valid(document).routes[0].repeatable, repeatable, (kind, resume))
+            self.assertEqual(self.require_valid(document).routes[0].repeatable, repeatable, (kind, resume))
 
     def test_services_and_engine(self) -> None:
-        services = self.valid(example_document()).services
+        services = self.require_valid(example_document()).services
         engine = services["huvo11a"].engine
         assert engine is not None
         self.assertEqual((engine.slots, engine.kv_tokens, engine.adapter_slots), (64, 256290, 8))
@@ -201,19 +201,19 @@
         self.assertEqual(services["wuno96b"].max_connections, 96)
 
     def test_absent_limits_take_defaults(self) -> None:
-        self.assertEqual(self.valid(example_with(lambda d: d.pop("limits"))).limits, ClientLimits())
+        self.assertEqual(self.require_valid(example_with(lambda d: d.pop("limits"))).limits, ClientLimits())
 
     def test_service_without_weight_gets_no_share(self) -> None:
         document = example_with(lambda d: d["routes"][1]["split"][1].update(wt=0))
-        self.assertEqual(self.valid(document).routes[1].shares, (ServiceShare("huvo11a", 90.0),))
+        self.assertEqual(self.require_valid(document).routes[1].shares, (ServiceShare("huvo11a", 90.0),))
 
     def test_source_keeps_values_order_and_unknown_keys(self) -> None:
         document = example_with(lambda d: d.update(extra={"z": 1, "a": [2**70, 1.0, 0.1]}))
         document["routes"][0]["later"] = "kept"
-        self.assertEqual(self.valid(document).source, encode(document))
+        self.assertEqual(self.require_valid(document).source, encode(document))
 
     def test_loading_gives_the_same_configuration(self) -> None:
-        configuration = self.valid(example_with(lambda d: d["routes"][0].update(later=1)))
+        configuration = self.require_valid(example_with(lambda d: d["routes"][0].update(later=1)))
         self.assertEqual(load_configuration(configuration.source), configuration)
 
     def test_data_plane_modules_import_no_validation_library(self) -> None:
@@ -226,9 +226,9 @@
 
 
 class InvalidDocumentTest(ConfigurationCase):
-    """Every sort of invalid configuration, each with the key that its fault names."""
+    """Every kind of invalid configuration, with the key that its fault names."""
 
-    def test_cut_short(self) -> None:
+    def test_truncated_body(self) -> None:
         body = encode(example_document())
         for length in [*range(0, len(body), TRUNCATION_STEP), len(body) - 1]:
             self.assertIsInstance(parse_document(body[:length]), Invalid, length)
@@ -275,15 +275,17 @@
             ("routes.0.kind", lambda d: d["routes"][0].update(kind="other")),
             ("routes.0.tries", lambda d: d["routes"][0].update(tries=0)),
             ("svcs.1.max-conns", lambda d: d["svcs"][1].pop("max-conns")),
-            ("svcs.0.runtime.models.1.name", lambda d: _repeat_model(d)),
+            ("svcs.0.runtime.models.1.name", lambda d: _duplicate_model(d)),
             ("limits.idle-ms", lambda d: d["limits"].update({"idle-ms": 0})),
         ]
         for key, edit in cases:
-            self.assertEqual(self.fault_keys(check_document(example_with(edit))), [key], key)
+            self.assertEqual(self.require_fault_keys(check_document(example_with(edit))), [key], key)
 
     def test_value_that_is_not_json(self) -> None:
         for value in (float("nan"), float("inf"), {1, 2}):
-            self.assertEqual(self.fault_keys(check_document({**example_document(), "extra": value})), [""])
+            self.assertEqual(
+                self.require_fault_keys(check_document({**example_document(), "extra": value})), [""]
+            )
 
     def test_all_faults_at_once(self) -> None:
         document = example_document()
@@ -292,17 +294,17 @@
         document["routes"][1]["split"][0]["wt"] = 0
         document["routes"][1]["split"][1]["wt"] = 0
         keys = {"ver", "routes.0.timeout-ms", "routes.0.svc", "routes.1.split"}
-        self.assertEqual(set(self.fault_keys(check_document(document))), keys)
+        self.assertEqual(set(self.require_fault_keys(check_document(document))), keys)
 
-    def test_unchanged_items_are_exempt_but_changed_ones_are_not(self) -> None:
+    def test_only_changed_items_are_checked_again(self) -> None:
         accepted = example_document()
         changed = example_with(lambda d: d["routes"][1].update(tries=True))
         accepted["routes"][1]["tries"] = 1
-        self.assertEqual(self.fault_keys(check_change(changed, accepted)), ["routes.1.tries"])
+        self.assertEqual(self.require_fault_keys(check_change(changed, accepted)), ["routes.1.tries"])
         self.assertIsInstance(check_change(accepted, accepted), CheckedDocument)
 
 
-def _repeat_model(document: JsonObject) -> None:
+def _duplicate_model(document: JsonObject) -> None:
     models = document["svcs"][0]["runtime"]["models"]
     models.append(dict(models[0]))
 
@@ -360,96 +362,110 @@
             ("remove.routes.0", {"ver": 9, "remove": {"routes": [1]}}),
         ]
         for key, change in cases:
-            self.assertEqual(self.fault_keys(apply_patch(example_document(), change)), [key], key)
+            self.assertEqual(self.require_fault_keys(apply_patch(example_document(), change)), [key], key)
 
     def test_patch_that_removes_a_used_service(self) -> None:
-        decision = decide(self.started(), patch(7, {"ver": 9, "remove": {"svcs": ["wuno96b"]}}))
-        self.assertEqual(self.fault_keys(decision), ["routes.1.split.1.svc"])
+        decision = decide(self.initial_document(), patch(7, {"ver": 9, "remove": {"svcs": ["wuno96b"]}}))
+        self.assertEqual(self.require_fault_keys(decision), ["routes.1.split.1.svc"])
 
-    def test_patch_onto_nothing(self) -> None:
-        whole = example_document()
-        upsert = {"routes": whole["routes"], "svcs": whole["svcs"]}
-        document = self.accepted(decide(ControlDocument(), patch(0, {"ver": 2, "upsert": upsert})))
+    def test_patch_without_a_configuration(self) -> None:
+        example = example_document()
+        upsert = {"routes": example["routes"], "svcs": example["svcs"]}
+        document = self.require_accepted(decide(ControlDocument(), patch(0, {"ver": 2, "upsert": upsert})))
         self.assertEqual(len(load_configuration(document.source).routes), 2)
         self.assertIsInstance(decide(ControlDocument(), patch(0, {"ver": 2})), InvalidChange)
 
 
 class HistoryTest(ConfigurationCase):
-    """Decisions on changes, sent once and again."""
+    """Decisions on changes that are sent once or several times."""
 
     def test_first_configuration(self) -> None:
-        document = self.started()
+        document = self.initial_document()
         self.assertEqual((document.version, document.source), (7, encode(example_document())))
 
     def test_old_and_same_version(self) -> None:
         for number in (7, 6, 1):
-            self.assertEqual(self.fault_keys(decide(self.started(), put(7, version(number)))), ["ver"])
-        self.assertEqual(self.fault_keys(decide(self.started(), patch(7, {"ver": 7}))), ["ver"])
+            self.assertEqual(
+                self.require_fault_keys(decide(self.initial_document(), put(7, example_version(number)))),
+                ["ver"],
+            )
+        self.assertEqual(
+            self.require_fault_keys(decide(self.initial_document(), patch(7, {"ver": 7}))), ["ver"]
+        )
 
-    def test_stale_match(self) -> None:
+    def test_stale_base(self) -> None:
         for base in (0, 6, 8):
-            self.assertEqual(decide(self.started(), put(base, version(9))), Conflict(7))
-            self.assertEqual(decide(self.started(), patch(base, {"ver": 9})), Conflict(7))
-        self.assertEqual(decide(ControlDocument(), put(5, version(9))), Conflict(0))
+            self.assertEqual(decide(self.initial_document(), put(base, example_version(9))), Conflict(7))
+            self.assertEqual(decide(self.initial_document(), patch(base, {"ver": 9})), Conflict(7))
+        self.assertEqual(decide(ControlDocument(), put(5, example_version(9))), Conflict(0))
 
-    def test_unreadable_match(self) -> None:
-        for document in (ControlDocument(), self.started()):
-            self.assertEqual(self.fault_keys(decide(document, put(-1, version(9)))), ["If-Match"])
-            self.assertEqual(self.fault_keys(decide(document, patch(-1, {"ver": 9}))), ["If-Match"])
+    def test_missing_or_invalid_base(self) -> None:
+        for document in (ControlDocument(), self.initial_document()):
+            self.assertEqual(
+                self.require_fault_keys(decide(document, put(-1, example_version(9)))), ["If-Match"]
+            )
+            self.assertEqual(self.require_fault_keys(decide(document, patch(-1, {"ver": 9}))), ["If-Match"])
 
     def test_resent_after_later_changes(self) -> None:
-        first, second, third = put(0, version(7)), patch(7, {"ver": 9}), put(9, version(30))
+        first, second, third = put(0, example_version(7)), patch(7, {"ver": 9}), put(9, example_version(30))
         document = ControlDocument()
         for change in (first, second, third):
-            document = self.accepted(decide(document, change))
+            document = self.require_accepted(decide(document, change))
         for change, number in ((first, 7), (second, 9), (third, 30)):
             self.assertEqual(decide(document, change), AlreadyTaken(number))
 
     def test_resent_with_other_whitespace_and_key_order(self) -> None:
         body = json.dumps(example_document(), indent=2, sort_keys=True).encode()
         resent = Change(ChangeMethod.PUT, 0, body)
-        self.assertEqual(decide(self.started(), resent), AlreadyTaken(7))
+        self.assertEqual(decide(self.initial_document(), resent), AlreadyTaken(7))
 
     def test_same_body_on_another_base_or_by_another_method_is_another_change(self) -> None:
-        self.assertEqual(self.fault_keys(decide(self.started(), put(7, version(7)))), ["ver"])
-        self.assertEqual(decide(self.started(), patch(0, version(7))), Conflict(7))
-
-    def test_two_operators_with_one_number(self) -> None:
-        mine = put(7, version(9))
-        theirs = put(7, example_with(lambda d: (d.update(ver=9), d["routes"].pop())))
-        document = self.accepted(decide(self.started(), mine))
-        self.assertEqual(decide(document, theirs), Conflict(9))
-        self.assertEqual(decide(document, mine), AlreadyTaken(9))
-        self.assertEqual(document.source, encode(version(9)))
-
-    def test_refused_change_may_be_accepted_on_resend(self) -> None:
-        change = put(7, version(9))
+        self.assertEqual(
+            self.require_fault_keys(decide(self.initial_document(), put(7, example_version(7)))), ["ver"]
+        )
+        self.assertEqual(decide(self.initial_document(), patch(0, example_version(7))), Conflict(7))
+
+    def test_two_operators_with_the_same_version(self) -> None:
+        own_change = put(7, example_version(9))
+        other_change = put(7, example_with(lambda d: (d.update(ver=9), d["routes"].pop())))
+        document = self.require_accepted(decide(self.initial_document(), own_change))
+        self.assertEqual(decide(document, other_change), Conflict(9))
+        self.assertEqual(decide(document, own_change), AlreadyTaken(9))
+        self.assertEqual(document.source, encode(example_version(9)))
+
+    def test_rejected_change_may_be_accepted_on_resend(self) -> None:
+        change = put(7, example_version(9))
         self.assertEqual(decide(ControlDocument(), change), Conflict(0))
-        self.accepted(decide(self.started(), change))
+        self.require_accepted(decide(self.initial_document(), change))
 
-    def test_unreadable_body(self) -> None:
-        body = encode(version(9))[:-1]
-        self.assertEqual(self.fault_keys(decide(self.started(), Change(ChangeMethod.PUT, 7, body))), [""])
-        self.assertEqual(self.fault_keys(decide(self.started(), Change(ChangeMethod.PATCH, 7, body))), [""])
+    def test_invalid_body(self) -> None:
+        body = encode(example_version(9))[:-1]
+        self.assertEqual(
+            self.require_fault_keys(decide(self.initial_document(), Change(ChangeMethod.PUT, 7, body))), [""]
+        )
+        self.assertEqual(
+            self.require_fault_keys(decide(self.initial_document(), Change(ChangeMethod.PATCH, 7, body))),
+            [""],
+        )
 
-    def test_taken_changes_are_bounded_to_the_newest(self) -> None:
+    def test_only_the_newest_accepted_changes_are_remembered(self) -> None:
         document = ControlDocument()
-        for number in range(1, MAX_TAKEN_CHANGES + 3):
+        for number in range(1, MAX_ACCEPTED_CHANGES + 3):
             document = document.with_change(TakenChange(number.to_bytes(16, "big"), number), b"{}")
-        self.assertEqual(len(document.taken), MAX_TAKEN_CHANGES)
+        self.assertEqual(len(document.taken), MAX_ACCEPTED_CHANGES)
         self.assertEqual(document.taken[0].version, 3)
         self.assertEqual(ControlDocument.decode(document.encode()), document)
 
 
 class EncodingTest(ConfigurationCase):
-    """The binary form of the control document."""
+    """The binary encoding of the control document."""
 
     def test_round_trip(self) -> None:
-        for document in (ControlDocument(), self.started()):
+        for document in (ControlDocument(), self.initial_document()):
             self.assertEqual(ControlDocument.decode(document.encode()), document)
 
     def test_damaged_bytes(self) -> None:
-        encoded = self.started().encode()
+        encoded = self.initial_document().encode()
         for length in range(0, len(encoded), TRUNCATION_STEP):
             with self.assertRaises(ControlDocumentError):
                 ControlDocument.decode(encoded[:length])
@@ -459,16 +475,16 @@
 
 
 class RoutingTest(ConfigurationCase):
-    """Routes by host and longest prefix."""
+    """Finding a route by host and longest prefix."""
 
     def index(self, *places: tuple[str, str]) -> RouteIndex:
-        """An index over routes named by their host and prefix."""
+        """Return an index of routes that are named by their host and prefix."""
         template = example_document()["routes"][0]
         routes = [{**template, "name": host + prefix, "host": host, "pfx": prefix} for host, prefix in places]
-        return RouteIndex(self.valid({**example_document(), "routes": routes}))
+        return RouteIndex(self.require_valid({**example_document(), "routes": routes}))
 
-    def matched(self, index: RouteIndex, host: str, path: str) -> str | None:
-        """The name of the matched route."""
+    def matched_name(self, index: RouteIndex, host: str, path: str) -> str | None:
+        """Return the name of the matching route, if any."""
         route = index.match(host, path)
         return route.name if route else None
 
@@ -488,23 +504,23 @@
             ("c", "/x/", None),
         ]
         for host, path, name in cases:
-            self.assertEqual(self.matched(index, host, path), name, (host, path))
+            self.assertEqual(self.matched_name(index, host, path), name, (host, path))
 
     def test_host_case_and_port(self) -> None:
         index = self.index(("Ficu95.Example", "/x/"), ("[::1]", "/x/"))
         for host in ("ficu95.example", "FICU95.EXAMPLE:8080", " ficu95.example:80 "):
-            self.assertEqual(self.matched(index, host, "/x/1"), "Ficu95.Example/x/")
-        self.assertEqual(self.matched(index, "[::1]:8080", "/x/1"), "[::1]/x/")
+            self.assertEqual(self.matched_name(index, host, "/x/1"), "Ficu95.Example/x/")
+        self.assertEqual(self.matched_name(index, "[::1]:8080", "/x/1"), "[::1]/x/")
         self.assertIsNone(index.match("", "/x/"))
 
-    def test_query_takes_no_part(self) -> None:
+    def test_query_is_ignored(self) -> None:
         index = self.index(("a", "/x/"), ("a", "/x/y/"))
-        self.assertEqual(self.matched(index, "a", "/x/?q=/x/y/"), "a/x/")
+        self.assertEqual(self.matched_name(index, "a", "/x/?q=/x/y/"), "a/x/")
         self.assertIsNone(index.match("a", "/x?y/"))
 
 
 class CheckCommandTest(ConfigurationCase):
-    """`config check FILE`."""
+    """The command `config check FILE`."""
 
     def run_check(self, path: Path) -> tuple[int, str]:
         """Run the command and return its exit code and everything it printed."""
--- a/tests/test_clusterconfig_operators.py
+++ b/tests/test_clusterconfig_operators.py
@@ -1,7 +1,7 @@
-"""Several operators against the decisions on changes: lost answers, resends, reorderings, forgotten history.
+"""Decisions on the changes of several operators: lost responses, resends, reordering and dropped history.
 
-The reference keeps every change that was ever accepted. The control document keeps the last two only, so
-that the bound is reached within a few steps.
+The reference keeps every change that was ever accepted. The control document keeps only the last two, so that
+its limit is reached within a few steps.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 )
 from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, TakenChanges
 
-REMEMBERED = 2
+REMEMBERED_CHANGES = 2
 OPERATORS = 3
 SERVICE = {"name": "s", "health": "/h", "max-conns": 4}
 NOW_INVALID = Invalid((Fault("routes.0", "no longer allowed"),))
 
-spellings = st.sampled_from(
+json_formats = st.sampled_from(
     [
         lambda body: json.dumps(body),
         lambda body: json.dumps(body, indent=3),
@@ -49,7 +49,7 @@
 
 
 def route(prefix: int) -> dict[str, Any]:
-    """A valid route."""
+    """Return a valid route."""
     return {
         "name": "r",
         "host": "h",
@@ -61,33 +61,33 @@
 
 
 @dataclass(frozen=True)
-class Order:
-    """A change as an operator means it, apart from the spelling of its body."""
+class OperatorChange:
+    """A change of an operator, independent of the JSON formatting of its body."""
 
     method: ChangeMethod
     base: int
     body: str
 
-    def spelled(self, spelling: Any) -> Change:
-        """The change with its body written in some way."""
-        return Change(self.method, self.base, spelling(json.loads(self.body)).encode())
+    def to_change(self, json_format: Any) -> Change:
+        """Return the change with its body in some JSON format."""
+        return Change(self.method, self.base, json_format(json.loads(self.body)).encode())
 
 
 class OperatorsMachine(RuleBasedStateMachine):
-    """Operators send changes that the network delivers in any order, any number of times."""
+    """Operators send changes, which the network delivers in any order and any number of times."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.bound = mock.patch.object(control_document, "MAX_TAKEN_CHANGES", REMEMBERED)
-        self.bound.start()
+        self.limit_patch = mock.patch.object(control_document, "MAX_ACCEPTED_CHANGES", REMEMBERED_CHANGES)
+        self.limit_patch.start()
         self.document = ControlDocument()
-        self.accepted: list[tuple[Order, int]] = []
+        self.accepted: list[tuple[OperatorChange, int]] = []
         self.known = [0] * OPERATORS
-        self.sent: list[Order] = []
+        self.sent: list[OperatorChange] = []
 
     def teardown(self) -> None:
-        """Restore the bound."""
-        self.bound.stop()
+        """Restore the limit."""
+        self.limit_patch.stop()
 
     @rule(
         operator=st.integers(0, OPERATORS - 1),
@@ -97,83 +97,83 @@
         patch=st.booleans(),
     )
     def send(self, operator: int, step: int, prefix: int, service: str, patch: bool) -> None:
-        """An operator builds a change on the version it knows; some are invalid."""
+        """An operator sends a change based on the version it knows; some changes are invalid."""
         base = self.known[operator]
         routes = [{**route(prefix), "svc": service}]
         if patch and base:
             body: dict[str, Any] = {"ver": base + step, "upsert": {"routes": routes}}
-            self.sent.append(Order(ChangeMethod.PATCH, base, json.dumps(body)))
+            self.sent.append(OperatorChange(ChangeMethod.PATCH, base, json.dumps(body)))
         else:
             body = {"ver": base + step, "routes": routes, "svcs": [SERVICE]}
-            self.sent.append(Order(ChangeMethod.PUT, base, json.dumps(body)))
+            self.sent.append(OperatorChange(ChangeMethod.PUT, base, json.dumps(body)))
 
     @rule(operator=st.integers(0, OPERATORS - 1))
     def read(self, operator: int) -> None:
-        """An operator reads the newest version back."""
+        """An operator reads the current version."""
         self.known[operator] = self.document.version
 
     @rule(operator=st.integers(0, OPERATORS - 1), step=st.integers(1, 3), prefix=st.integers(0, 2))
-    def change_the_newest(self, operator: int, step: int, prefix: int) -> None:
-        """An operator reads the newest version, and its valid change arrives at once."""
+    def change_newest(self, operator: int, step: int, prefix: int) -> None:
+        """An operator reads the current version, and its valid change arrives at once."""
         self.read(operator)
         self.send(operator, step, prefix, "s", patch=False)
-        self.arrive(self.sent[-1], json.dumps)
+        self.decide_and_apply(self.sent[-1], json.dumps)
 
     @precondition(lambda self: bool(self.sent))
-    @rule(data=st.data(), spelling=spellings)
-    def deliver(self, data: st.DataObject, spelling: Any) -> None:
-        """A change arrives: for the first time, late, or again; answers may all be lost."""
-        self.arrive(data.draw(st.sampled_from(self.sent)), spelling)
-
-    def arrive(self, order: Order, spelling: Any) -> None:
-        """Have a change decided, and take the document that it leads to."""
-        decision = decide(self.document, order.spelled(spelling))
-        self.check(order, decision)
+    @rule(data=st.data(), json_format=json_formats)
+    def deliver(self, data: st.DataObject, json_format: Any) -> None:
+        """A change arrives for the first time, late or again, since any response may be lost."""
+        self.decide_and_apply(data.draw(st.sampled_from(self.sent)), json_format)
+
+    def decide_and_apply(self, change: OperatorChange, json_format: Any) -> None:
+        """Decide on a change and apply the resulting document."""
+        decision = decide(self.document, change.to_change(json_format))
+        self.check(change, decision)
         if isinstance(decision, Accepted):
-            self.accepted.append((order, decision.version))
+            self.accepted.append((change, decision.version))
             self.document = decision.document
 
     @precondition(lambda self: bool(self.accepted))
-    @rule(data=st.data(), spelling=spellings)
-    def deliver_to_a_stricter_program(self, data: st.DataObject, spelling: Any) -> None:
-        """A change that was taken arrives again where its body would be refused by now."""
-        order, _ = data.draw(st.sampled_from(self.accepted))
+    @rule(data=st.data(), json_format=json_formats)
+    def deliver_to_stricter_validation(self, data: st.DataObject, json_format: Any) -> None:
+        """An accepted change arrives again after validation became stricter and would reject its body."""
+        change, _ = data.draw(st.sampled_from(self.accepted))
         with (
             mock.patch.object(history, "parse_document", return_value=NOW_INVALID),
             mock.patch.object(history, "check_change", return_value=NOW_INVALID),
         ):
-            self.check(order, decide(self.document, order.spelled(spelling)))
+            self.check(change, decide(self.document, change.to_change(json_format)))
 
     @rule()
     def restart(self) -> None:
-        """All processes end; the document comes back from its stored form."""
+        """All processes restart, and the document is decoded from its stored form."""
         self.document = ControlDocument.decode(self.document.encode())
 
-    def check(self, order: Order, decision: Decision) -> None:
-        """Compare a decision with all that was ever accepted."""
-        taken_as = next((version for taken, version in self.accepted if taken == order), None)
-        forgotten = max(0, len(self.accepted) - REMEMBERED)
-        if taken_as is not None:
-            remembered = any(taken == order for taken, _ in self.accepted[forgotten:])
-            assert decision == (AlreadyTaken(taken_as) if remembered else Forgotten()), decision
+    def check(self, change: OperatorChange, decision: Decision) -> None:
+        """Compare a decision with all changes that were ever accepted."""
+        accepted_version = next((version for earlier, version in self.accepted if earlier == change), None)
+        dropped = max(0, len(self.accepted) - REMEMBERED_CHANGES)
+        if accepted_version is not None:
+            remembered = any(earlier == change for earlier, _ in self.accepted[dropped:])
+            assert decision == (AlreadyTaken(accepted_version) if remembered else Forgotten()), decision
             return
         assert not isinstance(decision, AlreadyTaken), decision
         if isinstance(decision, Accepted):
-            assert order.base == self.document.version
+            assert change.base == self.document.version
             assert decision.version > self.document.version
-            assert all(taken.base != order.base for taken, _ in self.accepted)
+            assert all(earlier.base != change.base for earlier, _ in self.accepted)
         if isinstance(decision, Forgotten):
-            assert len(self.accepted) >= REMEMBERED
-            assert order.base < self.accepted[forgotten][1]
+            assert len(self.accepted) >= REMEMBERED_CHANGES
+            assert change.base < self.accepted[dropped][1]
         if isinstance(decision, Conflict):
-            assert order.base != self.document.version
+            assert change.base != self.document.version
         if isinstance(decision, InvalidChange):
-            assert order.base == self.document.version
+            assert change.base == self.document.version
 
     @invariant()
     def versions_rise(self) -> None:
-        """Each accepted change built on the one before."""
-        bases = [order.base for order, _ in self.accepted]
+        """Each accepted change is based on the one before it."""
+        bases = [change.base for change, _ in self.accepted]
         versions = [version for _, version in self.accepted]
         assert bases == [0, *versions][: len(bases)]
         assert versions == sorted(set(versions))
@@ -183,15 +183,15 @@
 OperatorsTest.settings = settings(max_examples=150, stateful_step_count=60, deadline=None)
 
 
-class ForgottenHistoryTest(unittest.TestCase):
-    """A change beyond the remembered ones."""
+class DroppedHistoryTest(unittest.TestCase):
+    """Changes that are older than the remembered ones."""
 
-    def test_a_change_older_than_the_bound_gets_no_clear_answer(self) -> None:
+    def test_a_change_older_than_the_remembered_ones_gives_base_too_old(self) -> None:
         first = Change(ChangeMethod.PUT, 0, json.dumps({"ver": 1, "routes": [], "svcs": []}).encode())
         decision = decide(ControlDocument(), first)
         assert isinstance(decision, Accepted)
         document = decision.document
-        for version in range(2, control_document.MAX_TAKEN_CHANGES + 2):
+        for version in range(2, control_document.MAX_ACCEPTED_CHANGES + 2):
             self.assertEqual(AlreadyTaken(1), decide(document, first))
             change = TakenChange(version.to_bytes(DIGEST_BYTES), version)
             document = document.with_change(change, document.source)
@@ -199,10 +199,10 @@
         later = Change(ChangeMethod.PUT, 2, first.body)
         self.assertEqual(Conflict(document.version), decide(document, later))
 
-    def test_a_change_whose_base_is_remembered_is_refused(self) -> None:
+    def test_a_change_whose_base_is_remembered_gives_a_conflict(self) -> None:
         body = json.dumps({"ver": 9, "routes": [], "svcs": []}).encode()
-        taken = TakenChanges.of((TakenChange(bytes(16), 7), TakenChange(bytes(15) + b"1", 8)))
-        document = ControlDocument(8, body, taken)
+        accepted = TakenChanges.of((TakenChange(bytes(16), 7), TakenChange(bytes(15) + b"1", 8)))
+        document = ControlDocument(8, body, accepted)
         for base in (3, 7, 9):
             self.assertEqual(Conflict(8), decide(document, Change(ChangeMethod.PUT, base, body)))
 
--- a/tests/test_clusterconfig_properties.py
+++ b/tests/test_clusterconfig_properties.py
@@ -1,4 +1,4 @@
-"""Property tests of the cluster configuration: arbitrary input gets a typed answer, never an exception."""
+"""Property tests of the cluster configuration: any input gives a typed result, never an exception."""
 
 from __future__ import annotations
 
@@ -88,13 +88,13 @@
 hosts = st.sampled_from(["one", "two", "three"])
 
 
-def valid_document(version: int = 1, places: list[tuple[str, str]] | None = None) -> JsonObject:
-    """A small valid configuration with one route for each place."""
+def valid_document(version: int = 1, host_prefixes: list[tuple[str, str]] | None = None) -> JsonObject:
+    """Return a small valid configuration with one route for each pair of host and prefix."""
     return {
         "ver": version,
         "routes": [
             {"name": f"r{i}", "host": host, "pfx": prefix, "kind": "safe", "timeout-ms": 10, "svc": "s"}
-            for i, (host, prefix) in enumerate(places or [("one", "/a/")])
+            for i, (host, prefix) in enumerate(host_prefixes or [("one", "/a/")])
         ],
         "svcs": [{"name": "s", "health": "/h", "max-conns": 4, "runtime": {"models": [{"name": "m"}]}}],
         "limits": {"idle-ms": 10},
@@ -102,7 +102,7 @@
 
 
 def find_paths(value: object, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
-    """Every path to a value inside a JSON value, itself included."""
+    """Return the path of every value inside a JSON value, itself included."""
     paths = [path]
     if isinstance(value, dict):
         for key, inner in value.items():
@@ -114,17 +114,17 @@
 
 
 def longest_match(routes: tuple[Route, ...], host: str, path: str) -> Route | None:
-    """The reference for the index: compare every route."""
+    """Find the route by comparing all routes, as a reference for the index."""
     matching = [route for route in routes if route.host == host and path.startswith(route.prefix)]
     matching.sort(key=lambda route: len(route.prefix))
     return matching[-1] if matching else None
 
 
 class TypedResultTest(unittest.TestCase):
-    """No input raises."""
+    """Every input gives a typed result instead of an exception."""
 
     def check_typed(self, document: JsonObject) -> None:
-        """Require a typed result, and that a valid one loads back as itself."""
+        """Require a typed result, and that a valid one is equal after loading its source."""
         result = check_document(document)
         self.assertIsInstance(result, Configuration | Invalid)
         if isinstance(result, Configuration):
@@ -150,14 +150,14 @@
     @settings(max_examples=MAX_EXAMPLES, deadline=None)
     @given(st.data(), values)
     def test_valid_document_with_one_value_replaced(self, data: st.DataObject, value: object) -> None:
-        document = valid_document(places=[("one", "/a/"), ("two", "/b/")])
+        document = valid_document(host_prefixes=[("one", "/a/"), ("two", "/b/")])
         path = data.draw(st.sampled_from(find_paths(document)[1:]))
         target: Any = document
         for step in path[:-1]:
             target = target[step]
         target[path[-1]] = copy.deepcopy(value)
         self.check_typed(document)
-        accepted = valid_document(places=[("one", "/a/"), ("two", "/b/")])
+        accepted = valid_document(host_prefixes=[("one", "/a/"), ("two", "/b/")])
         self.assertEqual(check_change(document, accepted), check_change(document, {}))
 
     @settings(max_examples=MAX_EXAMPLES, deadline=None)
@@ -169,16 +169,16 @@
 
 
 class ResendTest(unittest.TestCase):
-    """Accepted changes stay acknowledged."""
+    """Accepted changes are still recognised after later ones."""
 
     @settings(max_examples=MAX_EXAMPLES, deadline=None)
     @given(st.lists(st.tuples(methods, st.integers(0, 12), st.integers(0, 12)), max_size=12))
-    def test_every_accepted_change_is_taken_afterwards(
-        self, attempts: list[tuple[ChangeMethod, int, int]]
+    def test_every_accepted_change_is_recognised_when_resent(
+        self, sent_changes: list[tuple[ChangeMethod, int, int]]
     ) -> None:
         document = ControlDocument()
         accepted: list[tuple[Change, int]] = []
-        for method, base, version in attempts:
+        for method, base, version in sent_changes:
             body = valid_document(version) if method is ChangeMethod.PUT else {"ver": version}
             change = Change(method, base, json.dumps(body).encode())
             before = document.version
@@ -194,7 +194,7 @@
 
 
 class LongestPrefixTest(unittest.TestCase):
-    """The index agrees with a comparison of every route."""
+    """The index gives the same results as comparing all routes."""
 
     @settings(max_examples=MAX_EXAMPLES, deadline=None)
     @given(
@@ -202,8 +202,10 @@
         hosts,
         st.text(alphabet="/ab", max_size=12),
     )
-    def test_same_route_as_brute_force(self, places: list[tuple[str, str]], host: str, path: str) -> None:
-        configuration = check_document(valid_document(places=places))
+    def test_same_route_as_brute_force(
+        self, host_prefixes: list[tuple[str, str]], host: str, path: str
+    ) -> None:
+        configuration = check_document(valid_document(host_prefixes=host_prefixes))
         assert isinstance(configuration, Configuration)
         expected = longest_match(configuration.routes, host, path)
         index = RouteIndex(configuration)
--- a/tests/test_configuration_deltas.py
+++ b/tests/test_configuration_deltas.py
@@ -1,4 +1,4 @@
-"""Changes between configurations: whoever applies them has what the sender has, whatever its base."""
+"""Configuration deltas: applying one gives the configuration of its sender, whatever the base."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def route(number: int, timeout_ms: float = 1000.0, prefix: str | None = None) -> dict[str, Any]:
-    """A route of that number."""
+    """Return a route with this number."""
     return {
         "name": f"r{number}",
         "host": HOSTS[number % len(HOSTS)],
@@ -51,103 +51,103 @@
 
 
 def service(name: str) -> dict[str, Any]:
-    """A service of that name."""
+    """Return a service with this name."""
     return {"name": name, "health": "/healthz", "max-conns": 64}
 
 
 def configuration(version: int, *routes: dict[str, Any], **settings: Any) -> dict[str, Any]:
-    """A configuration of these routes."""
+    """Return a configuration with these routes."""
     return {"ver": version, "routes": list(routes), "svcs": [service(n) for n in SERVICES], **settings}
 
 
 def encode(document: dict[str, Any]) -> bytes:
-    """The text of a configuration."""
+    """Return the JSON text of a configuration."""
     return json.dumps(document).encode()
 
 
-def change_at_random(document: dict[str, Any], version: int, source: random.Random) -> dict[str, Any]:
-    """The next version: routes added, removed, changed or exchanged, limits and services changed."""
+def change_at_random(document: dict[str, Any], version: int, generator: random.Random) -> dict[str, Any]:
+    """Return the next version, with one random change to routes, services or limits."""
     routes = {item["name"]: item for item in document["routes"]}
-    number = source.randrange(12)
-    kind = source.randrange(6)
+    number = generator.randrange(12)
+    choice = generator.randrange(6)
     result = {**document, "ver": version}
-    if kind == 0:
+    if choice == 0:
         routes.pop(f"r{number}", None)
-    elif kind == 1 and len(routes) > 1:
-        first, second = source.sample(sorted(routes), 2)
-        place = {key: routes[first][key] for key in ("host", "pfx")}
-        other = {key: routes[second][key] for key in ("host", "pfx")}
-        routes[first], routes[second] = {**routes[first], **other}, {**routes[second], **place}
-    elif kind == 2:
-        result["limits"] = source.choice([None, {}, {"body-bytes": source.randrange(1, 99)}])
-    elif kind == 3:
+    elif choice == 1 and len(routes) > 1:
+        first, second = generator.sample(sorted(routes), 2)
+        first_place = {key: routes[first][key] for key in ("host", "pfx")}
+        second_place = {key: routes[second][key] for key in ("host", "pfx")}
+        routes[first], routes[second] = {**routes[first], **second_place}, {**routes[second], **first_place}
+    elif choice == 2:
+        result["limits"] = generator.choice([None, {}, {"body-bytes": generator.randrange(1, 99)}])
+    elif choice == 3:
         result["svcs"] = [*document["svcs"][:1], {**service("models"), "runtime": RUNTIME}]
-    elif kind == 4:
+    elif choice == 4:
         result.pop("limits", None)
     elif f"r{number}" not in routes:
-        free = {(r["host"], r["pfx"]) for r in routes.values()}
-        added = route(number, source.uniform(1, 9))
-        if (added["host"], added["pfx"]) not in free:
+        used_places = {(r["host"], r["pfx"]) for r in routes.values()}
+        added = route(number, generator.uniform(1, 9))
+        if (added["host"], added["pfx"]) not in used_places:
             routes[added["name"]] = added
     result["routes"] = list(routes.values())
     return result
 
 
 class DeltaTests(unittest.TestCase):
-    def test_changes_since_any_base_lead_to_the_newest_configuration(self) -> None:
+    def test_the_delta_since_any_base_gives_the_newest_configuration(self) -> None:
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                self.follow(random.Random(seed))
+                self.follow_history(random.Random(seed))
 
-    def follow(self, source: random.Random) -> None:
-        """Have stores of many bases follow one history, some of them seldom."""
+    def follow_history(self, generator: random.Random) -> None:
+        """Update stores with different bases from one history, about half of them at each version."""
         history = ConfigurationHistory()
         document = configuration(1, route(0), route(1))
         stores: dict[ConfigurationPosition, ConfigurationStore] = {}
         position = ConfigurationPosition(1, 1)
         for version in range(2, VERSIONS):
             history.commit(position, encode(document))
-            for base in source.sample(sorted(stores), len(stores) // 2):
+            for base in generator.sample(sorted(stores), len(stores) // 2):
                 store = stores.pop(base)
                 delta = history.changes_since(base)
                 assert delta is not None
                 self.assertEqual(Applied(), store.apply(delta.changes, delta.digest))
                 self.assert_same(store, document)
                 stores.setdefault(position, store)
-            fresh = ConfigurationStore()
-            fresh.replace(encode(document))
-            stores.setdefault(position, fresh)
-            document = change_at_random(document, version, source)
-            position = self.next_position(position, source)
+            new_store = ConfigurationStore()
+            new_store.replace(encode(document))
+            stores.setdefault(position, new_store)
+            document = change_at_random(document, version, generator)
+            position = self.next_position(position, generator)
 
     @staticmethod
-    def next_position(position: ConfigurationPosition, source: random.Random) -> ConfigurationPosition:
-        """A later position, now and then of a later epoch."""
-        if source.random() < 0.2:
-            return ConfigurationPosition(position.epoch + source.randint(1, 3), source.randint(1, 9))
-        return ConfigurationPosition(position.epoch, position.sequence + source.randint(1, 3))
+    def next_position(position: ConfigurationPosition, generator: random.Random) -> ConfigurationPosition:
+        """Return a later position, sometimes of a later epoch."""
+        if generator.random() < 0.2:
+            return ConfigurationPosition(position.epoch + generator.randint(1, 3), generator.randint(1, 9))
+        return ConfigurationPosition(position.epoch, position.sequence + generator.randint(1, 3))
 
     def assert_same(self, store: ConfigurationStore, document: dict[str, Any]) -> None:
-        """The store holds what the whole document says."""
+        """Check that the store holds the configuration of the full document."""
         expected = load_configuration(encode(document))
-        found = store.configuration
-        self.assertEqual(set(expected.routes), set(found.routes))
-        self.assertEqual(dict(expected.services), dict(found.services))
-        self.assertEqual((expected.version, expected.limits), (found.version, found.limits))
+        actual = store.configuration
+        self.assertEqual(set(expected.routes), set(actual.routes))
+        self.assertEqual(dict(expected.services), dict(actual.services))
+        self.assertEqual((expected.version, expected.limits), (actual.version, actual.limits))
         index = RouteIndex(expected)
         for host in HOSTS:
             for number in range(12):
                 path = f"/p{number}/x"
                 self.assertEqual(index.match(host, path), store.index.match(host, path))
 
-    def test_a_base_that_was_never_known_gets_no_changes(self) -> None:
+    def test_there_is_no_delta_since_an_unknown_base(self) -> None:
         history = ConfigurationHistory()
         history.commit(ConfigurationPosition(2, 5), encode(configuration(1)))
         for base in (NO_CONFIGURATION, ConfigurationPosition(2, 4), ConfigurationPosition(3, 1)):
             self.assertIsNone(history.changes_since(base))
         self.assertIsNotNone(history.changes_since(ConfigurationPosition(2, 5)))
 
-    def test_the_same_configuration_at_another_position_is_told_without_items(self) -> None:
+    def test_the_delta_to_the_same_configuration_at_another_position_is_empty(self) -> None:
         history = ConfigurationHistory()
         source = encode(configuration(1, route(1)))
         history.commit(ConfigurationPosition(2, 5), source)
@@ -156,7 +156,7 @@
         assert delta is not None
         self.assertEqual((ItemChanges((), ()), ConfigurationPosition(3, 1)), (delta.changes, delta.position))
 
-    def test_a_base_from_before_forgotten_removals_gets_no_changes(self) -> None:
+    def test_there_is_no_delta_since_a_base_older_than_the_remembered_removals(self) -> None:
         history = ConfigurationHistory()
         base = ConfigurationPosition(1, 1)
         routes = [route(number) for number in range(6)]
@@ -169,14 +169,14 @@
         self.assertIsNone(history.changes_since(base))
         self.assertIsNotNone(history.changes_since(ConfigurationPosition(1, 4)))
 
-    def test_a_base_that_this_machine_has_not_seen_gets_no_changes(self) -> None:
+    def test_there_is_no_delta_since_a_position_that_this_machine_skipped(self) -> None:
         history = ConfigurationHistory()
         history.commit(ConfigurationPosition(1, 5), encode(configuration(1, route(1))))
         history.commit(ConfigurationPosition(1, 7), encode(configuration(3, route(1))))
         self.assertIsNone(history.changes_since(ConfigurationPosition(1, 6)), "r2 may have come and gone")
         self.assertIsNotNone(history.changes_since(ConfigurationPosition(1, 5)))
 
-    def test_a_configuration_that_can_not_be_read_changes_nothing(self) -> None:
+    def test_an_invalid_configuration_changes_nothing(self) -> None:
         history = ConfigurationHistory()
         position = ConfigurationPosition(1, 5)
         history.commit(position, encode(configuration(1, route(1))))
@@ -187,12 +187,12 @@
         assert delta is not None
         self.assertEqual(position, delta.position)
 
-    def test_names_that_are_no_valid_text_are_told_as_well(self) -> None:
+    def test_names_with_unpaired_surrogates_are_encoded(self) -> None:
         history = ConfigurationHistory()
-        odd = {**route(2), "name": "b\ud800"}
+        route_with_surrogate = {**route(2), "name": "b\ud800"}
         first, second = ConfigurationPosition(1, 1), ConfigurationPosition(1, 2)
         history.commit(first, encode(configuration(1, route(1))))
-        history.commit(second, encode(configuration(2, route(1), odd, **{"x\udfff": 1})))
+        history.commit(second, encode(configuration(2, route(1), route_with_surrogate, **{"x\udfff": 1})))
         delta = history.changes_since(first)
         assert delta is not None
         frame = encode_frame(delta)
@@ -203,7 +203,7 @@
         self.assertEqual(Applied(), store.apply(delta.changes, delta.digest))
         self.assertIsNotNone(store.index.match("a.example", "/p2/"))
 
-    def test_one_change_costs_one_item_and_the_version(self) -> None:
+    def test_the_delta_of_one_change_holds_one_item_and_the_version(self) -> None:
         history = ConfigurationHistory()
         routes = [route(number) for number in range(300)]
         history.commit(ConfigurationPosition(1, 1), encode(configuration(1, *routes)))
@@ -221,14 +221,14 @@
         self.store = ConfigurationStore()
         self.store.replace(encode(configuration(1, route(1), route(2))))
 
-    def test_changes_of_another_digest_change_nothing(self) -> None:
+    def test_changes_with_a_digest_mismatch_change_nothing(self) -> None:
         before = self.store.configuration
         key = ItemKey(Section.ROUTE, "r1")
         self.assertEqual(DigestMismatch(), self.store.apply(ItemChanges((), (key,)), self.store.digest))
         self.assertIs(before, self.store.configuration)
         self.assertIsNotNone(self.store.index.match("b.example", "/p1/"))
 
-    def test_an_item_that_can_not_be_read_changes_nothing(self) -> None:
+    def test_an_invalid_item_changes_nothing(self) -> None:
         for text in (b"{", b'{"name":"r3"}', b"[]", b'"r"', b"\xff"):
             with self.subTest(text=text):
                 before = self.store.configuration
@@ -237,31 +237,31 @@
                 self.assertIsInstance(self.store.apply(changes, digest), Malformed)
                 self.assertIs(before, self.store.configuration)
 
-    def test_a_document_that_can_not_be_read_changes_nothing(self) -> None:
-        unreadable_route = b'{"ver":2,"routes":[{"name":"r"}],"svcs":[]}'
-        for source in (b"", b"[]", unreadable_route, b'{"routes":7}', b'{"routes":[7]}'):
+    def test_an_invalid_document_changes_nothing(self) -> None:
+        incomplete_route = b'{"ver":2,"routes":[{"name":"r"}],"svcs":[]}'
+        for source in (b"", b"[]", incomplete_route, b'{"routes":7}', b'{"routes":[7]}'):
             with self.subTest(source=source):
                 before = self.store.configuration
                 self.assertIsInstance(self.store.try_replace(source), Malformed)
                 self.assertIs(before, self.store.configuration)
 
-    def test_numbers_of_another_kind_are_another_item(self) -> None:
-        one, also_one = b'{"a":1}', b'{"a":1.0}'
+    def test_an_integer_and_an_equal_float_are_different_items(self) -> None:
+        one, one_as_float = b'{"a":1}', b'{"a":1.0}'
         key = ItemKey(Section.SETTING, "x")
-        self.assertNotEqual(digest_item(key, one), digest_item(key, also_one))
+        self.assertNotEqual(digest_item(key, one), digest_item(key, one_as_float))
 
     def test_unchanged_routes_stay_the_same_objects(self) -> None:
         before = self.store.index.match("a.example", "/p2/")
         self.store.replace(encode(configuration(2, route(1, timeout_ms=5.0), route(2))))
         self.assertIs(before, self.store.index.match("a.example", "/p2/"))
 
-    def test_two_routes_may_exchange_their_places(self) -> None:
+    def test_two_routes_may_exchange_their_prefixes(self) -> None:
         first, second = route(2, prefix="/x/"), route(4, prefix="/y/")
         self.store.replace(encode(configuration(2, first, second)))
         exchanged = (route(2, prefix="/y/"), route(4, prefix="/x/"))
         self.store.replace(encode(configuration(3, *exchanged)))
-        found = [self.store.index.match("a.example", path) for path in ("/x/1", "/y/1")]
-        self.assertEqual(["r4", "r2"], [match.name if match else None for match in found])
+        matches = [self.store.index.match("a.example", path) for path in ("/x/1", "/y/1")]
+        self.assertEqual(["r4", "r2"], [match.name if match else None for match in matches])
 
 
 if __name__ == "__main__":
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -1,4 +1,4 @@
-"""Configuration changes cost what a link carries, however many changes and control machines there are."""
+"""Distribution of configurations: its cost is bounded however many changes and control machines there are."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 from tests.test_controlplane_commit import CONFIGURATION
 
 CONTROL_MACHINES = 5
-MOST_QUESTIONS = 2  # one under way, and one more after the first is overdue
+MAX_REQUESTS = 2  # a pending one, and another one after the first timed out
 CHANGES = 100
-SHORT_NOTICE = 0.05
-SMALL_WINDOW = 16 * 1024  # bytes that the kernel keeps for a subscriber that does not read
-QUESTIONS = 400
+SHORT_INGRESS_NOTICE = 0.05
+SMALL_RECEIVE_BUFFER = 16 * 1024  # bytes that the kernel buffers for a subscriber that does not read
+REQUESTS = 400
 MODELS = 300
-MOST_UNREAD = 1024 * 1024  # bytes that a machine may hold for one slow subscriber, kernel buffers included
+MAX_BUFFERED = 1024 * 1024  # bytes that may be buffered for one slow subscriber, in the kernel or the process
 HTTP_OK = 200
 
 
 def large_configuration(version: int) -> dict[str, Any]:
-    """A configuration of some tens of kilobytes."""
+    """Return a configuration of some tens of kilobytes."""
     models = [{"name": f"model-{number}", "size-mb": 65000.0, "load-s": 0.6} for number in range(MODELS)]
     runtime = {"slots": 64, "models": models, "size-mb": 220000.0, "lora-slots": 8, "loads-per-s": 4.0}
     service = {"name": "engine", "health": "/healthz", "max-conns": 64, "runtime": runtime}
@@ -48,50 +48,50 @@
 
 
 class AnnouncingMachine:
-    """A control machine that announces positions and leaves all questions but the first one open."""
+    """A control machine that announces positions; as the primary it answers one fetch request, else none."""
 
     def __init__(self, ip: str, members: Sequence[str]) -> None:
         self.ip = ip
         self._members = tuple(members)
         self._primary = members[0]
-        self.questions: list[FetchConfiguration] = []
-        self.answers = ip == self._primary
+        self.requests: list[FetchConfiguration] = []
+        self.answers_next = ip == self._primary
         self.subscribed = asyncio.Event()
-        self.heard = asyncio.Event()
+        self.message_received = asyncio.Event()
         self.server = FeedServer(self)
 
     def status(self, sequence: int) -> Status:
-        """An announcement of a position."""
+        """Return a status that announces a position."""
         return Status(self.ip, 1, self._primary, True, True, 1, sequence, 1, self._members)
 
     def greeting(self, connection: Connection) -> Iterable[Message]:
-        """The first position."""
+        """Announce the first position."""
         self.subscribed.set()
         return (self.status(1),)
 
     def received(self, connection: Connection, message: Message) -> None:
-        """Answer the first question, and keep the others."""
+        """Answer the first request if this is the primary, and record all others."""
         if not isinstance(message, FetchConfiguration):
-            self.heard.set()
+            self.message_received.set()
             return
-        if self.answers:
-            self.answers = False
+        if self.answers_next:
+            self.answers_next = False
             source = json.dumps(CONFIGURATION).encode()
             connection.send(ConfigurationBody(1, 1, source, confirmed=True))
             return
-        self.questions.append(message)
+        self.requests.append(message)
 
     def lost(self, connection: Connection) -> None:
         """Nothing to do."""
 
     def announce_changes(self) -> None:
-        """Announce many positions, one right after the other."""
+        """Announce many positions in immediate succession."""
         for sequence in range(2, 2 + CHANGES):
             self.server.broadcast(self.status(sequence))
 
 
-class RequestsUnderWayTests(unittest.IsolatedAsyncioTestCase):
-    """A dispatcher that five control machines feed."""
+class PendingRequestTests(unittest.IsolatedAsyncioTestCase):
+    """A dispatcher with links to five control machines."""
 
     async def asyncSetUp(self) -> None:
         network = choose_network()
@@ -111,31 +111,32 @@
         for machine in self.machines:
             await machine.server.start(machine.ip, settings.feed_port)
             self.addAsyncCleanup(machine.server.stop)
-        self.enterContext(mock.patch.object(program, "INGRESS_NOTICE", SHORT_NOTICE))
+        self.enterContext(mock.patch.object(program, "INGRESS_NOTICE", SHORT_INGRESS_NOTICE))
         self.running = asyncio.create_task(DataPlane(settings).run())
         self.addAsyncCleanup(self.stop_dispatcher)
 
     async def stop_dispatcher(self) -> None:
-        """End it as the platform does."""
+        """Stop the dispatcher with SIGTERM, as the platform does."""
         os.kill(os.getpid(), signal.SIGTERM)
         await within(self.running)
 
-    async def test_one_request_is_under_way_however_many_machines_announce_however_many_changes(self) -> None:
+    async def test_at_most_one_request_is_pending_whatever_machines_announce(self) -> None:
         for machine in self.machines:
             await within(machine.subscribed.wait())
-            await within(machine.heard.wait())  # the first configuration is in force by then
-            machine.heard.clear()
+            await within(machine.message_received.wait())  # the first configuration is in force by then
+            machine.message_received.clear()
         for machine in self.machines:
             machine.announce_changes()
         for machine in self.machines:
-            await within(machine.heard.wait())  # a heartbeat, sent after the announcements were taken in
-        questions = [question for machine in self.machines for question in machine.questions]
-        self.assertLessEqual(len(questions), MOST_QUESTIONS)
-        self.assertGreaterEqual(len(questions), 1)
+            # A heartbeat, which the dispatcher sent after it had handled the announcements
+            await within(machine.message_received.wait())
+        requests = [request for machine in self.machines for request in machine.requests]
+        self.assertLessEqual(len(requests), MAX_REQUESTS)
+        self.assertGreaterEqual(len(requests), 1)
 
 
 class SlowSubscriberTests(unittest.IsolatedAsyncioTestCase):
-    """A control machine, and a subscriber that asks for the configuration and does not read."""
+    """A control machine, and a subscriber that requests the configuration and does not read."""
 
     async def asyncSetUp(self) -> None:
         directory = self.enterContext(tempfile.TemporaryDirectory())
@@ -160,7 +161,7 @@
         self.addAsyncCleanup(cancel_tasks, [running])
 
     async def put(self, version: int, base: int) -> None:
-        """Put a configuration, again until the machine listens and leads."""
+        """Put a configuration; retries until the machine listens and is the primary."""
         url = f"http://{self.address}/config"
         body = json.dumps(large_configuration(version))
         async with ClientSession() as session:
@@ -174,28 +175,30 @@
                 await asyncio.sleep(0)
 
     async def subscribe(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A subscription whose kernel buffer is small."""
+        """Open a subscription whose kernel receive buffer is small."""
         connection = socket.socket()
-        connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_WINDOW)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_RECEIVE_BUFFER)
         connection.setblocking(False)
         await asyncio.get_running_loop().sock_connect(connection, (self.ip, self.feed_port))
-        reader, writer = await asyncio.open_connection(sock=connection, limit=SMALL_WINDOW)
+        reader, writer = await asyncio.open_connection(sock=connection, limit=SMALL_RECEIVE_BUFFER)
         self.addCleanup(writer.transport.abort)
         writer.write(encode_frame(Hello("127.0.0.9", "edge", "z1")))
         return reader, writer
 
-    async def test_a_subscriber_that_reads_slowly_is_sent_the_newest_and_not_all_that_it_missed(self) -> None:
+    async def test_a_slow_subscriber_skips_configurations_that_it_missed(
+        self,
+    ) -> None:
         await within(self.put(1, 0))
         reader, writer = await within(self.subscribe())
-        for _ in range(QUESTIONS):
+        for _ in range(REQUESTS):
             writer.write(encode_frame(FetchConfiguration(1, confirm=False)))
         await within(writer.drain())
         await within(self.put(2, 1))
         received = await within(self.read_until_announced(reader, 2))
-        self.assertLess(received, MOST_UNREAD)
+        self.assertLess(received, MAX_BUFFERED)
 
     async def read_until_announced(self, reader: asyncio.StreamReader, sequence: int) -> int:
-        """Read until the position of the second change is announced; returns the bytes that came before."""
+        """Read until the position of the second change is announced; returns the number of bytes received."""
         received = 0
         first: int | None = None
         while True:
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -1,4 +1,4 @@
-"""Following the configuration: it only goes forward, and one request is under way."""
+"""The configuration follower: its position never decreases, and at most one request is pending."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class FollowerCase(unittest.TestCase):
-    """A follower whose configurations are collected."""
+    """A follower whose applied configurations and deltas are recorded."""
 
     def setUp(self) -> None:
         self.configurations: list[bytes] = []
@@ -45,23 +45,23 @@
         self.follower = self.make_follower("10.0.0.7")
 
     def make_follower(self, identity: str) -> ConfigurationFollower:
-        """A follower that collects here."""
+        """Return a follower that records what it applies in this test case."""
         progress = ConfigurationProgress(lambda: self.now, self.invariants)
         return ConfigurationFollower(identity, self.replace, self.apply, progress, self.invariants)
 
     def replace(self, source: bytes) -> ApplyOutcome:
-        """Take a whole configuration, or refuse it."""
+        """Record a full configuration unless `outcome` says that it is not applied."""
         if isinstance(self.outcome, Applied):
             self.configurations.append(source)
         return self.outcome
 
     def apply(self, changes: ItemChanges, digest: int) -> ApplyOutcome:
-        """Take changes, or refuse them."""
+        """Record the digest of a delta, with the result `outcome`."""
         self.digests.append(digest)
         return self.outcome
 
     def receive(self, peer: str, message: Message, now: float = START) -> Message | None:
-        """A message of one source; returns what that source is asked at once."""
+        """Handle a message of a control machine; returns the request that is sent to it at once."""
         self.follower.received(peer, message, now)
         request = self.follower.next_request(now)
         if request is None:
@@ -70,11 +70,11 @@
         return request.message
 
     def delta(self, base: int, sequence: int) -> ConfigurationDelta:
-        """Changes from one sequence of epoch 3 to another."""
+        """Return a delta from one sequence of epoch 3 to another."""
         return ConfigurationDelta(3, sequence, 3, base, NO_CHANGES, DIGEST)
 
     def start_at(self, sequence: int) -> None:
-        """A confirmed configuration is in force."""
+        """Put a confirmed configuration in force."""
         self.receive(FIRST, ConfigurationBody(3, sequence, b"start", confirmed=True))
 
 
@@ -85,7 +85,7 @@
         self.assertEqual([b"seven"], self.configurations)
         self.assertIsNone(self.receive(FIRST, STATUS))
 
-    def test_nothing_is_fetched_where_nothing_was_committed(self) -> None:
+    def test_nothing_is_fetched_if_nothing_was_committed(self) -> None:
         self.assertIsNone(self.receive(FIRST, replace(STATUS, config_epoch=1, config_sequence=0)))
 
     def test_an_older_sequence_is_ignored(self) -> None:
@@ -105,12 +105,12 @@
         self.receive(SECOND, ConfigurationBody(4, 2, b"two", confirmed=True))
         self.assertEqual([b"seven", b"two"], self.configurations)
 
-    def test_a_repeated_configuration_is_told_once(self) -> None:
+    def test_a_repeated_configuration_is_applied_once(self) -> None:
         for peer in (FIRST, SECOND, FIRST):
             self.receive(peer, ConfigurationBody(3, 7, b"seven", confirmed=True))
         self.assertEqual([b"seven"], self.configurations)
 
-    def test_a_lost_link_does_not_take_the_configuration_away(self) -> None:
+    def test_closing_a_link_keeps_the_configuration(self) -> None:
         self.receive(FIRST, ConfigurationBody(3, 7, b"seven", confirmed=True))
         self.follower.unlinked(FIRST)
         self.receive(SECOND, ConfigurationBody(3, 6, b"six", confirmed=True))
@@ -118,25 +118,25 @@
 
 
 class ConfirmationTests(FollowerCase):
-    """A dispatcher that starts takes only what a majority confirmed since."""
+    """A dispatcher that has just started only applies a configuration that a majority has confirmed since."""
 
-    def test_only_a_machine_that_claims_to_be_primary_is_asked_first(self) -> None:
+    def test_the_first_request_goes_only_to_a_machine_that_claims_to_be_primary(self) -> None:
         self.assertIsNone(self.receive(SECOND, replace(STATUS, identity=SECOND)))
         stale = replace(STATUS, identity=SECOND, primary=SECOND, fresh=False)
         self.assertIsNone(self.receive(SECOND, stale))
         self.assertEqual(FetchConfiguration(7, confirm=True), self.receive(FIRST, STATUS))
 
-    def test_an_unconfirmed_configuration_is_not_taken_at_the_start(self) -> None:
+    def test_an_unconfirmed_configuration_is_not_applied_at_the_start(self) -> None:
         self.receive(FIRST, ConfigurationBody(3, 6, b"six", confirmed=False))
         self.assertEqual([], self.configurations)
         self.assertEqual(FetchConfiguration(7, confirm=True), self.receive(FIRST, STATUS))
 
-    def test_an_unconfirmed_one_leaves_the_way_free_for_a_confirmed_one(self) -> None:
+    def test_an_unconfirmed_configuration_does_not_block_a_confirmed_older_one(self) -> None:
         self.receive(SECOND, ConfigurationBody(9, 9, b"of a machine cut off", confirmed=False))
         self.receive(FIRST, ConfigurationBody(3, 7, b"seven", confirmed=True))
         self.assertEqual([b"seven"], self.configurations)
 
-    def test_whoever_serves_takes_what_is_newer_from_any_machine(self) -> None:
+    def test_later_configurations_are_fetched_from_any_machine(self) -> None:
         self.receive(FIRST, ConfigurationBody(3, 7, b"seven", confirmed=True))
         newer = replace(STATUS, identity=SECOND, config_sequence=8)
         self.assertEqual(FetchConfiguration(8, False, 3, 7), self.receive(SECOND, newer))
@@ -146,7 +146,7 @@
 
 
 class RequestTests(FollowerCase):
-    def test_an_answer_is_waited_for_before_the_next_request(self) -> None:
+    def test_the_next_request_waits_for_the_response(self) -> None:
         self.start_at(7)
         self.assertIsNotNone(self.receive(FIRST, replace(STATUS, config_sequence=8)))
         self.assertIsNone(self.receive(FIRST, replace(STATUS, config_sequence=9)))
@@ -156,17 +156,17 @@
         assert request is not None
         self.assertEqual(FetchConfiguration(9, False, 3, 8), request.message)
 
-    def test_an_overdue_answer_is_asked_for_elsewhere(self) -> None:
+    def test_a_request_that_timed_out_is_sent_to_another_machine(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.receive(SECOND, replace(STATUS, identity=SECOND, config_sequence=8))
-        overdue = START + ANSWER_LIMIT + 0.01
-        self.assertLessEqual(self.follower.next_wakeup(START) or 0.0, overdue)
-        request = self.follower.next_request(overdue)
+        deadline = START + ANSWER_LIMIT + 0.01
+        self.assertLessEqual(self.follower.next_wakeup(START) or 0.0, deadline)
+        request = self.follower.next_request(deadline)
         assert request is not None
         self.assertEqual(SECOND, request.peer)
 
-    def test_a_request_over_a_lost_link_is_made_elsewhere_at_once(self) -> None:
+    def test_a_request_over_a_closed_link_is_sent_to_another_machine_at_once(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.receive(SECOND, replace(STATUS, identity=SECOND, config_sequence=8))
@@ -176,14 +176,14 @@
         assert request is not None
         self.assertEqual(SECOND, request.peer)
 
-    def test_each_of_several_machines_is_asked_though_it_alone_has_news(self) -> None:
+    def test_any_machine_is_asked_if_it_alone_has_a_newer_position(self) -> None:
         machines = [f"10.0.0.{number}" for number in range(1, 6)]
-        for news in machines:
-            with self.subTest(news=news):
+        for newer_peer in machines:
+            with self.subTest(newer_peer=newer_peer):
                 follower = self.make_follower("10.0.0.7")
-                follower.received(news, ConfigurationBody(3, 7, b"start", confirmed=True), START)
+                follower.received(newer_peer, ConfigurationBody(3, 7, b"start", confirmed=True), START)
                 for peer in machines:
-                    sequence = 8 if peer == news else 7
+                    sequence = 8 if peer == newer_peer else 7
                     follower.received(peer, replace(STATUS, identity=peer, config_sequence=sequence), START)
                 moments = [START]
                 while (request := follower.next_request(moments[-1])) is None:
@@ -191,12 +191,12 @@
                     assert wakeup is not None
                     self.assertGreater(wakeup, moments[-1])
                     moments.append(wakeup)
-                self.assertEqual(news, request.peer)
+                self.assertEqual(newer_peer, request.peer)
                 self.assertLess(moments[-1], START + 0.2)
 
     def test_dispatchers_spread_their_requests_over_the_machines(self) -> None:
         machines = [f"10.0.0.{number}" for number in range(1, 6)]
-        asked = []
+        requested_peers = []
         for number in range(100):
             follower = self.make_follower(f"10.0.1.{number}")
             follower.received(FIRST, ConfigurationBody(3, 7, b"start", confirmed=True), START)
@@ -204,32 +204,32 @@
                 follower.received(peer, replace(STATUS, identity=peer, config_sequence=8), START)
             request = follower.next_request(START)
             assert request is not None
-            asked.append(request.peer)
+            requested_peers.append(request.peer)
         for peer in machines:
-            self.assertGreater(asked.count(peer), 8)
+            self.assertGreater(requested_peers.count(peer), 8)
 
-    def test_nothing_is_to_be_done_while_level(self) -> None:
+    def test_nothing_is_scheduled_while_up_to_date(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
         self.assertIsNone(self.follower.next_wakeup(START))
         self.assertTrue(self.follower.is_level(START))
 
-    def test_a_status_that_may_be_old_makes_nobody_level(self) -> None:
-        """It may have been sent before this process stood still."""
+    def test_a_status_alone_does_not_confirm_the_position(self) -> None:
+        """It may have been sent before a stall of this process."""
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.assertFalse(self.follower.is_level(START))
 
-    def test_an_answer_to_a_heartbeat_that_was_sent_a_while_ago_makes_nobody_level(self) -> None:
+    def test_an_answer_to_an_old_heartbeat_does_not_confirm_the_position(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
-        thawed_at = HEARTBEAT_AT + HEARTBEAT_ANSWER_LIFETIME
-        self.receive(FIRST, STATUS, thawed_at)
-        self.receive(FIRST, ANSWER, thawed_at)
-        self.assertFalse(self.follower.is_level(thawed_at))
+        resumed_at = HEARTBEAT_AT + HEARTBEAT_ANSWER_LIFETIME
+        self.receive(FIRST, STATUS, resumed_at)
+        self.receive(FIRST, ANSWER, resumed_at)
+        self.assertFalse(self.follower.is_level(resumed_at))
 
-    def test_an_answer_with_a_newer_position_is_news(self) -> None:
+    def test_a_heartbeat_answer_with_a_newer_position_leads_to_a_request(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         newer = replace(ANSWER, config_sequence=8)
@@ -238,8 +238,8 @@
         self.receive(FIRST, self.delta(7, 8))
         self.assertTrue(self.follower.is_level(START))
 
-    def test_a_status_that_was_made_before_an_answer_takes_nothing_back(self) -> None:
-        """It may come later than the answer; the position that was told stays the one to be fetched."""
+    def test_a_status_older_than_a_heartbeat_answer_does_not_lower_the_position(self) -> None:
+        """It may arrive after the answer; the announced position stays the one to fetch."""
         self.start_at(6)
         self.receive(FIRST, replace(STATUS, config_sequence=6))
         self.receive(FIRST, replace(ANSWER, config_sequence=8))
@@ -248,7 +248,7 @@
         self.receive(FIRST, self.delta(6, 7))
         self.assertFalse(self.follower.is_level(START))
 
-    def test_a_status_after_the_answer_keeps_what_the_answer_confirmed(self) -> None:
+    def test_a_status_keeps_the_confirmation_of_an_earlier_heartbeat_answer(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
@@ -257,24 +257,24 @@
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.assertFalse(self.follower.is_level(START))
 
-    def test_an_answer_that_is_coming_is_not_overdue(self) -> None:
+    def test_a_response_that_is_being_received_is_not_overdue(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.follower.received(SECOND, replace(STATUS, identity=SECOND, config_sequence=8), START)
         self.assertEqual(FIRST, self.follower.asked)
-        coming = START + ANSWER_LIMIT - 0.01
-        self.follower.answering(FIRST, coming)
+        part_received_at = START + ANSWER_LIMIT - 0.01
+        self.follower.answering(FIRST, part_received_at)
         self.assertIsNone(self.follower.next_request(START + ANSWER_LIMIT + 0.01))
-        self.assertIsNotNone(self.follower.next_request(coming + ANSWER_LIMIT + 0.01))
+        self.assertIsNotNone(self.follower.next_request(part_received_at + ANSWER_LIMIT + 0.01))
 
-    def test_before_the_first_configuration_a_machine_that_did_not_answer_comes_last(self) -> None:
+    def test_before_the_first_configuration_a_machine_that_timed_out_is_ranked_last(self) -> None:
         self.receive(FIRST, STATUS)
         self.follower.received(SECOND, replace(STATUS, identity=SECOND, primary=SECOND, epoch=4), START)
         request = self.follower.next_request(START + ANSWER_LIMIT + 0.01)
         assert request is not None
         self.assertEqual(SECOND, request.peer)
 
-    def test_a_machine_out_of_touch_makes_nobody_level(self) -> None:
+    def test_a_machine_without_contact_to_the_primary_does_not_confirm_the_position(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, fresh=False))
         self.receive(FIRST, replace(ANSWER, fresh=False))
@@ -284,7 +284,7 @@
         self.receive(FIRST, replace(STATUS, fresh=False))
         self.assertFalse(self.follower.is_level(START))
 
-    def test_without_a_link_nobody_is_level(self) -> None:
+    def test_without_a_link_the_follower_is_not_up_to_date(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
@@ -295,33 +295,33 @@
 
 
 class DeltaTests(FollowerCase):
-    def test_changes_lead_to_the_next_position(self) -> None:
+    def test_a_delta_leads_to_its_position(self) -> None:
         self.start_at(7)
         self.receive(FIRST, self.delta(7, 9))
         self.assertEqual([DIGEST], self.digests)
         self.assertEqual(ConfigurationPosition(3, 9), self.follower.position)
 
-    def test_changes_since_an_older_base_fit_as_well(self) -> None:
+    def test_a_delta_with_an_older_base_is_applied(self) -> None:
         self.start_at(8)
         self.receive(FIRST, self.delta(7, 9))
         self.assertEqual(ConfigurationPosition(3, 9), self.follower.position)
 
-    def test_changes_since_a_newer_base_do_not_fit(self) -> None:
+    def test_a_delta_with_a_newer_base_is_ignored(self) -> None:
         self.start_at(7)
         self.receive(FIRST, self.delta(8, 9))
         self.assertEqual([], self.digests)
         self.assertEqual(ConfigurationPosition(3, 7), self.follower.position)
 
-    def test_changes_to_an_older_position_are_ignored(self) -> None:
+    def test_a_delta_to_an_older_position_is_ignored(self) -> None:
         self.start_at(7)
         self.receive(FIRST, self.delta(5, 6))
         self.assertEqual([], self.digests)
 
-    def test_changes_are_not_taken_before_a_confirmed_configuration(self) -> None:
+    def test_a_delta_is_not_applied_before_a_confirmed_configuration(self) -> None:
         self.receive(FIRST, ConfigurationDelta(3, 8, -1, -1, NO_CHANGES, DIGEST))
         self.assertEqual([], self.digests)
 
-    def test_changes_with_another_result_are_followed_by_a_request_for_the_whole(self) -> None:
+    def test_after_a_digest_mismatch_the_full_configuration_is_requested(self) -> None:
         self.start_at(7)
         self.outcome = DigestMismatch()
         self.receive(FIRST, replace(STATUS, config_sequence=8))
@@ -332,7 +332,7 @@
         self.receive(FIRST, ConfigurationBody(3, 8, b"whole", confirmed=False))
         self.assertEqual([b"start", b"whole"], self.configurations)
 
-    def test_a_late_answer_that_does_not_fit_any_more_is_no_violation(self) -> None:
+    def test_a_late_delta_with_a_digest_mismatch_is_not_a_violation(self) -> None:
         self.start_at(7)
         self.outcome = DigestMismatch()
         self.receive(FIRST, replace(STATUS, config_sequence=9))
@@ -340,9 +340,9 @@
         self.assertEqual(ConfigurationPosition(3, 7), self.follower.position)
         self.assertEqual(0, self.invariants.counts[Invariant.DELTA_FITS])
 
-    def test_the_whole_is_asked_of_those_alone_that_have_news(self) -> None:
+    def test_the_full_configuration_is_requested_from_a_machine_with_a_newer_position(self) -> None:
         for peer in (FIRST, SECOND):
-            with self.subTest(news=peer):
+            with self.subTest(newer_peer=peer):
                 follower = self.make_follower("10.0.0.7")
                 self.outcome = Applied()
                 follower.received(FIRST, ConfigurationBody(3, 5, b"start", confirmed=True), START)
@@ -356,7 +356,7 @@
                 assert request is not None
                 self.assertEqual((peer, FetchConfiguration(6, False)), (request.peer, request.message))
 
-    def test_nothing_is_asked_for_once_later_changes_fit(self) -> None:
+    def test_nothing_is_requested_once_the_delta_of_another_machine_was_applied(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.outcome = DigestMismatch()
@@ -368,8 +368,10 @@
             self.assertIsNone(self.follower.next_request(START + step * 0.5))
 
 
-class UnreadableTests(FollowerCase):
-    def test_what_can_not_be_read_is_not_in_force_and_is_asked_for_again_after_a_pause(self) -> None:
+class InvalidConfigurationTests(FollowerCase):
+    def test_an_invalid_configuration_is_not_applied_and_is_requested_again_later(
+        self,
+    ) -> None:
         self.start_at(7)
         self.outcome = Malformed("KeyError('ver')")
         self.receive(FIRST, replace(STATUS, config_sequence=8))
@@ -377,16 +379,16 @@
         self.assertEqual(ConfigurationPosition(3, 7), self.follower.position)
         self.assertIsNotNone(self.follower.next_request(START + ANSWER_LIMIT + 0.01))
 
-    def test_an_unreadable_first_configuration_leaves_the_process_unconfirmed(self) -> None:
+    def test_an_invalid_first_configuration_leaves_the_follower_unconfirmed(self) -> None:
         self.outcome = Malformed("KeyError('ver')")
         self.receive(FIRST, ConfigurationBody(3, 7, b"unreadable", confirmed=True))
         self.assertFalse(self.follower.confirmed)
 
 
 class LagTests(FollowerCase):
-    """What is in force, compared with what was announced."""
+    """The lag of the position in force behind the announced positions."""
 
-    def test_the_lag_is_that_of_the_oldest_position_awaited(self) -> None:
+    def test_the_lag_is_that_of_the_oldest_awaited_position(self) -> None:
         self.start_at(7)
         for sequence in range(8, 20):
             self.now = START + sequence
@@ -408,7 +410,7 @@
         self.follower.progress.check(2.0)
         self.assertEqual(1, self.invariants.counts[Invariant.IN_FORCE_IN_TIME])
 
-    def test_a_process_that_stood_still_does_not_judge_by_the_time_that_passed(self) -> None:
+    def test_the_time_of_a_stall_does_not_cause_a_violation(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         for self.now in (START + 0.5, START + 9.0, START + 10.0):
--- a/tests/test_controlplane_operator.py
+++ b/tests/test_controlplane_operator.py
@@ -182,7 +182,7 @@
         self.assertEqual([200, 412], sorted(answer.status for answer in answers))
 
     async def test_a_change_older_than_the_remembered_ones_gets_no_clear_answer(self) -> None:
-        self.enterContext(mock.patch.object(control_document, "MAX_TAKEN_CHANGES", 2))
+        self.enterContext(mock.patch.object(control_document, "MAX_ACCEPTED_CHANGES", 2))
         await self.put_first()
         for version in (4, 5, 6):
             patch: dict[str, Any] = {"ver": version, "remove": {"routes": []}}
--- a/tests/test_frame_buffer.py
+++ b/tests/test_frame_buffer.py
@@ -1,4 +1,4 @@
-"""Frames cut out of the bytes of a link, whatever pieces these come in."""
+"""Splitting the byte stream of a link into frames, wherever the received chunks begin and end."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 )
 
 
-def take_all(buffer: FrameBuffer) -> list[Message]:
-    """Every whole message in the buffer."""
-    taken = []
+def decode_all(buffer: FrameBuffer) -> list[Message]:
+    """Remove and decode every complete frame in the buffer."""
+    decoded = []
     while (frame := buffer.next_frame()) is not None:
-        taken.append(decode_message(frame.type_number, frame.body))
-    return taken
+        decoded.append(decode_message(frame.type_number, frame.body))
+    return decoded
 
 
 class FrameBufferTests(unittest.TestCase):
-    def test_every_way_to_cut_the_bytes_gives_the_same_messages(self) -> None:
+    def test_bytes_split_at_any_points_give_the_same_messages(self) -> None:
         data = b"".join(encode_frame(message) for message in MESSAGES)
-        randomness = random.Random(7)
+        generator = random.Random(7)
         for _ in range(200):
             buffer = FrameBuffer()
-            taken = []
+            decoded = []
             start = 0
             while start < len(data):
-                end = start + randomness.randint(1, 400)
+                end = start + generator.randint(1, 400)
                 buffer.add(data[start:end])
-                taken += take_all(buffer)
+                decoded += decode_all(buffer)
                 start = end
-            self.assertEqual(list(MESSAGES), taken)
+            self.assertEqual(list(MESSAGES), decoded)
             self.assertEqual(0, len(buffer))
 
-    def test_a_frame_is_begun_once_its_header_is_whole(self) -> None:
+    def test_a_frame_has_begun_once_its_header_is_complete(self) -> None:
         frame = encode_frame(MESSAGES[0])
         buffer = FrameBuffer()
         buffer.add(frame[: HEADER.size - 1])
@@ -52,10 +52,10 @@
         self.assertTrue(buffer.has_partial_frame())
         self.assertIsNone(buffer.next_frame())
         buffer.add(frame[HEADER.size :])
-        self.assertEqual([MESSAGES[0]], take_all(buffer))
+        self.assertEqual([MESSAGES[0]], decode_all(buffer))
         self.assertFalse(buffer.has_partial_frame())
 
-    def test_a_frame_beyond_the_limit_is_refused_before_it_came(self) -> None:
+    def test_a_frame_beyond_the_limit_is_rejected_before_its_body_arrives(self) -> None:
         buffer = FrameBuffer()
         buffer.add(HEADER.pack(MAX_FRAME_BYTES + 1, 0))
         with self.assertRaises(FrameError):
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -1,4 +1,4 @@
-"""What waits for a slow reader: newest states in the order of their first, lists as barriers."""
+"""The outbox: newer states replace queued ones in place, and lists of workers act as barriers."""
 
 from __future__ import annotations
 
@@ -25,61 +25,65 @@
 STATUS = Status("10.0.0.1", 3, "10.0.0.1", True, True, 3, 7, 4, ("10.0.0.1",))
 
 
-def pass_through(*messages: Message) -> list[Message]:
-    """What comes out of an outbox into which all of these were put."""
+def queue_and_drain(*messages: Message) -> list[Message]:
+    """Queue all messages in an outbox, and return the messages that come out of it."""
     outbox = Outbox()
     for message in messages:
-        subject = conflation_key(message)
-        assert subject is not QueuePolicy.DROP
-        outbox.put(subject, encode_frame(message))
-    taken = []
+        key = conflation_key(message)
+        assert key is not QueuePolicy.DROP
+        outbox.put(key, encode_frame(message))
+    drained = []
     while outbox:
         frame = outbox.pop()
-        _, number = read_header(frame[: HEADER.size])
-        taken.append(decode_message(number, frame[HEADER.size :]))
+        _, type_number = read_header(frame[: HEADER.size])
+        drained.append(decode_message(type_number, frame[HEADER.size :]))
     assert outbox.size == 0
-    return taken
+    return drained
 
 
-def told(*records: WorkerRecord, complete: bool = False) -> WorkerUpdates:
-    """Updates of workers."""
+def updates(*records: WorkerRecord, complete: bool = False) -> WorkerUpdates:
+    """Return an update with these workers."""
     return WorkerUpdates(records, complete)
 
 
 class OutboxTests(unittest.TestCase):
-    def test_a_newer_state_takes_the_place_of_the_one_that_waits(self) -> None:
+    def test_a_newer_state_replaces_the_queued_one(self) -> None:
         newer = replace(STATUS, config_sequence=8)
         heartbeat = Heartbeat("10.0.0.7")
-        self.assertEqual([newer, heartbeat], pass_through(STATUS, heartbeat, newer))
+        self.assertEqual([newer, heartbeat], queue_and_drain(STATUS, heartbeat, newer))
 
-    def test_each_state_waits_once(self) -> None:
+    def test_each_state_is_queued_once(self) -> None:
         body = ConfigurationBody(3, 7, b"seven", False)
-        question = FetchConfiguration(7, False)
+        request = FetchConfiguration(7, False)
         report = DemandReport("10.0.0.7", (), (), complete=True)
-        states: tuple[Message, ...] = (STATUS, body, question, report, told(FIRST))
-        self.assertEqual(list(states), pass_through(*states, *states))
+        states: tuple[Message, ...] = (STATUS, body, request, report, updates(FIRST))
+        self.assertEqual(list(states), queue_and_drain(*states, *states))
 
-    def test_news_of_different_workers_all_wait(self) -> None:
+    def test_updates_of_different_workers_are_all_queued(self) -> None:
         gone = WorkerGone("i-3", deleted=False)
-        self.assertEqual([told(FIRST), told(SECOND), gone], pass_through(told(FIRST), told(SECOND), gone))
-
-    def test_the_last_news_of_a_worker_count(self) -> None:
-        silent = WorkerGone("i-1", deleted=False)
-        self.assertEqual([silent], pass_through(told(FIRST), silent))
-        self.assertEqual([told(FIRST)], pass_through(silent, told(FIRST)))
-
-    def test_the_end_of_a_worker_is_not_taken_back(self) -> None:
-        ended, silent = WorkerGone("i-1", deleted=True), WorkerGone("i-1", deleted=False)
-        self.assertIn(ended, pass_through(told(FIRST), ended, silent))
-        self.assertIn(ended, pass_through(ended, told(FIRST)))
-
-    def test_nothing_overtakes_a_list_of_several(self) -> None:
-        silent, several = WorkerGone("i-1", deleted=False), told(FIRST, SECOND)
-        self.assertEqual([told(FIRST), several, silent], pass_through(told(FIRST), several, silent))
-        everyone = told(FIRST, complete=True)
-        self.assertEqual([silent, everyone, silent], pass_through(silent, everyone, silent))
-
-    def test_what_only_advises_does_not_wait(self) -> None:
+        self.assertEqual(
+            [updates(FIRST), updates(SECOND), gone], queue_and_drain(updates(FIRST), updates(SECOND), gone)
+        )
+
+    def test_the_last_presence_of_a_worker_replaces_earlier_ones(self) -> None:
+        timed_out = WorkerGone("i-1", deleted=False)
+        self.assertEqual([timed_out], queue_and_drain(updates(FIRST), timed_out))
+        self.assertEqual([updates(FIRST)], queue_and_drain(timed_out, updates(FIRST)))
+
+    def test_the_end_of_a_worker_is_never_replaced(self) -> None:
+        ended, timed_out = WorkerGone("i-1", deleted=True), WorkerGone("i-1", deleted=False)
+        self.assertIn(ended, queue_and_drain(updates(FIRST), ended, timed_out))
+        self.assertIn(ended, queue_and_drain(ended, updates(FIRST)))
+
+    def test_nothing_overtakes_a_list_of_workers(self) -> None:
+        timed_out, pair = WorkerGone("i-1", deleted=False), updates(FIRST, SECOND)
+        self.assertEqual([updates(FIRST), pair, timed_out], queue_and_drain(updates(FIRST), pair, timed_out))
+        all_workers = updates(FIRST, complete=True)
+        self.assertEqual(
+            [timed_out, all_workers, timed_out], queue_and_drain(timed_out, all_workers, timed_out)
+        )
+
+    def test_advisory_messages_are_not_queued(self) -> None:
         self.assertIs(QueuePolicy.DROP, conflation_key(WorkNotices(())))
 
 
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -1,4 +1,4 @@
-"""Programs of two releases on one link: what release 0 sent is read, and what is sent now it can read."""
+"""Compatibility of two releases on one link: each reads the messages of the other."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 MEMBERS = ("10.0.0.1", "10.0.0.2")
 
-# Written by the codec of the last landed edition of release 0, before release 1 added fields.
+# Encoded by the last version of release 0, before release 1 added fields.
 RELEASE_0: dict[str, Message] = {  # a frame as hexadecimal digits
     "00000011001031302e302e302e390865646765047a31": Hello("10.0.0.9", "edge", "z1"),
     "0000002c011031302e302e302e31061031302e302e302e320100"
@@ -54,18 +54,18 @@
 }
 
 
-def record(name: str, fields: dict[str, Any]) -> Any:
-    """A schema as release 0 has it."""
-    described = [{"name": field, "type": kind} for field, kind in fields.items()]
-    return parse_schema({"type": "record", "name": f"Release0{name}", "fields": described})
+def record_schema(name: str, fields: dict[str, Any]) -> Any:
+    """Return the parsed schema of a message in release 0."""
+    described_fields = [{"name": field, "type": field_type} for field, field_type in fields.items()]
+    return parse_schema({"type": "record", "name": f"Release0{name}", "fields": described_fields})
 
 
-HELLO = record("Hello", {"identity": "string", "tier": "string", "zone": "string"})
-HEARTBEAT = record(
+HELLO = record_schema("Hello", {"identity": "string", "tier": "string", "zone": "string"})
+HEARTBEAT = record_schema(
     "Heartbeat",
     {"identity": "string", "config_epoch": "long", "config_sequence": "long", "sent_at": "double"},
 )
-STATUS = record(
+STATUS = record_schema(
     "Status",
     {
         "identity": "string",
@@ -81,43 +81,43 @@
 )
 
 
-class ReleaseBeforeTest(unittest.TestCase):
-    def test_what_release_0_sent_is_read(self) -> None:
+class PreviousReleaseTest(unittest.TestCase):
+    def test_messages_of_release_0_are_read(self) -> None:
         for frame, message in RELEASE_0.items():
             with self.subTest(message=message):
                 data = bytes.fromhex(frame)
-                _, number = HEADER.unpack(data[: HEADER.size])
-                self.assertEqual(message, decode_message(number, data[HEADER.size :]))
+                _, type_number = HEADER.unpack(data[: HEADER.size])
+                self.assertEqual(message, decode_message(type_number, data[HEADER.size :]))
 
-    def test_release_0_reads_what_is_sent_now(self) -> None:
+    def test_release_0_reads_current_messages(self) -> None:
         status = Status("10.0.0.1", 3, "10.0.0.2", True, False, 3, 9, 7, MEMBERS, RELEASE, 4)
         machines = (ControlMachine("10.0.0.1", "z1"), ControlMachine("10.0.0.2", "z2"))
         for message, schema in (
             (Hello("10.0.0.9", "edge", "z1", RELEASE, False), HELLO),
             (Heartbeat("10.0.0.9", 3, 9, 12.5, 0.75), HEARTBEAT),
             (status, STATUS),
-            (Status(**{**fields_of(status), "roots": machines}), STATUS),
+            (Status(**{**field_values(status), "roots": machines}), STATUS),
         ):
             with self.subTest(message=message):
                 body = encode_frame(message)[HEADER.size :]
                 read = schemaless_reader(io.BytesIO(body), schema, None)
                 assert isinstance(read, dict)
-                sent = fields_of(message)
-                self.assertEqual({name: sent[name] for name in read}, {**read, **as_tuples(read)})
+                sent = field_values(message)
+                self.assertEqual({name: sent[name] for name in read}, {**read, **lists_as_tuples(read)})
 
-    def test_kinds_of_messages_of_release_0_keep_their_numbers(self) -> None:
+    def test_message_types_of_release_0_keep_their_numbers(self) -> None:
         for frame, message in RELEASE_0.items():
             sent_now = encode_frame(message)
             self.assertEqual(bytes.fromhex(frame)[HEADER.size - 1], sent_now[HEADER.size - 1], message)
 
 
-def fields_of(message: Any) -> dict[str, Any]:
-    """The fields of a message."""
+def field_values(message: Any) -> dict[str, Any]:
+    """Return the field values of a message."""
     return {name: getattr(message, name) for name in type(message).__slots__}
 
 
-def as_tuples(read: dict[str, Any]) -> dict[str, Any]:
-    """The lists among the fields, as tuples."""
+def lists_as_tuples(read: dict[str, Any]) -> dict[str, Any]:
+    """Return the fields that are lists, as tuples."""
     return {name: tuple(value) for name, value in read.items() if isinstance(value, list)}
 
 
--- a/tests/test_taken_changes.py
+++ b/tests/test_taken_changes.py
@@ -1,4 +1,4 @@
-"""The list of accepted changes: its stored form, and that a change costs what is new in it."""
+"""The list of accepted changes: its stored form, and the cost of decoding it after one change."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 from rookwood.clusterconfig.control_document import (
     ENCODING_VERSION,
-    MAX_TAKEN_CHANGES,
+    MAX_ACCEPTED_CHANGES,
     ControlDocument,
     ControlDocumentError,
 )
 from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, TakenChange, TakenChanges
 from rookwood.controlplane.payload import read_payload
 
-MOST_CALLS = 100
+MAX_CALLS = 100
 DIGEST = {"type": "fixed", "name": "Digest", "size": DIGEST_BYTES}
-TAKEN_CHANGE = {
+ACCEPTED_CHANGE = {
     "type": "record",
     "name": "TakenChange",
     "fields": [{"name": "digest", "type": DIGEST}, {"name": "version", "type": "long"}],
@@ -33,37 +33,37 @@
         "fields": [
             {"name": "version", "type": "long"},
             {"name": "source", "type": "bytes"},
-            {"name": "taken", "type": {"type": "array", "items": TAKEN_CHANGE}},
+            {"name": "taken", "type": {"type": "array", "items": ACCEPTED_CHANGE}},
         ],
     }
 )
 
 
-def encode_by_codec(document: ControlDocument) -> bytes:
-    """The form that the version before wrote, by a general codec."""
-    taken = [{"digest": change.digest, "version": change.version} for change in document.taken]
-    record = {"version": document.version, "source": document.source, "taken": taken}
+def encode_with_codec(document: ControlDocument) -> bytes:
+    """Return the encoding of the previous implementation, which used a general codec."""
+    accepted = [{"digest": change.digest, "version": change.version} for change in document.taken]
+    record = {"version": document.version, "source": document.source, "taken": accepted}
     buffer = io.BytesIO()
     buffer.write(bytes([ENCODING_VERSION]))
     fastavro.schemaless_writer(buffer, SCHEMA, record)
     return buffer.getvalue()
 
 
-def changes(random: Random, count: int, highest: int = 2**63 - 1) -> list[TakenChange]:
-    """Changes with rising versions."""
+def make_changes(random: Random, count: int, highest: int = 2**63 - 1) -> list[TakenChange]:
+    """Return changes with rising versions."""
     versions = sorted(random.randrange(highest) >> random.randrange(63) for _ in range(count))
     return [TakenChange(random.randbytes(DIGEST_BYTES), version) for version in versions]
 
 
 def count_calls(payload: bytes) -> int:
-    """How many functions are called while a payload is read."""
+    """Count the function calls while a payload is read."""
     calls = 0
 
-    def note(frame: FrameType, event: str, argument: object) -> None:
+    def count_call(frame: FrameType, event: str, argument: object) -> None:
         nonlocal calls
         calls += event == "call"
 
-    sys.setprofile(note)
+    sys.setprofile(count_call)
     try:
         read_payload(payload)
     finally:
@@ -72,83 +72,91 @@
 
 
 class StoredFormTest(unittest.TestCase):
-    def test_bytes_are_those_of_the_codec(self) -> None:
+    def test_bytes_equal_those_of_the_codec(self) -> None:
         random = Random(1)
-        for count in (0, 1, 2, 63, 64, 200, MAX_TAKEN_CHANGES):
+        for count in (0, 1, 2, 63, 64, 200, MAX_ACCEPTED_CHANGES):
             for size in (0, 1, 63, 64, 9000):
-                taken = changes(random, count)
-                version = taken[-1].version if taken else random.randrange(3)
-                document = ControlDocument(version, random.randbytes(size), TakenChanges.of(taken))
+                accepted = make_changes(random, count)
+                version = accepted[-1].version if accepted else random.randrange(3)
+                document = ControlDocument(version, random.randbytes(size), TakenChanges.of(accepted))
                 with self.subTest(count=count, size=size):
-                    self.assertEqual(document.encode(), encode_by_codec(document))
-                    self.assertEqual(ControlDocument.decode(encode_by_codec(document)), document)
-                    self.assertEqual(taken, list(ControlDocument.decode(document.encode()).taken))
+                    self.assertEqual(document.encode(), encode_with_codec(document))
+                    self.assertEqual(ControlDocument.decode(encode_with_codec(document)), document)
+                    self.assertEqual(accepted, list(ControlDocument.decode(document.encode()).taken))
 
     def test_largest_and_smallest_numbers(self) -> None:
         for version in (0, -1, 2**63 - 1, -(2**63)):
             document = ControlDocument(version, b"x", TakenChanges.of([TakenChange(bytes(16), version)]))
-            self.assertEqual(document.encode(), encode_by_codec(document))
+            self.assertEqual(document.encode(), encode_with_codec(document))
             self.assertEqual(ControlDocument.decode(document.encode()), document)
 
-    def test_every_cut_is_damage_also_beside_a_known_list(self) -> None:
-        taken = TakenChanges.of(changes(Random(2), 5))
-        encoded = ControlDocument(9, b"{}", taken).encode()
-        for known in ((), (taken,)):
+    def test_truncated_bytes_are_rejected_with_or_without_a_known_list(self) -> None:
+        accepted = TakenChanges.of(make_changes(Random(2), 5))
+        encoded = ControlDocument(9, b"{}", accepted).encode()
+        for known in ((), (accepted,)):
             for length in range(len(encoded)):
                 with self.subTest(length=length, known=len(known)), self.assertRaises(ControlDocumentError):
                     ControlDocument.decode(encoded[:length], known)
 
-    def test_another_count_is_damage_also_beside_a_known_list(self) -> None:
-        taken = TakenChanges.of(changes(Random(3), 5))
-        for known in ((), (taken,)):
+    def test_a_wrong_count_is_rejected_with_or_without_a_known_list(self) -> None:
+        accepted = TakenChanges.of(make_changes(Random(3), 5))
+        for known in ((), (accepted,)):
             for count in (0, 1, 4, 6, 4096):
                 with self.assertRaises(ValueError):
-                    TakenChanges.decode(taken.encoded, count, known)
+                    TakenChanges.decode(accepted.encoded, count, known)
 
-    def test_a_digest_is_found_only_where_one_begins(self) -> None:
+    def test_a_digest_is_found_only_at_the_start_of_a_change(self) -> None:
         first, second = TakenChange(bytes(range(16)), 300), TakenChange(bytes(range(16, 32)), 400)
-        taken = TakenChanges.of([first, second])
-        self.assertEqual(second, taken.find(second.digest))
-        across = taken.encoded[8 : 8 + DIGEST_BYTES]
-        self.assertIsNone(taken.find(across))
+        accepted = TakenChanges.of([first, second])
+        self.assertEqual(second, accepted.find(second.digest))
+        across = accepted.encoded[8 : 8 + DIGEST_BYTES]
+        self.assertIsNone(accepted.find(across))
 
 
 class KnownListTest(unittest.TestCase):
-    """Whatever list is known, what is read is the same."""
+    """Decoding gives the same result whatever list is known."""
 
-    def test_lists_that_overlap_in_any_way(self) -> None:
-        listed = changes(Random(4), 30)
+    def test_lists_with_any_overlap(self) -> None:
+        changes = make_changes(Random(4), 30)
         for begin in range(0, 30, 3):
             for end in range(begin, 31, 3):
-                read = TakenChanges.of(listed[begin:end])
-                for known in (listed[:10], listed[10:20], listed, [], listed[5:25], listed[::2], listed[:1]):
-                    result = TakenChanges.decode(read.encoded, end - begin, [TakenChanges.of(known)])
-                    self.assertEqual(listed[begin:end], list(result))
-
-    def test_a_known_list_in_which_the_first_digest_is_found_out_of_place(self) -> None:
-        change = TakenChange(bytes(16), 0)  # its bytes are found at every place of a list of zeros
+                expected = TakenChanges.of(changes[begin:end])
+                for known in (
+                    changes[:10],
+                    changes[10:20],
+                    changes,
+                    [],
+                    changes[5:25],
+                    changes[::2],
+                    changes[:1],
+                ):
+                    result = TakenChanges.decode(expected.encoded, end - begin, [TakenChanges.of(known)])
+                    self.assertEqual(changes[begin:end], list(result))
+
+    def test_a_known_list_with_the_first_digest_at_another_offset(self) -> None:
+        change = TakenChange(bytes(16), 0)  # its bytes occur at many offsets in a list of zeros
         known = TakenChanges.of([TakenChange(bytes(16), 5), TakenChange(bytes(16), 0)])
-        read = TakenChanges.of([change, change, TakenChange(bytes(16), 9)])
-        self.assertEqual(list(read), list(TakenChanges.decode(read.encoded, 3, [known])))
+        expected = TakenChanges.of([change, change, TakenChange(bytes(16), 9)])
+        self.assertEqual(list(expected), list(TakenChanges.decode(expected.encoded, 3, [known])))
 
-    def test_oldest_is_dropped_beyond_the_bound(self) -> None:
-        listed = changes(Random(5), 9)
-        taken = TakenChanges()
-        for number, change in enumerate(listed, 1):
-            taken = taken.with_change(change, 4)
-            self.assertEqual(listed[max(0, number - 4) : number], list(taken))
-            self.assertEqual(taken[0], listed[max(0, number - 4)])
+    def test_the_oldest_change_is_dropped_beyond_the_limit(self) -> None:
+        changes = make_changes(Random(5), 9)
+        accepted = TakenChanges()
+        for number, change in enumerate(changes, 1):
+            accepted = accepted.with_change(change, 4)
+            self.assertEqual(changes[max(0, number - 4) : number], list(accepted))
+            self.assertEqual(accepted[0], changes[max(0, number - 4)])
 
 
 class CostTest(unittest.TestCase):
-    def test_a_change_to_a_full_list_is_read_by_what_is_new(self) -> None:
+    def test_decoding_after_one_change_to_a_full_list_needs_few_calls(self) -> None:
         document = ControlDocument()
-        for version in range(1, MAX_TAKEN_CHANGES + 1):
+        for version in range(1, MAX_ACCEPTED_CHANGES + 1):
             document = document.with_change(TakenChange(version.to_bytes(DIGEST_BYTES), version), b"{}")
         read_payload(document.encode())
-        last = MAX_TAKEN_CHANGES + 1
+        last = MAX_ACCEPTED_CHANGES + 1
         changed = document.with_change(TakenChange(last.to_bytes(DIGEST_BYTES), last), b"{}").encode()
-        self.assertLess(count_calls(changed), MOST_CALLS)
+        self.assertLess(count_calls(changed), MAX_CALLS)
         self.assertEqual(read_payload(changed).version, last)
 
 
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -1,4 +1,4 @@
-"""Actions that run at once where they rested, and no more often than their interval."""
+"""An action that runs without delay after an idle interval, and at most once per interval."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 class ThrottleTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.ran: asyncio.Queue[float] = asyncio.Queue()
-        self.throttle = Throttle(INTERVAL, self.note)
-        self.began = asyncio.get_running_loop().time()
+        self.runs: asyncio.Queue[float] = asyncio.Queue()
+        self.throttle = Throttle(INTERVAL, self.record_run)
+        self.started_at = asyncio.get_running_loop().time()
 
-    def note(self) -> None:
-        """The action."""
-        self.ran.put_nowait(asyncio.get_running_loop().time() - self.began)
+    def record_run(self) -> None:
+        """Record the time of a run."""
+        self.runs.put_nowait(asyncio.get_running_loop().time() - self.started_at)
 
-    async def test_what_rested_runs_in_the_same_turn_and_once_for_all_that_ask(self) -> None:
+    async def test_requests_after_an_idle_interval_share_one_run_without_delay(self) -> None:
         for _ in range(3):
             self.throttle.request()
-        await within(self.ran.get())
-        self.assertTrue(self.ran.empty())
+        await within(self.runs.get())
+        self.assertTrue(self.runs.empty())
 
-    async def test_the_next_runs_an_interval_later(self) -> None:
+    async def test_the_next_run_is_an_interval_later(self) -> None:
         self.throttle.request()
-        first = await within(self.ran.get())
+        first = await within(self.runs.get())
         self.throttle.request()
-        self.assertTrue(self.ran.empty())
-        self.assertGreaterEqual(await within(self.ran.get()) - first, INTERVAL * 0.99)
+        self.assertTrue(self.runs.empty())
+        self.assertGreaterEqual(await within(self.runs.get()) - first, INTERVAL * 0.99)
 
-    async def test_to_run_it_now_takes_the_place_of_the_next_time(self) -> None:
+    async def test_running_now_replaces_the_scheduled_run(self) -> None:
         self.throttle.request()
-        await within(self.ran.get())
+        await within(self.runs.get())
         self.throttle.request()
         self.throttle.run()
-        self.assertEqual(1, self.ran.qsize())
-        await within(self.ran.get())
+        self.assertEqual(1, self.runs.qsize())
+        await within(self.runs.get())
         self.throttle.request()
-        await within(self.ran.get())
-        self.assertTrue(self.ran.empty())
+        await within(self.runs.get())
+        self.assertTrue(self.runs.empty())
 
 
 if __name__ == "__main__":
