--- a/rookwood/cluster/configuration_follower.py
+++ b/rookwood/cluster/configuration_follower.py
@@ -181,9 +181,8 @@
         if body.position <= self.position or not (self.confirmed or body.confirmed):
             return
         if body.source and not isinstance(self._apply_full(body.source), Applied):
-            self._pending = PendingRequest(
-                peer, now
-            )  # the next request waits for the timeout, then goes to another machine
+            # The next request is sent after the timeout, to another machine.
+            self._pending = PendingRequest(peer, now)
             return
         self.confirmed = True
         self._advance_to(body.position, now)
--- a/rookwood/cluster/connection.py
+++ b/rookwood/cluster/connection.py
@@ -24,8 +24,8 @@
 
 IDLE_TIMEOUT = 1.4  # seconds without a received byte
 MESSAGE_TIMEOUT = 15.0  # seconds for receiving one message, even if its bytes keep coming
-WRITE_HIGH_WATER = 64 * 1024  # bytes in the transport from which frames wait in the outbox
-WRITE_LOW_WATER = 16 * 1024  # bytes in the transport below which it is given more
+WRITE_HIGH_WATER = 64 * 1024  # bytes in the transport above which frames wait in the outbox
+WRITE_LOW_WATER = 16 * 1024  # bytes in the transport below which waiting frames are written
 KERNEL_SEND_BUFFER = 32 * 1024  # bytes; the size of the socket's send buffer, which Linux doubles
 OUTBOX_LIMIT = 1024 * 1024  # bytes in the outbox from which a frame without a conflation key closes the link
 MAX_OUTBOX_SIZE = 4 * OUTBOX_LIMIT  # bytes; one frame of each conflation key and the frames without one
--- a/rookwood/cluster/feed.py
+++ b/rookwood/cluster/feed.py
@@ -1,7 +1,7 @@
 """The feeds by which control machines send updates to dispatchers and to other control machines.
 
-Both sides of a link send at regular intervals, the subscriber heartbeats and the server statuses, because
-`Connection` closes a link on which nothing arrives for a while.
+Both sides of a link send at regular intervals, the subscriber heartbeats and the server answers or statuses,
+because `Connection` closes a link on which nothing arrives for a while.
 """
 
 from __future__ import annotations
@@ -24,13 +24,10 @@
 
 HEARTBEAT_INTERVAL = 0.4  # seconds
 HEARTBEAT_PHASE = random.uniform(0.0, HEARTBEAT_INTERVAL)  # seconds; the offset of this process's heartbeats
-MIN_INTERVAL_SHARE = 0.05  # of the interval; a timer may fire slightly early
+MIN_INTERVAL_SHARE = 0.05  # of the interval; the timer of a heartbeat may fire slightly early
 CONNECT_LIMIT = 0.5  # seconds
 RECONNECT_DELAY = 0.2  # seconds
-RECONNECT_JITTER = (
-    0.5,
-    1.5,
-)  # factors of the delay; links that broke together must not all reconnect at once
+RECONNECT_JITTER = (0.5, 1.5)  # factors of the delay, so that links that broke together spread out
 
 
 class FeedHandler(Protocol):
--- a/rookwood/cluster/frames.py
+++ b/rookwood/cluster/frames.py
@@ -61,8 +61,8 @@
 
 
 def _record_schema(name: str, *fields: tuple[str, Any]) -> Any:
-    described_fields = [{"name": field_name, "type": field_type} for field_name, field_type in fields]
-    return {"type": "record", "name": name, "fields": described_fields}
+    field_schemas = [{"name": field_name, "type": field_type} for field_name, field_type in fields]
+    return {"type": "record", "name": name, "fields": field_schemas}
 
 
 def _array_schema(items: Any) -> Any:
--- a/rookwood/cluster/messages.py
+++ b/rookwood/cluster/messages.py
@@ -1,6 +1,6 @@
 """The messages on the links between control machines and dispatchers; `frames` encodes them.
 
-The class names and fields are those of the Avro records on the wire.
+Class and field names are those on the wire, except where `frames` converts them.
 """
 
 from __future__ import annotations
@@ -19,9 +19,8 @@
 release that knows it.
 """
 
-RELEASE_WITH_ONE_FEED = (
-    1  # the first release whose control machines relay dispatchers' reports to one another
-)
+# The first release whose control machines relay to one another what dispatchers report.
+RELEASE_WITH_ONE_FEED = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,8 +86,8 @@
     """Requests the newest committed configuration.
 
     With `confirm` the primary first has a majority acknowledge that it still is the primary. The base is the
-    position of the configuration in force at the sender, against which the response may be a delta.
-    `sequence` is that of the announced position.
+    position of the configuration in force at the sender, against which the response may be a delta, or
+    `NO_CONFIGURATION` to request a full configuration. `sequence` is that of the announced position.
     """
 
     sequence: int
@@ -98,7 +97,7 @@
 
     @property
     def base(self) -> ConfigurationPosition:
-        """The position of the configuration in force at the sender."""
+        """The position against which the response may be a delta."""
         return ConfigurationPosition(self.base_epoch, self.base_sequence)
 
 
--- a/rookwood/clusterconfig/history.py
+++ b/rookwood/clusterconfig/history.py
@@ -37,7 +37,7 @@
 
 
 class ChangeMethod(enum.Enum):
-    """The HTTP method of a change: replace the whole configuration, or patch it."""
+    """The HTTP method of a change: replace the full configuration, or patch it."""
 
     PUT = "PUT"
     PATCH = "PATCH"
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -56,8 +56,8 @@
 
 def record_schema(name: str, fields: dict[str, Any]) -> Any:
     """Return the parsed schema of a message in release 0."""
-    described_fields = [{"name": field, "type": field_type} for field, field_type in fields.items()]
-    return parse_schema({"type": "record", "name": f"Release0{name}", "fields": described_fields})
+    field_schemas = [{"name": field, "type": field_type} for field, field_type in fields.items()]
+    return parse_schema({"type": "record", "name": f"Release0{name}", "fields": field_schemas})
 
 
 HELLO = record_schema("Hello", {"identity": "string", "tier": "string", "zone": "string"})
