--- a/rookwood/cluster/configuration_follower.py
+++ b/rookwood/cluster/configuration_follower.py
@@ -26,7 +26,7 @@
 from rookwood.cluster.progress import ConfigurationProgress
 from rookwood.clusterconfig.configuration_store import Applied, ApplyOutcome
 from rookwood.clusterconfig.items import ItemChanges
-from rookwood.coordination.rendezvous import weight
+from rookwood.coordination.rendezvous import rendezvous_weight
 
 # Four machines can be asked one after the other within the shortest time allowed for applying a change.
 ANSWER_LIMIT = 0.5  # seconds
@@ -279,7 +279,7 @@
 
     def _preference_key(self, peer: str, now: float) -> tuple[bool, int]:
         avoided = self._avoided_until.get(peer, now) > now
-        return avoided, -weight(f"configuration {self._identity}", peer)
+        return avoided, -rendezvous_weight(f"configuration {self._identity}", peer)
 
     def _abandon_overdue_request(self, now: float) -> None:
         peer = self.overdue(now)
--- a/rookwood/cluster/feed.py
+++ b/rookwood/cluster/feed.py
@@ -100,7 +100,7 @@
             return
         if isinstance(message, Heartbeat):
             connection.position = message.position
-        self._handler.received(connection, message)
+        self._handler.message_received(connection, message)
 
     def _handle_hello(self, connection: Connection, message: Message) -> None:
         """Register the link under its first message, which must be a hello, and send the initial messages."""
@@ -110,14 +110,14 @@
         connection.hello = message
         connection.peer_kind = peer_kind(message.tier)
         self._connections.add(connection)
-        for greeting in self._handler.greeting(connection):
+        for greeting in self._handler.initial_messages(connection):
             connection.send(greeting)
 
     def _remove(self, connection: Connection) -> None:
         self._accepted.discard(connection)
         if connection in self._connections:
             self._connections.discard(connection)
-            self._handler.lost(connection)
+            self._handler.subscriber_lost(connection)
 
 
 class LinkHandler(Protocol):
@@ -197,18 +197,18 @@
         heartbeats = asyncio.create_task(self._send_heartbeats(connection))
         self.connection = connection
         try:
-            self._handler.linked(self.peer, connection)
+            self._handler.link_opened(self.peer, connection)
             connection.start(self._receive, lambda _: ended.set())
             await ended.wait()
         finally:
             self.connection = None
             heartbeats.cancel()
             connection.abort()
-            self._handler.unlinked(self.peer)
+            self._handler.link_closed(self.peer)
 
     def _receive(self, connection: Connection, message: Message) -> None:
         if connection is self.connection:
-            self._handler.received(self.peer, message)
+            self._handler.message_received(self.peer, message)
 
     async def _send_heartbeats(self, connection: Connection) -> None:
         loop = asyncio.get_running_loop()
--- a/rookwood/cluster/outbox.py
+++ b/rookwood/cluster/outbox.py
@@ -63,15 +63,15 @@
     """The conflation key of a message; None if it must be queued and no later message may replace it."""
     match message:
         case Status():
-            return Subject.STATUS
+            return ConflationKey.STATUS
         case Heartbeat():
-            return Subject.HEARTBEAT
+            return ConflationKey.HEARTBEAT
         case HeartbeatAnswer():
-            return Subject.HEARTBEAT_ANSWER
+            return ConflationKey.HEARTBEAT_ANSWER
         case FetchConfiguration():
             return Subject.FETCH_REQUEST
         case ConfigurationBody() | ConfigurationDelta():
-            return Subject.CONFIGURATION
+            return ConflationKey.CONFIGURATION
         case WorkerUpdates(records=(record,), complete=False):
             return PresenceKey(record.id, final=False)
         case WorkerGone():
@@ -79,7 +79,7 @@
         case PresenceAck():
             return AcknowledgementKey(message)
         case DemandReport() | DemandSummary():
-            return Subject.DEMAND if message.complete else None
+            return ConflationKey.DEMAND if message.complete else None
         case WorkNotices():
             return QueuePolicy.DROP
         case WorkerUpdates() | Hello():
--- a/rookwood/cluster/progress.py
+++ b/rookwood/cluster/progress.py
@@ -156,8 +156,8 @@
 
     dispatcher: str
     position: ConfigurationPosition
-    behind: float
-    take_up: float | None
+    behind_seconds: float
+    take_up_seconds: float | None
 
 
 class DispatcherProgress:
@@ -209,7 +209,7 @@
     def farthest_behind(self) -> DispatcherLag | None:
         """The dispatcher with the oldest position; None if all that have reported are up to date."""
         farthest = min(self.lags(), key=lambda lag: (lag.position, lag.dispatcher), default=None)
-        return farthest if farthest is not None and farthest.behind > 0 else None
+        return farthest if farthest is not None and farthest.behind_seconds > 0 else None
 
     def check(self, limit: float) -> None:
         """Count a violation for each dispatcher that is behind a commit for longer than `limit` seconds.
--- a/rookwood/clusterconfig/taken_changes.py
+++ b/rookwood/clusterconfig/accepted_changes.py
@@ -30,13 +30,13 @@
         return self.digest + encode_long(self.version)
 
 
-class TakenChanges(Sequence[TakenChange]):
+class AcceptedChanges(Sequence[AcceptedChange]):
     """Accepted changes, oldest first; immutable."""
 
     def __init__(self, encoded: bytes = b"", count: int = 0) -> None:
         self._encoded = encoded
         self._count = count
-        self._changes: tuple[TakenChange, ...] | None = None
+        self._changes: tuple[AcceptedChange, ...] | None = None
 
     @classmethod
     def of(cls, changes: Iterable[TakenChange]) -> TakenChanges:
@@ -94,18 +94,18 @@
         return self._count
 
     @overload
-    def __getitem__(self, index: int) -> TakenChange: ...
+    def __getitem__(self, index: int) -> AcceptedChange: ...
 
     @overload
-    def __getitem__(self, index: slice) -> tuple[TakenChange, ...]: ...
+    def __getitem__(self, index: slice) -> tuple[AcceptedChange, ...]: ...
 
-    def __getitem__(self, index: int | slice) -> TakenChange | tuple[TakenChange, ...]:
+    def __getitem__(self, index: int | slice) -> AcceptedChange | tuple[AcceptedChange, ...]:
         if index == 0 and self._count:
             return _decode_change(self._encoded, 0)[0]
         return self._decode_all()[index]
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, TakenChanges) and self._encoded == other._encoded
+        return isinstance(other, AcceptedChanges) and self._encoded == other._encoded
 
     def __hash__(self) -> int:
         return hash(self._encoded)
--- a/rookwood/clusterconfig/control_document.py
+++ b/rookwood/clusterconfig/control_document.py
@@ -66,8 +66,8 @@
             encode_long(len(self.source)),
             self.source,
         ]
-        if self.taken:
-            parts += [encode_long(len(self.taken)), self.taken.encoded]
+        if self.accepted:
+            parts += [encode_long(len(self.accepted)), self.accepted.encoded]
         return b"".join([*parts, END_OF_ARRAY])
 
     @staticmethod
--- a/tests/test_cluster_feed.py
+++ b/tests/test_cluster_feed.py
@@ -358,7 +358,7 @@
     async def test_setting_the_same_peers_again_keeps_the_links(self) -> None:
         self.links.want([HOST])
         connection = await within(self.recorder.links.get())
-        self.links.want([HOST])
+        self.links.set_peers([HOST])
         self.assertIs(connection, self.links.connection(HOST))
         self.assertTrue(self.recorder.closed.empty())
 
--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -35,7 +35,7 @@
     def link_settled(self, *peers: str) -> None:
         """Link control machines that are settled, so that their lists of workers are reliable."""
         for peer in peers:
-            self.view.linked(peer)
+            self.view.link_opened(peer)
             self.receive(peer, replace(STATUS, identity=peer))
 
 
@@ -54,7 +54,7 @@
     def test_the_status_of_a_machine_whose_link_closed_is_ignored(self) -> None:
         self.view.linked(FIRST)
         self.receive(FIRST, STATUS)
-        self.view.unlinked(FIRST, START)
+        self.view.link_closed(FIRST, START)
         self.assertIsNone(self.view.primary())
 
     def test_members_of_all_linked_machines_are_known(self) -> None:
@@ -66,7 +66,7 @@
         self.assertEqual(1, self.view.dispatchers())
         self.receive(FIRST, STATUS)
         self.receive(SECOND, replace(STATUS, dispatchers=9))
-        self.assertEqual(9, self.view.dispatchers())
+        self.assertEqual(9, self.view.dispatcher_count())
 
 
 class WorkerTests(ViewCase):
@@ -80,7 +80,7 @@
         self.update(FIRST, WORKER)
         self.update(SECOND, WORKER)
         self.receive(FIRST, WorkerGone(WORKER.id, deleted=False))
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.assertEqual([], self.gone)
 
     def test_a_worker_is_removed_when_no_machine_reports_it(self) -> None:
@@ -89,7 +89,7 @@
         self.update(SECOND, WORKER)
         for peer in (FIRST, SECOND):
             self.receive(peer, WorkerGone(WORKER.id, deleted=False))
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.assertEqual([WORKER.id], self.gone)
         self.assertEqual([OTHER_WORKER], list(self.view.registry))
 
--- a/tests/test_clusterconfig.py
+++ b/tests/test_clusterconfig.py
@@ -19,14 +19,14 @@
 from rookwood.clusterconfig.document import ClientLimits, Configuration, RouteKind, ServiceShare
 from rookwood.clusterconfig.history import (
     Accepted,
-    AlreadyTaken,
+    AcceptedChange,
+    AlreadyAccepted,
     Change,
     ChangeMethod,
     Conflict,
     ControlDocument,
     Decision,
     InvalidChange,
-    TakenChange,
     decide,
 )
 from rookwood.clusterconfig.loading import load_configuration
@@ -412,7 +412,7 @@
         for change in (first, second, third):
             document = self.require_accepted(decide(document, change))
         for change, number in ((first, 7), (second, 9), (third, 30)):
-            self.assertEqual(decide(document, change), AlreadyTaken(number))
+            self.assertEqual(decide(document, change), AlreadyAccepted(number))
 
     def test_resent_with_other_whitespace_and_key_order(self) -> None:
         body = json.dumps(example_document(), indent=2, sort_keys=True).encode()
--- a/tests/test_clusterconfig_operators.py
+++ b/tests/test_clusterconfig_operators.py
@@ -17,21 +17,21 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from rookwood.clusterconfig import control_document, history
+from rookwood.clusterconfig.accepted_changes import DIGEST_BYTES, AcceptedChanges
 from rookwood.clusterconfig.faults import Fault, Invalid
 from rookwood.clusterconfig.history import (
     Accepted,
-    AlreadyTaken,
+    AcceptedChange,
+    AlreadyAccepted,
+    BaseTooOld,
     Change,
     ChangeMethod,
     Conflict,
     ControlDocument,
     Decision,
-    Forgotten,
     InvalidChange,
-    TakenChange,
     decide,
 )
-from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, TakenChanges
 
 REMEMBERED_CHANGES = 2
 OPERATORS = 3
@@ -157,7 +157,7 @@
             remembered = any(earlier == change for earlier, _ in self.accepted[dropped:])
             assert decision == (AlreadyTaken(accepted_version) if remembered else Forgotten()), decision
             return
-        assert not isinstance(decision, AlreadyTaken), decision
+        assert not isinstance(decision, AlreadyAccepted), decision
         if isinstance(decision, Accepted):
             assert change.base == self.document.version
             assert decision.version > self.document.version
@@ -195,7 +195,7 @@
             self.assertEqual(AlreadyTaken(1), decide(document, first))
             change = TakenChange(version.to_bytes(DIGEST_BYTES), version)
             document = document.with_change(change, document.source)
-        self.assertEqual(Forgotten(), decide(document, first))
+        self.assertEqual(BaseTooOld(), decide(document, first))
         later = Change(ChangeMethod.PUT, 2, first.body)
         self.assertEqual(Conflict(document.version), decide(document, later))
 
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -81,7 +81,7 @@
             return
         self.requests.append(message)
 
-    def lost(self, connection: Connection) -> None:
+    def subscriber_lost(self, connection: Connection) -> None:
         """Nothing to do."""
 
     def announce_changes(self) -> None:
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -112,7 +112,7 @@
 
     def test_closing_a_link_keeps_the_configuration(self) -> None:
         self.receive(FIRST, ConfigurationBody(3, 7, b"seven", confirmed=True))
-        self.follower.unlinked(FIRST)
+        self.follower.link_closed(FIRST)
         self.receive(SECOND, ConfigurationBody(3, 6, b"six", confirmed=True))
         self.assertEqual([b"seven"], self.configurations)
 
@@ -151,7 +151,7 @@
         self.assertIsNotNone(self.receive(FIRST, replace(STATUS, config_sequence=8)))
         self.assertIsNone(self.receive(FIRST, replace(STATUS, config_sequence=9)))
         self.assertIsNone(self.receive(SECOND, replace(STATUS, identity=SECOND, config_sequence=9)))
-        self.follower.received(FIRST, self.delta(7, 8), START)
+        self.follower.message_received(FIRST, self.delta(7, 8), START)
         request = self.follower.next_request(START + 0.1)
         assert request is not None
         self.assertEqual(FetchConfiguration(9, False, 3, 8), request.message)
@@ -170,7 +170,7 @@
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.receive(SECOND, replace(STATUS, identity=SECOND, config_sequence=8))
-        self.follower.unlinked(FIRST)
+        self.follower.link_closed(FIRST)
         later = START + 0.1
         request = self.follower.next_request(later)
         assert request is not None
@@ -199,9 +199,9 @@
         requested_peers = []
         for number in range(100):
             follower = self.make_follower(f"10.0.1.{number}")
-            follower.received(FIRST, ConfigurationBody(3, 7, b"start", confirmed=True), START)
+            follower.message_received(FIRST, ConfigurationBody(3, 7, b"start", confirmed=True), START)
             for peer in machines:
-                follower.received(peer, replace(STATUS, identity=peer, config_sequence=8), START)
+                follower.message_received(peer, replace(STATUS, identity=peer, config_sequence=8), START)
             request = follower.next_request(START)
             assert request is not None
             requested_peers.append(request.peer)
@@ -213,13 +213,13 @@
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
         self.assertIsNone(self.follower.next_wakeup(START))
-        self.assertTrue(self.follower.is_level(START))
+        self.assertTrue(self.follower.is_up_to_date(START))
 
     def test_a_status_alone_does_not_confirm_the_position(self) -> None:
         """It may have been sent before a stall of this process."""
         self.start_at(7)
         self.receive(FIRST, STATUS)
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
     def test_an_answer_to_an_old_heartbeat_does_not_confirm_the_position(self) -> None:
         self.start_at(7)
@@ -234,9 +234,9 @@
         self.receive(FIRST, STATUS)
         newer = replace(ANSWER, config_sequence=8)
         self.assertEqual(FetchConfiguration(8, False, 3, 7), self.receive(FIRST, newer))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
         self.receive(FIRST, self.delta(7, 8))
-        self.assertTrue(self.follower.is_level(START))
+        self.assertTrue(self.follower.is_up_to_date(START))
 
     def test_a_status_older_than_a_heartbeat_answer_does_not_lower_the_position(self) -> None:
         """It may arrive after the answer; the announced position stays the one to fetch."""
@@ -246,16 +246,16 @@
         self.receive(FIRST, replace(STATUS, config_sequence=7))
         self.assertEqual(ConfigurationPosition(3, 8), self.follower.newest_announced)
         self.receive(FIRST, self.delta(6, 7))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
     def test_a_status_keeps_the_confirmation_of_an_earlier_heartbeat_answer(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
         self.receive(FIRST, STATUS)
-        self.assertTrue(self.follower.is_level(START))
+        self.assertTrue(self.follower.is_up_to_date(START))
         self.receive(FIRST, replace(STATUS, config_sequence=8))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
     def test_a_response_that_is_being_received_is_not_overdue(self) -> None:
         self.start_at(7)
@@ -269,8 +269,10 @@
 
     def test_before_the_first_configuration_a_machine_that_timed_out_is_ranked_last(self) -> None:
         self.receive(FIRST, STATUS)
-        self.follower.received(SECOND, replace(STATUS, identity=SECOND, primary=SECOND, epoch=4), START)
-        request = self.follower.next_request(START + ANSWER_LIMIT + 0.01)
+        self.follower.message_received(
+            SECOND, replace(STATUS, identity=SECOND, primary=SECOND, epoch=4), START
+        )
+        request = self.follower.next_request(START + RESPONSE_TIMEOUT + 0.01)
         assert request is not None
         self.assertEqual(SECOND, request.peer)
 
@@ -278,20 +280,20 @@
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, fresh=False))
         self.receive(FIRST, replace(ANSWER, fresh=False))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
         self.receive(FIRST, ANSWER)
-        self.assertTrue(self.follower.is_level(START))
+        self.assertTrue(self.follower.is_up_to_date(START))
         self.receive(FIRST, replace(STATUS, fresh=False))
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
     def test_without_a_link_the_follower_is_not_up_to_date(self) -> None:
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.receive(FIRST, ANSWER)
-        self.follower.unlinked(FIRST)
-        self.assertFalse(self.follower.is_level(START))
+        self.follower.link_closed(FIRST)
+        self.assertFalse(self.follower.is_up_to_date(START))
         self.receive(FIRST, ANSWER)
-        self.assertFalse(self.follower.is_level(START))
+        self.assertFalse(self.follower.is_up_to_date(START))
 
 
 class DeltaTests(FollowerCase):
@@ -345,13 +347,13 @@
             with self.subTest(newer_peer=peer):
                 follower = self.make_follower("10.0.0.7")
                 self.outcome = Applied()
-                follower.received(FIRST, ConfigurationBody(3, 5, b"start", confirmed=True), START)
+                follower.message_received(FIRST, ConfigurationBody(3, 5, b"start", confirmed=True), START)
                 for other in (FIRST, SECOND):
                     sequence = 6 if other == peer else 5
                     status = replace(STATUS, identity=other, config_sequence=sequence)
-                    follower.received(other, status, START)
+                    follower.message_received(other, status, START)
                 self.outcome = DigestMismatch()
-                follower.received(peer, self.delta(5, 6), START)
+                follower.message_received(peer, self.delta(5, 6), START)
                 request = follower.next_request(START + 0.2)
                 assert request is not None
                 self.assertEqual((peer, FetchConfiguration(6, False)), (request.peer, request.message))
@@ -362,8 +364,8 @@
         self.outcome = DigestMismatch()
         self.receive(FIRST, self.delta(7, 8))
         self.outcome = Applied()
-        self.follower.received(SECOND, self.delta(7, 8), START)
-        self.follower.received(FIRST, ConfigurationBody(3, 8, b"whole", confirmed=False), START)
+        self.follower.message_received(SECOND, self.delta(7, 8), START)
+        self.follower.message_received(FIRST, ConfigurationBody(3, 8, b"whole", confirmed=False), START)
         for step in range(20):
             self.assertIsNone(self.follower.next_request(START + step * 0.5))
 
@@ -377,7 +379,7 @@
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.assertIsNone(self.receive(FIRST, ConfigurationBody(3, 8, b"unreadable", confirmed=False)))
         self.assertEqual(ConfigurationPosition(3, 7), self.follower.position)
-        self.assertIsNotNone(self.follower.next_request(START + ANSWER_LIMIT + 0.01))
+        self.assertIsNotNone(self.follower.next_request(START + RESPONSE_TIMEOUT + 0.01))
 
     def test_an_invalid_first_configuration_leaves_the_follower_unconfirmed(self) -> None:
         self.outcome = Malformed("KeyError('ver')")
@@ -423,7 +425,7 @@
     def test_without_a_link_nothing_is_awaited(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
-        self.follower.unlinked(FIRST)
+        self.follower.link_closed(FIRST)
         self.now = START + 60.0
         self.assertEqual(0.0, self.follower.progress.seconds_behind())
         self.receive(FIRST, replace(STATUS, config_sequence=8), self.now)
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -10,7 +10,7 @@
 
 from rookwood.cluster.frames import HEADER, decode_message, encode_frame
 from rookwood.cluster.messages import (
-    RELEASE,
+    PROTOCOL_RELEASE,
     ControlMachine,
     DemandReport,
     FetchConfiguration,
@@ -93,7 +93,7 @@
         status = Status("10.0.0.1", 3, "10.0.0.2", True, False, 3, 9, 7, MEMBERS, RELEASE, 4)
         machines = (ControlMachine("10.0.0.1", "z1"), ControlMachine("10.0.0.2", "z2"))
         for message, schema in (
-            (Hello("10.0.0.9", "edge", "z1", RELEASE, False), HELLO),
+            (Hello("10.0.0.9", "edge", "z1", PROTOCOL_RELEASE, False), HELLO),
             (Heartbeat("10.0.0.9", 3, 9, 12.5, 0.75), HEARTBEAT),
             (status, STATUS),
             (Status(**{**field_values(status), "roots": machines}), STATUS),
--- a/tests/test_taken_changes.py
+++ b/tests/test_taken_changes.py
@@ -10,13 +10,13 @@
 
 import fastavro
 
+from rookwood.clusterconfig.accepted_changes import DIGEST_BYTES, AcceptedChange, AcceptedChanges
 from rookwood.clusterconfig.control_document import (
     ENCODING_VERSION,
     MAX_ACCEPTED_CHANGES,
     ControlDocument,
     ControlDocumentError,
 )
-from rookwood.clusterconfig.taken_changes import DIGEST_BYTES, TakenChange, TakenChanges
 from rookwood.controlplane.payload import read_payload
 
 MAX_CALLS = 100
@@ -52,7 +52,7 @@
 def make_changes(random: Random, count: int, highest: int = 2**63 - 1) -> list[TakenChange]:
     """Return changes with rising versions."""
     versions = sorted(random.randrange(highest) >> random.randrange(63) for _ in range(count))
-    return [TakenChange(random.randbytes(DIGEST_BYTES), version) for version in versions]
+    return [AcceptedChange(random.randbytes(DIGEST_BYTES), version) for version in versions]
 
 
 def count_calls(payload: bytes) -> int:
