--- a/rookwood/cluster/configuration_follower.py
+++ b/rookwood/cluster/configuration_follower.py
@@ -29,7 +29,7 @@
 from rookwood.coordination.rendezvous import rendezvous_weight
 
 # Four machines can be asked one after the other within the shortest time allowed for applying a change.
-ANSWER_LIMIT = 0.5  # seconds
+RESPONSE_TIMEOUT = 0.5  # seconds
 PREFERENCE_DELAY = 0.03  # seconds of delay for each higher-ranked machine
 HEARTBEAT_ANSWER_LIFETIME = 1.0  # seconds from sending a heartbeat for which its answer counts
 AVOIDANCE_PERIOD = 2.0  # seconds for which a machine that timed out is ranked last
@@ -112,7 +112,7 @@
         positions = (announcement.position for announcement in self._announcements.values())
         return max(positions, default=NO_CONFIGURATION)
 
-    def is_level(self, now: float) -> bool:
+    def is_up_to_date(self, now: float) -> bool:
         """Whether a machine in contact with the primary confirmed this position lately, and none has a newer.
 
         Only the answer to a heartbeat confirms a position. A status carries no sending time: it may have been
@@ -124,7 +124,7 @@
         )
         return confirmed_lately and self.newest_announced <= self.position
 
-    def received(self, peer: str, message: Message, now: float) -> None:
+    def message_received(self, peer: str, message: Message, now: float) -> None:
         """Handle a message; messages that do not concern the configuration are ignored."""
         if isinstance(message, Status):
             self.handle_status(peer, message, now)
@@ -167,7 +167,7 @@
         if answer.fresh:
             known.confirmed_at = answer.heartbeat_sent_at
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """Forget a control machine whose link closed, and a request that is pending there."""
         self._announcements.pop(peer, None)
         if not self._is_behind():
@@ -205,20 +205,20 @@
         self._invariants.violated(Invariant.DELTA_FITS, detail)
         self._needs_full = True
 
-    def answering(self, peer: str, now: float) -> None:
+    def restart_response_timeout(self, peer: str, now: float) -> None:
         """Restart the timeout of the request pending at a machine, from which a part of a message arrived."""
         if self._pending is not None and self._pending.peer == peer:
             self._pending = PendingRequest(peer, now)
 
     @property
-    def asked(self) -> str | None:
+    def awaited_peer(self) -> str | None:
         """The machine at which a fetch request is pending."""
         return self._pending.peer if self._pending is not None else None
 
-    def overdue(self, now: float) -> str | None:
+    def overdue_peer(self, now: float) -> str | None:
         """The machine whose response is overdue."""
         pending = self._pending
-        if pending is None or now - pending.waiting_since <= ANSWER_LIMIT:
+        if pending is None or now - pending.waiting_since <= RESPONSE_TIMEOUT:
             return None
         return pending.peer
 
@@ -239,7 +239,7 @@
     def next_wakeup(self, now: float) -> float | None:
         """When to call `next_request` again unless a message arrives first; None if nothing is scheduled."""
         if self._pending is not None:
-            return self._pending.waiting_since + ANSWER_LIMIT
+            return self._pending.waiting_since + RESPONSE_TIMEOUT
         return min(
             (candidate.eligible_at for candidate in self._eligible_peers(now) if candidate.eligible_at > now),
             default=None,
@@ -282,7 +282,7 @@
         return avoided, -rendezvous_weight(f"configuration {self._identity}", peer)
 
     def _abandon_overdue_request(self, now: float) -> None:
-        peer = self.overdue(now)
+        peer = self.overdue_peer(now)
         if peer is not None:
             self._avoided_until[peer] = now + AVOIDANCE_PERIOD
             self._pending = None
--- a/rookwood/cluster/control_status.py
+++ b/rookwood/cluster/control_status.py
@@ -86,7 +86,7 @@
     dispatchers: DispatcherOverview | None
 
     @property
-    def leads(self) -> bool:
+    def claims_primary(self) -> bool:
         """Whether the machine reports itself as the primary."""
         return self.primary == self.machine
 
--- a/rookwood/cluster/feed.py
+++ b/rookwood/cluster/feed.py
@@ -33,13 +33,13 @@
 class FeedHandler(Protocol):
     """The callbacks of a feed server."""
 
-    def greeting(self, connection: Connection) -> Iterable[Message]:
+    def initial_messages(self, connection: Connection) -> Iterable[Message]:
         """The messages to send to a new subscriber first."""
 
-    def received(self, connection: Connection, message: Message) -> None:
+    def message_received(self, connection: Connection, message: Message) -> None:
         """Handle a message from a subscriber."""
 
-    def lost(self, connection: Connection) -> None:
+    def subscriber_lost(self, connection: Connection) -> None:
         """Handle the end of a subscriber's link."""
 
 
@@ -110,8 +110,8 @@
         connection.hello = message
         connection.peer_kind = peer_kind(message.tier)
         self._connections.add(connection)
-        for greeting in self._handler.initial_messages(connection):
-            connection.send(greeting)
+        for initial_message in self._handler.initial_messages(connection):
+            connection.send(initial_message)
 
     def _remove(self, connection: Connection) -> None:
         self._accepted.discard(connection)
@@ -123,13 +123,13 @@
 class LinkHandler(Protocol):
     """The callbacks of a feed link; `peer` is the IP address at the other end."""
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """Handle the opening of a link."""
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """Handle a message from the peer."""
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """Handle the end of a link, which reconnects automatically."""
 
 
@@ -256,7 +256,7 @@
         self._links: dict[str, FeedLink] = {}
         self._subscribed: set[str] = set()
 
-    def want(self, peers: Iterable[str], status_only: Iterable[str] = ()) -> None:
+    def set_peers(self, peers: Iterable[str], status_only: Iterable[str] = ()) -> None:
         """Subscribe to `peers`, keep status-only links to `status_only`, and close the links to all others.
 
         A link that changes between the two kinds is closed and opened again.
--- a/rookwood/cluster/messages.py
+++ b/rookwood/cluster/messages.py
@@ -11,7 +11,7 @@
 from rookwood.cluster.workers import WorkerRecord
 from rookwood.clusterconfig.items import ItemChanges
 
-RELEASE = 1
+PROTOCOL_RELEASE = 1
 """The release of the link protocol. Programs that do not send a release have release 0.
 
 New fields are only added at the end of a message and have a default here: a program of the previous release
@@ -20,7 +20,7 @@
 """
 
 # The first release whose control machines relay to one another what dispatchers report.
-RELEASE_WITH_ONE_FEED = 1
+RELEASE_WITH_RELAYED_FEED = 1
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookwood/cluster/outbox.py
+++ b/rookwood/cluster/outbox.py
@@ -29,7 +29,7 @@
 )
 
 
-class Subject(enum.Enum):
+class ConflationKey(enum.Enum):
     """Conflation keys of states of which there is one per link."""
 
     STATUS = enum.auto()
@@ -69,7 +69,7 @@
         case HeartbeatAnswer():
             return ConflationKey.HEARTBEAT_ANSWER
         case FetchConfiguration():
-            return Subject.FETCH_REQUEST
+            return ConflationKey.FETCH_REQUEST
         case ConfigurationBody() | ConfigurationDelta():
             return ConflationKey.CONFIGURATION
         case WorkerUpdates(records=(record,), complete=False):
--- a/rookwood/cluster/progress.py
+++ b/rookwood/cluster/progress.py
@@ -42,7 +42,7 @@
     def has_run_without_stall(self, span: float) -> bool:
         """Whether the process has run longer than `span` seconds without a stall; call it at every check."""
         now = self._clock()
-        if self._stalls.paused(now):
+        if self._stalls.detect_pause(now):
             self._running_since = now
         return now - self._running_since > span
 
@@ -180,12 +180,12 @@
         self._reports: dict[str, DispatcherReport] = {}
         self._check_guard = StallGuard(clock)
 
-    def committed(self, position: ConfigurationPosition) -> None:
+    def record_commit(self, position: ConfigurationPosition) -> None:
         """Record a commit; commits with older positions are ignored."""
         if not self._commits or position > self._commits[-1].position:
             self._commits.append(Commit(position, self._clock(), self._stalled()))
 
-    def reported(self, dispatcher: str, position: ConfigurationPosition, stalled: float = 0.0) -> None:
+    def record_report(self, dispatcher: str, position: ConfigurationPosition, stalled: float = 0.0) -> None:
         """Record the position in force at a dispatcher and its stalls; called for each of its heartbeats."""
         report = self._reports.get(dispatcher)
         if report is None:
@@ -195,7 +195,7 @@
             report.position = position
         report.heartbeats.append(ReceivedHeartbeat(self._clock(), stalled))
 
-    def lost(self, dispatcher: str) -> None:
+    def remove_dispatcher(self, dispatcher: str) -> None:
         """Forget a dispatcher whose link ended, until it reports again."""
         self._reports.pop(dispatcher, None)
 
@@ -222,7 +222,7 @@
             return
         for lag in self.lags():
             own_seconds = self._own_seconds_behind(self._reports[lag.dispatcher])
-            detail = f"{lag.dispatcher} has {lag.position}, {lag.behind:.1f} s after a newer commit"
+            detail = f"{lag.dispatcher} has {lag.position}, {lag.behind_seconds:.1f} s after a newer commit"
             self._invariants.check(own_seconds <= limit, Invariant.DISPATCHERS_IN_TIME, detail)
 
     def _own_seconds_behind(self, report: DispatcherReport) -> float:
--- a/rookwood/cluster/settings.py
+++ b/rookwood/cluster/settings.py
@@ -162,7 +162,7 @@
         data_directory=document.get("datadir"),
         disk_megabytes=int(limits.get("disk-mb", 0)),
         descriptors=int(limits.get("nofile", 1024)),
-        beat=float(document.get("beat-ms", 1200)) / MILLISECONDS_PER_SECOND,
+        heartbeat_interval=float(document.get("beat-ms", 1200)) / MILLISECONDS_PER_SECOND,
         bounds=parse_bounds(document.get("bounds") or {}),
     )
 
--- a/rookwood/cluster/single_primary_check.py
+++ b/rookwood/cluster/single_primary_check.py
@@ -5,7 +5,7 @@
 from rookwood.cluster.invariants import INVARIANTS, Invariant, InvariantCounter
 
 
-class PrimaryWitness:
+class SinglePrimaryCheck:
     """Compares each claim with the first one of the newest claimed epoch; older claims are ignored."""
 
     def __init__(self, invariants: InvariantCounter = INVARIANTS) -> None:
@@ -13,7 +13,7 @@
         self._epoch = -1
         self._primary = ""
 
-    def claimed(self, epoch: int, machine: str) -> None:
+    def record_claim(self, epoch: int, machine: str) -> None:
         """Check the claim of a control machine to be the primary of an epoch."""
         if epoch > self._epoch:
             self._epoch, self._primary = epoch, machine
--- a/rookwood/cluster/startup.py
+++ b/rookwood/cluster/startup.py
@@ -5,7 +5,7 @@
 import sys
 
 
-def leave_out_tls() -> None:
+def skip_tls_import() -> None:
     """Prevent the import of the `ssl` module.
 
     All connections of the system are plain TCP. If `ssl` is available, aiohttp reads the certificate store
--- a/rookwood/cluster/view.py
+++ b/rookwood/cluster/view.py
@@ -22,7 +22,7 @@
 
     status: Status | None = None
     linked: bool = False
-    unlinked_at: float = 0.0
+    link_closed_at: float = 0.0
     unconfirmed: dict[str, float] = field(default_factory=dict)
 
 
@@ -35,17 +35,17 @@
         on_worker_gone: Callable[[str], None],
     ) -> None:
         self.registry = WorkerRegistry()
-        self._primary_check = PrimaryWitness()
+        self._primary_check = SinglePrimaryCheck()
         self._on_worker = on_worker
         self._on_worker_gone = on_worker_gone
         self._machines: dict[str, ControlMachineState] = {}
         self._reported_by: dict[str, set[str]] = {}
 
-    def linked(self, peer: str) -> None:
+    def link_opened(self, peer: str) -> None:
         """Record that the link to a control machine is open."""
         self._machines.setdefault(peer, ControlMachineState()).linked = True
 
-    def unlinked(self, peer: str, now: float) -> None:
+    def link_closed(self, peer: str, now: float) -> None:
         """Record that a link closed; the workers that the machine reported stay for a while."""
         machine = self._machines.get(peer)
         if machine is None:
@@ -53,14 +53,14 @@
         machine.status = None
         if machine.linked:
             machine.linked = False
-            machine.unlinked_at = now
+            machine.link_closed_at = now
 
-    def received(self, peer: str, message: Message, now: float) -> None:
+    def message_received(self, peer: str, message: Message, now: float) -> None:
         """Handle a message; messages that do not concern workers or control machines are ignored."""
         if isinstance(message, Status):
             self._machines.setdefault(peer, ControlMachineState(linked=True)).status = message
             if message.claims_primary:
-                self._primary_check.claimed(message.epoch, message.identity)
+                self._primary_check.record_claim(message.epoch, message.identity)
         elif isinstance(message, WorkerUpdates):
             self._handle_updates(peer, message, now)
         elif isinstance(message, WorkerGone):
@@ -85,7 +85,7 @@
                 reported.update(machine.status.members)
         return frozenset(reported)
 
-    def attached(self) -> int:
+    def attached_dispatchers(self) -> int:
         """How many dispatchers subscribe to the linked machines in total."""
         return sum(
             machine.status.attached for machine in self._machines.values() if machine.status is not None
@@ -96,17 +96,17 @@
         machine = self._machines.get(peer)
         return machine.status.release if machine is not None and machine.status is not None else 0
 
-    def dispatchers(self) -> int:
+    def dispatcher_count(self) -> int:
         """The largest dispatcher count that a linked machine reports; 1 without any."""
         counts = [
             machine.status.dispatchers for machine in self._machines.values() if machine.status is not None
         ]
         return max(counts, default=1)
 
-    def drop_silent(self, now: float) -> tuple[str, ...]:
+    def remove_unreported_workers(self, now: float) -> tuple[str, ...]:
         """Remove and return the workers that no machine reports any more, if a settled machine is linked."""
         for peer, machine in self._machines.items():
-            if not machine.linked and now - machine.unlinked_at > WORKER_RETENTION:
+            if not machine.linked and now - machine.link_closed_at > WORKER_RETENTION:
                 self._remove_reporter(peer)
             for worker, since in list(machine.unconfirmed.items()):
                 if now - since > WORKER_RETENTION:
--- a/rookwood/cluster/workers.py
+++ b/rookwood/cluster/workers.py
@@ -170,7 +170,7 @@
         self._records.pop(worker, None)
         return is_new
 
-    def deleted_lately(self, max_count: int) -> tuple[str, ...]:
+    def recently_deleted(self, max_count: int) -> tuple[str, ...]:
         """Return the workers that deregistered last, oldest first."""
         newest = itertools.islice(reversed(self._deleted), max_count)
         return tuple(newest)[::-1]
--- a/rookwood/clusterconfig/accepted_changes.py
+++ b/rookwood/clusterconfig/accepted_changes.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class TakenChange:
+class AcceptedChange:
     """The digest of an accepted change and the version that it led to."""
 
     digest: bytes
@@ -39,13 +39,13 @@
         self._changes: tuple[AcceptedChange, ...] | None = None
 
     @classmethod
-    def of(cls, changes: Iterable[TakenChange]) -> TakenChanges:
+    def of(cls, changes: Iterable[AcceptedChange]) -> AcceptedChanges:
         """Return the list of these changes."""
         encoded_changes = [change.encode() for change in changes]
         return cls(b"".join(encoded_changes), len(encoded_changes))
 
     @classmethod
-    def decode(cls, encoded: bytes, count: int, known: Iterable[TakenChanges] = ()) -> TakenChanges:
+    def decode(cls, encoded: bytes, count: int, known: Iterable[AcceptedChanges] = ()) -> AcceptedChanges:
         """Return the list of this stored form; entries that are also in a `known` list are not checked again.
 
         Raises `CorruptDataError` unless the bytes are exactly `count` changes.
@@ -60,17 +60,17 @@
         """The stored form."""
         return self._encoded
 
-    def find(self, digest: bytes) -> TakenChange | None:
+    def find(self, digest: bytes) -> AcceptedChange | None:
         """Return the change with a digest, if any."""
         if digest not in self._encoded:
             return None
         return next((change for change in _iterate_changes(self._encoded) if change.digest == digest), None)
 
-    def with_change(self, change: TakenChange, max_count: int) -> TakenChanges:
+    def with_change(self, change: AcceptedChange, max_count: int) -> AcceptedChanges:
         """Return the list with a new change, without the oldest beyond `max_count`."""
         dropped = max(0, self._count + 1 - max_count)
         start = _skip_changes(self._encoded, 0, min(dropped, self._count))
-        return TakenChanges(self._encoded[start:] + change.encode(), self._count + 1 - dropped)
+        return AcceptedChanges(self._encoded[start:] + change.encode(), self._count + 1 - dropped)
 
     def _overlap_with(self, encoded: bytes) -> tuple[int, int]:
         """Return how many bytes and changes at the beginning of `encoded` are the end of this list."""
@@ -85,7 +85,7 @@
         except CorruptDataError:
             return 0, 0
 
-    def _decode_all(self) -> tuple[TakenChange, ...]:
+    def _decode_all(self) -> tuple[AcceptedChange, ...]:
         if self._changes is None:
             self._changes = tuple(_iterate_changes(self._encoded))
         return self._changes
@@ -111,7 +111,7 @@
         return hash(self._encoded)
 
     def __repr__(self) -> str:
-        return f"TakenChanges({self._count})"
+        return f"AcceptedChanges({self._count})"
 
 
 def encode_long(value: int) -> bytes:
@@ -160,13 +160,13 @@
     return count
 
 
-def _decode_change(encoded: bytes, start: int) -> tuple[TakenChange, int]:
+def _decode_change(encoded: bytes, start: int) -> tuple[AcceptedChange, int]:
     version_offset = start + DIGEST_BYTES
     version, end = decode_long(encoded, version_offset)
-    return TakenChange(encoded[start:version_offset], version), end
+    return AcceptedChange(encoded[start:version_offset], version), end
 
 
-def _iterate_changes(encoded: bytes) -> Iterator[TakenChange]:
+def _iterate_changes(encoded: bytes) -> Iterator[AcceptedChange]:
     offset = 0
     while offset < len(encoded):
         change, offset = _decode_change(encoded, offset)
--- a/rookwood/clusterconfig/control_document.py
+++ b/rookwood/clusterconfig/control_document.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rookwood.clusterconfig.taken_changes import (
+from rookwood.clusterconfig.accepted_changes import (
+    AcceptedChange,
+    AcceptedChanges,
     CorruptDataError,
-    TakenChange,
-    TakenChanges,
     decode_long,
     encode_long,
 )
@@ -24,7 +24,7 @@
 MAX_ACCEPTED_CHANGES = 4096
 ENCODING_VERSION = 1
 END_OF_ARRAY = b"\0"
-NO_ACCEPTED_CHANGES = TakenChanges()
+NO_ACCEPTED_CHANGES = AcceptedChanges()
 
 
 class ControlDocumentError(ValueError):
@@ -40,11 +40,11 @@
 
     version: int = 0
     source: bytes = b""
-    taken: TakenChanges = NO_ACCEPTED_CHANGES
+    accepted: AcceptedChanges = NO_ACCEPTED_CHANGES
 
-    def find_taken(self, digest: bytes) -> TakenChange | None:
+    def find_accepted(self, digest: bytes) -> AcceptedChange | None:
         """Return the remembered change with a digest, if any."""
-        return self.taken.find(digest)
+        return self.accepted.find(digest)
 
     def may_have_dropped(self, base: int) -> bool:
         """Whether a change based on version `base` may have been accepted and dropped since.
@@ -52,11 +52,13 @@
         Each accepted change raises the version and is based on the one before it, so every accepted change
         based on the oldest remembered version or a later one is still remembered.
         """
-        return len(self.taken) >= MAX_ACCEPTED_CHANGES and base < self.taken[0].version
+        return len(self.accepted) >= MAX_ACCEPTED_CHANGES and base < self.accepted[0].version
 
-    def with_change(self, change: TakenChange, source: bytes) -> ControlDocument:
+    def with_change(self, change: AcceptedChange, source: bytes) -> ControlDocument:
         """Return the document after an accepted change, without the oldest changes beyond the limit."""
-        return ControlDocument(change.version, source, self.taken.with_change(change, MAX_ACCEPTED_CHANGES))
+        return ControlDocument(
+            change.version, source, self.accepted.with_change(change, MAX_ACCEPTED_CHANGES)
+        )
 
     def encode(self) -> bytes:
         """Serialise as one version byte followed by an Avro record."""
@@ -71,7 +73,7 @@
         return b"".join([*parts, END_OF_ARRAY])
 
     @staticmethod
-    def decode(encoded: bytes, known: Iterable[TakenChanges] = ()) -> ControlDocument:
+    def decode(encoded: bytes, known: Iterable[AcceptedChanges] = ()) -> ControlDocument:
         """Decode what `encode` returned; raises `ControlDocumentError` for anything else.
 
         Accepted changes that are also in one of the `known` lists are not decoded again.
@@ -84,7 +86,7 @@
             raise ControlDocumentError(f"corrupt control document: {error}") from error
 
 
-def _decode_record(encoded: bytes, known: Iterable[TakenChanges]) -> ControlDocument:
+def _decode_record(encoded: bytes, known: Iterable[AcceptedChanges]) -> ControlDocument:
     version, offset = decode_long(encoded, 1)
     size, offset = decode_long(encoded, offset)
     source = encoded[offset : offset + size]
@@ -95,4 +97,4 @@
         return ControlDocument(version, source)
     if count <= 0 or encoded[-1:] != END_OF_ARRAY:
         raise CorruptDataError("the list of changes is not terminated")
-    return ControlDocument(version, source, TakenChanges.decode(encoded[offset:-1], count, known))
+    return ControlDocument(version, source, AcceptedChanges.decode(encoded[offset:-1], count, known))
--- a/rookwood/clusterconfig/history.py
+++ b/rookwood/clusterconfig/history.py
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True)
-class Forgotten:
+class BaseTooOld:
     """The change is based on a version older than the remembered changes, so it may have been accepted."""
 
 
@@ -102,13 +102,13 @@
     found, or `may_have_dropped` is true for its base, and both are checked first.
     """
     digest = change.digest()
-    taken = document.find_accepted(digest)
-    if taken is not None:
-        return AlreadyAccepted(taken.version)
+    earlier = document.find_accepted(digest)
+    if earlier is not None:
+        return AlreadyAccepted(earlier.version)
     if change.base < 0:
         return InvalidChange((Fault("If-Match", "required: the version that the change builds on"),))
     if document.may_have_dropped(change.base):
-        return Forgotten()
+        return BaseTooOld()
     if change.base != document.version:
         return Conflict(document.version)
     checked = _check_result(document, change)
--- a/tests/test_cluster_feed.py
+++ b/tests/test_cluster_feed.py
@@ -48,15 +48,15 @@
         self.messages: asyncio.Queue[Message] = asyncio.Queue()
         self.closed: asyncio.Queue[Connection] = asyncio.Queue()
 
-    def greeting(self, connection: Connection) -> Iterable[Message]:
+    def initial_messages(self, connection: Connection) -> Iterable[Message]:
         """Return the fixed messages."""
         return self._greeting
 
-    def received(self, connection: Connection, message: Message) -> None:
+    def message_received(self, connection: Connection, message: Message) -> None:
         """Record the message."""
         self.messages.put_nowait(message)
 
-    def lost(self, connection: Connection) -> None:
+    def subscriber_lost(self, connection: Connection) -> None:
         """Record the end of the link."""
         self.closed.put_nowait(connection)
 
@@ -69,15 +69,15 @@
         self.messages: asyncio.Queue[Message] = asyncio.Queue()
         self.closed: asyncio.Queue[str] = asyncio.Queue()
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """Record the connection."""
         self.links.put_nowait(connection)
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """Record the message."""
         self.messages.put_nowait(message)
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """Record the end of the link."""
         self.closed.put_nowait(peer)
 
@@ -341,22 +341,22 @@
         self.addCleanup(self.links.close)
 
     async def test_the_given_peers_are_linked_except_the_process_itself(self) -> None:
-        self.links.want([HOST, HELLO.identity])
+        self.links.set_peers([HOST, HELLO.identity])
         connection = await within(self.recorder.links.get())
         self.assertEqual({HOST}, self.links.peers)
         self.assertIs(connection, self.links.connection(HOST))
         self.assertEqual([connection], self.links.connections())
 
     async def test_links_to_removed_peers_are_closed(self) -> None:
-        self.links.want([HOST])
+        self.links.set_peers([HOST])
         await within(self.recorder.messages.get())
-        self.links.want([])
+        self.links.set_peers([])
         await within(self.handler.closed.get())
         self.assertEqual(frozenset(), self.links.peers)
         self.assertIsNone(self.links.connection(HOST))
 
     async def test_setting_the_same_peers_again_keeps_the_links(self) -> None:
-        self.links.want([HOST])
+        self.links.set_peers([HOST])
         connection = await within(self.recorder.links.get())
         self.links.set_peers([HOST])
         self.assertIs(connection, self.links.connection(HOST))
--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -26,7 +26,7 @@
 
     def receive(self, peer: str, message: Message, now: float = START) -> None:
         """Handle a message from a control machine."""
-        self.view.received(peer, message, now)
+        self.view.message_received(peer, message, now)
 
     def update(self, peer: str, *records: WorkerRecord, complete: bool = False) -> None:
         """Handle worker records from a control machine."""
@@ -52,7 +52,7 @@
         self.assertEqual(FIRST, self.view.primary())
 
     def test_the_status_of_a_machine_whose_link_closed_is_ignored(self) -> None:
-        self.view.linked(FIRST)
+        self.view.link_opened(FIRST)
         self.receive(FIRST, STATUS)
         self.view.link_closed(FIRST, START)
         self.assertIsNone(self.view.primary())
@@ -63,7 +63,7 @@
         self.assertEqual({FIRST, SECOND, "10.0.0.3"}, self.view.members())
 
     def test_the_largest_dispatcher_count_is_returned(self) -> None:
-        self.assertEqual(1, self.view.dispatchers())
+        self.assertEqual(1, self.view.dispatcher_count())
         self.receive(FIRST, STATUS)
         self.receive(SECOND, replace(STATUS, dispatchers=9))
         self.assertEqual(9, self.view.dispatcher_count())
@@ -98,16 +98,16 @@
         self.update(FIRST, WORKER, OTHER_WORKER)
         self.update(SECOND, OTHER_WORKER)
         self.update(FIRST, complete=True)
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_a_restarted_machine_has_time_to_report_its_workers_again(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.update(FIRST, WORKER)
         self.restart_unsettled(FIRST)
-        self.view.drop_silent(START + WORKER_RETENTION - 0.01)
+        self.view.remove_unreported_workers(START + WORKER_RETENTION - 0.01)
         self.assertEqual([], self.gone)
-        self.view.drop_silent(START + WORKER_RETENTION + 0.01)
+        self.view.remove_unreported_workers(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_workers_that_a_restarted_machine_reports_again_stay(self) -> None:
@@ -115,13 +115,13 @@
         self.update(FIRST, WORKER)
         self.restart_unsettled(FIRST)
         self.update(FIRST, replace(WORKER, sequence=6))
-        self.view.drop_silent(START + 2 * WORKER_RETENTION)
+        self.view.remove_unreported_workers(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
     def restart_unsettled(self, peer: str) -> None:
         """Restart a control machine, which knows no worker and is not settled yet."""
-        self.view.unlinked(peer, START)
-        self.view.linked(peer)
+        self.view.link_closed(peer, START)
+        self.view.link_opened(peer)
         self.receive(peer, replace(STATUS, identity=peer, settled=False))
         self.update(peer, complete=True)
 
@@ -129,42 +129,42 @@
         self.link_settled(FIRST)
         self.update(FIRST, WORKER)
         self.update(FIRST, OTHER_WORKER)
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.assertEqual([], self.gone)
 
     def test_the_workers_of_a_lost_machine_stay_for_a_while(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.update(FIRST, WORKER)
-        self.view.unlinked(FIRST, START)
-        self.view.drop_silent(START + WORKER_RETENTION - 0.01)
+        self.view.link_closed(FIRST, START)
+        self.view.remove_unreported_workers(START + WORKER_RETENTION - 0.01)
         self.assertEqual([], self.gone)
-        self.view.drop_silent(START + WORKER_RETENTION + 0.01)
+        self.view.remove_unreported_workers(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_closing_a_closed_link_again_does_not_extend_the_time(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.update(FIRST, WORKER)
-        self.view.unlinked(FIRST, START)
-        self.view.unlinked(FIRST, START + WORKER_RETENTION)
-        self.view.drop_silent(START + WORKER_RETENTION + 0.01)
+        self.view.link_closed(FIRST, START)
+        self.view.link_closed(FIRST, START + WORKER_RETENTION)
+        self.view.remove_unreported_workers(START + WORKER_RETENTION + 0.01)
         self.assertEqual([WORKER.id], self.gone)
 
     def test_the_workers_of_a_machine_that_reconnects_stay(self) -> None:
         self.link_settled(FIRST, SECOND)
         self.update(FIRST, WORKER)
-        self.view.unlinked(FIRST, START)
+        self.view.link_closed(FIRST, START)
         self.link_settled(FIRST)
         self.update(FIRST, WORKER, complete=True)
-        self.view.drop_silent(START + 2 * WORKER_RETENTION)
+        self.view.remove_unreported_workers(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
     def test_workers_stay_while_no_settled_machine_is_linked(self) -> None:
         self.link_settled(FIRST)
         self.update(FIRST, WORKER)
-        self.view.unlinked(FIRST, START)
-        self.view.linked(SECOND)
+        self.view.link_closed(FIRST, START)
+        self.view.link_opened(SECOND)
         self.receive(SECOND, replace(STATUS, identity=SECOND, settled=False))
-        self.view.drop_silent(START + 2 * WORKER_RETENTION)
+        self.view.remove_unreported_workers(START + 2 * WORKER_RETENTION)
         self.assertEqual([], self.gone)
 
     def test_a_deleted_worker_is_removed_at_once_and_never_returns(self) -> None:
@@ -181,7 +181,7 @@
         self.link_settled(FIRST)
         self.update(FIRST, WORKER)
         self.receive(FIRST, WorkerGone(WORKER.id, deleted=False))
-        self.view.drop_silent(START)
+        self.view.remove_unreported_workers(START)
         self.update(FIRST, replace(WORKER, sequence=9))
         self.assertEqual([replace(WORKER, sequence=9)], list(self.view.registry))
         self.assertEqual(2, len(self.changed))
--- a/tests/test_clusterconfig.py
+++ b/tests/test_clusterconfig.py
@@ -417,7 +417,7 @@
     def test_resent_with_other_whitespace_and_key_order(self) -> None:
         body = json.dumps(example_document(), indent=2, sort_keys=True).encode()
         resent = Change(ChangeMethod.PUT, 0, body)
-        self.assertEqual(decide(self.initial_document(), resent), AlreadyTaken(7))
+        self.assertEqual(decide(self.initial_document(), resent), AlreadyAccepted(7))
 
     def test_same_body_on_another_base_or_by_another_method_is_another_change(self) -> None:
         self.assertEqual(
@@ -430,7 +430,7 @@
         other_change = put(7, example_with(lambda d: (d.update(ver=9), d["routes"].pop())))
         document = self.require_accepted(decide(self.initial_document(), own_change))
         self.assertEqual(decide(document, other_change), Conflict(9))
-        self.assertEqual(decide(document, own_change), AlreadyTaken(9))
+        self.assertEqual(decide(document, own_change), AlreadyAccepted(9))
         self.assertEqual(document.source, encode(example_version(9)))
 
     def test_rejected_change_may_be_accepted_on_resend(self) -> None:
@@ -451,9 +451,9 @@
     def test_only_the_newest_accepted_changes_are_remembered(self) -> None:
         document = ControlDocument()
         for number in range(1, MAX_ACCEPTED_CHANGES + 3):
-            document = document.with_change(TakenChange(number.to_bytes(16, "big"), number), b"{}")
-        self.assertEqual(len(document.taken), MAX_ACCEPTED_CHANGES)
-        self.assertEqual(document.taken[0].version, 3)
+            document = document.with_change(AcceptedChange(number.to_bytes(16, "big"), number), b"{}")
+        self.assertEqual(len(document.accepted), MAX_ACCEPTED_CHANGES)
+        self.assertEqual(document.accepted[0].version, 3)
         self.assertEqual(ControlDocument.decode(document.encode()), document)
 
 
--- a/tests/test_clusterconfig_operators.py
+++ b/tests/test_clusterconfig_operators.py
@@ -155,14 +155,14 @@
         dropped = max(0, len(self.accepted) - REMEMBERED_CHANGES)
         if accepted_version is not None:
             remembered = any(earlier == change for earlier, _ in self.accepted[dropped:])
-            assert decision == (AlreadyTaken(accepted_version) if remembered else Forgotten()), decision
+            assert decision == (AlreadyAccepted(accepted_version) if remembered else BaseTooOld()), decision
             return
         assert not isinstance(decision, AlreadyAccepted), decision
         if isinstance(decision, Accepted):
             assert change.base == self.document.version
             assert decision.version > self.document.version
             assert all(earlier.base != change.base for earlier, _ in self.accepted)
-        if isinstance(decision, Forgotten):
+        if isinstance(decision, BaseTooOld):
             assert len(self.accepted) >= REMEMBERED_CHANGES
             assert change.base < self.accepted[dropped][1]
         if isinstance(decision, Conflict):
@@ -192,8 +192,8 @@
         assert isinstance(decision, Accepted)
         document = decision.document
         for version in range(2, control_document.MAX_ACCEPTED_CHANGES + 2):
-            self.assertEqual(AlreadyTaken(1), decide(document, first))
-            change = TakenChange(version.to_bytes(DIGEST_BYTES), version)
+            self.assertEqual(AlreadyAccepted(1), decide(document, first))
+            change = AcceptedChange(version.to_bytes(DIGEST_BYTES), version)
             document = document.with_change(change, document.source)
         self.assertEqual(BaseTooOld(), decide(document, first))
         later = Change(ChangeMethod.PUT, 2, first.body)
@@ -201,7 +201,7 @@
 
     def test_a_change_whose_base_is_remembered_gives_a_conflict(self) -> None:
         body = json.dumps({"ver": 9, "routes": [], "svcs": []}).encode()
-        accepted = TakenChanges.of((TakenChange(bytes(16), 7), TakenChange(bytes(15) + b"1", 8)))
+        accepted = AcceptedChanges.of((AcceptedChange(bytes(16), 7), AcceptedChange(bytes(15) + b"1", 8)))
         document = ControlDocument(8, body, accepted)
         for base in (3, 7, 9):
             self.assertEqual(Conflict(8), decide(document, Change(ChangeMethod.PUT, base, body)))
--- a/tests/test_configuration_deltas.py
+++ b/tests/test_configuration_deltas.py
@@ -260,7 +260,7 @@
         self.store.replace(encode(configuration(2, first, second)))
         exchanged = (route(2, prefix="/y/"), route(4, prefix="/x/"))
         self.store.replace(encode(configuration(3, *exchanged)))
-        matches = [self.store.index.match("a.example", path) for path in ("/x/1", "/y/1")]
+        matches = [self.store.route_index.match("a.example", path) for path in ("/x/1", "/y/1")]
         self.assertEqual(["r4", "r2"], [match.name if match else None for match in matches])
 
 
--- a/tests/test_configuration_distribution.py
+++ b/tests/test_configuration_distribution.py
@@ -57,22 +57,22 @@
         self.requests: list[FetchConfiguration] = []
         self.answers_next = ip == self._primary
         self.subscribed = asyncio.Event()
-        self.message_received = asyncio.Event()
+        self.other_message_received = asyncio.Event()
         self.server = FeedServer(self)
 
     def status(self, sequence: int) -> Status:
         """Return a status that announces a position."""
         return Status(self.ip, 1, self._primary, True, True, 1, sequence, 1, self._members)
 
-    def greeting(self, connection: Connection) -> Iterable[Message]:
+    def initial_messages(self, connection: Connection) -> Iterable[Message]:
         """Announce the first position."""
         self.subscribed.set()
         return (self.status(1),)
 
-    def received(self, connection: Connection, message: Message) -> None:
+    def message_received(self, connection: Connection, message: Message) -> None:
         """Answer the first request if this is the primary, and record all others."""
         if not isinstance(message, FetchConfiguration):
-            self.message_received.set()
+            self.other_message_received.set()
             return
         if self.answers_next:
             self.answers_next = False
@@ -123,13 +123,13 @@
     async def test_at_most_one_request_is_pending_whatever_machines_announce(self) -> None:
         for machine in self.machines:
             await within(machine.subscribed.wait())
-            await within(machine.message_received.wait())  # the first configuration is in force by then
-            machine.message_received.clear()
+            await within(machine.other_message_received.wait())  # the first configuration is in force by then
+            machine.other_message_received.clear()
         for machine in self.machines:
             machine.announce_changes()
         for machine in self.machines:
             # A heartbeat, which the dispatcher sent after it had handled the announcements
-            await within(machine.message_received.wait())
+            await within(machine.other_message_received.wait())
         requests = [request for machine in self.machines for request in machine.requests]
         self.assertLessEqual(len(requests), MAX_REQUESTS)
         self.assertGreaterEqual(len(requests), 1)
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from rookwood.cluster.configuration_follower import (
-    ANSWER_LIMIT,
     HEARTBEAT_ANSWER_LIFETIME,
+    RESPONSE_TIMEOUT,
     ConfigurationFollower,
 )
 from rookwood.cluster.invariants import Invariant, InvariantCounter
@@ -62,7 +62,7 @@
 
     def receive(self, peer: str, message: Message, now: float = START) -> Message | None:
         """Handle a message of a control machine; returns the request that is sent to it at once."""
-        self.follower.received(peer, message, now)
+        self.follower.message_received(peer, message, now)
         request = self.follower.next_request(now)
         if request is None:
             return None
@@ -160,7 +160,7 @@
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
         self.receive(SECOND, replace(STATUS, identity=SECOND, config_sequence=8))
-        deadline = START + ANSWER_LIMIT + 0.01
+        deadline = START + RESPONSE_TIMEOUT + 0.01
         self.assertLessEqual(self.follower.next_wakeup(START) or 0.0, deadline)
         request = self.follower.next_request(deadline)
         assert request is not None
@@ -181,10 +181,14 @@
         for newer_peer in machines:
             with self.subTest(newer_peer=newer_peer):
                 follower = self.make_follower("10.0.0.7")
-                follower.received(newer_peer, ConfigurationBody(3, 7, b"start", confirmed=True), START)
+                follower.message_received(
+                    newer_peer, ConfigurationBody(3, 7, b"start", confirmed=True), START
+                )
                 for peer in machines:
                     sequence = 8 if peer == newer_peer else 7
-                    follower.received(peer, replace(STATUS, identity=peer, config_sequence=sequence), START)
+                    follower.message_received(
+                        peer, replace(STATUS, identity=peer, config_sequence=sequence), START
+                    )
                 moments = [START]
                 while (request := follower.next_request(moments[-1])) is None:
                     wakeup = follower.next_wakeup(moments[-1])
@@ -227,7 +231,7 @@
         resumed_at = HEARTBEAT_AT + HEARTBEAT_ANSWER_LIFETIME
         self.receive(FIRST, STATUS, resumed_at)
         self.receive(FIRST, ANSWER, resumed_at)
-        self.assertFalse(self.follower.is_level(resumed_at))
+        self.assertFalse(self.follower.is_up_to_date(resumed_at))
 
     def test_a_heartbeat_answer_with_a_newer_position_leads_to_a_request(self) -> None:
         self.start_at(7)
@@ -260,12 +264,12 @@
     def test_a_response_that_is_being_received_is_not_overdue(self) -> None:
         self.start_at(7)
         self.receive(FIRST, replace(STATUS, config_sequence=8))
-        self.follower.received(SECOND, replace(STATUS, identity=SECOND, config_sequence=8), START)
-        self.assertEqual(FIRST, self.follower.asked)
-        part_received_at = START + ANSWER_LIMIT - 0.01
-        self.follower.answering(FIRST, part_received_at)
-        self.assertIsNone(self.follower.next_request(START + ANSWER_LIMIT + 0.01))
-        self.assertIsNotNone(self.follower.next_request(part_received_at + ANSWER_LIMIT + 0.01))
+        self.follower.message_received(SECOND, replace(STATUS, identity=SECOND, config_sequence=8), START)
+        self.assertEqual(FIRST, self.follower.awaited_peer)
+        part_received_at = START + RESPONSE_TIMEOUT - 0.01
+        self.follower.restart_response_timeout(FIRST, part_received_at)
+        self.assertIsNone(self.follower.next_request(START + RESPONSE_TIMEOUT + 0.01))
+        self.assertIsNotNone(self.follower.next_request(part_received_at + RESPONSE_TIMEOUT + 0.01))
 
     def test_before_the_first_configuration_a_machine_that_timed_out_is_ranked_last(self) -> None:
         self.receive(FIRST, STATUS)
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -90,7 +90,7 @@
                 self.assertEqual(message, decode_message(type_number, data[HEADER.size :]))
 
     def test_release_0_reads_current_messages(self) -> None:
-        status = Status("10.0.0.1", 3, "10.0.0.2", True, False, 3, 9, 7, MEMBERS, RELEASE, 4)
+        status = Status("10.0.0.1", 3, "10.0.0.2", True, False, 3, 9, 7, MEMBERS, PROTOCOL_RELEASE, 4)
         machines = (ControlMachine("10.0.0.1", "z1"), ControlMachine("10.0.0.2", "z2"))
         for message, schema in (
             (Hello("10.0.0.9", "edge", "z1", PROTOCOL_RELEASE, False), HELLO),
