--- a/rookwood/controlplane/__init__.py
+++ b/rookwood/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: configuration, worker registry and load orders; it runs on the core machines."""
+"""The control plane: configuration, worker registry and load orders. It runs on the core machines."""
--- a/rookwood/controlplane/configuration_feed.py
+++ b/rookwood/controlplane/configuration_feed.py
@@ -1,4 +1,4 @@
-"""Answers the dispatchers that ask for the configuration."""
+"""Sends the committed configuration to dispatchers that fetch it, in full or as a delta."""
 
 from __future__ import annotations
 
@@ -21,35 +21,35 @@
 
 logger = logging.getLogger("rookwood")
 
-REMEMBERED_FRAMES = 64  # by base; dispatchers that keep up ask on few different ones
-LARGEST_DELTA = 64 * 1024  # bytes
-DELTA_SHARE = 0.25  # of the whole's bytes before compression, which makes these several times fewer
-NO_FRAME = b""
+MAX_CACHED_FRAMES = 64  # delta frames; dispatchers that are up to date fetch from few different bases
+MAX_DELTA_BYTES = 64 * 1024
+MAX_DELTA_SHARE = 0.25  # of the full configuration's size before compression, which shrinks it several times
+NO_FRAME = b""  # in place of a delta that is unknown or too large
 
 
-class ChangesKey(NamedTuple):
-    """Names an answer that tells changes."""
+class DeltaKey(NamedTuple):
+    """Identifies a delta by the positions that it leads to and starts from."""
 
     position: ConfigurationPosition
     base: ConfigurationPosition
 
 
-class WholeFrame(NamedTuple):
-    """An encoded whole configuration."""
+class FullFrame(NamedTuple):
+    """An encoded full configuration and its position."""
 
     position: ConfigurationPosition
     frame: bytes
 
 
 class ConfigurationFeed:
-    """The committed configuration of one control machine, and the answers made of it."""
+    """Holds the committed configuration of one control machine and responds to fetch requests."""
 
     def __init__(self, group: ControlGroup) -> None:
         self._group = group
         self._history = ConfigurationHistory()
-        self._changes: cachetools.LRUCache[ChangesKey, bytes] = cachetools.LRUCache(REMEMBERED_FRAMES)
-        self._wholes: dict[bool, WholeFrame] = {}  # the newest with and without confirmation
-        self.answers: set[asyncio.Task[None]] = set()
+        self._delta_frames: cachetools.LRUCache[DeltaKey, bytes] = cachetools.LRUCache(MAX_CACHED_FRAMES)
+        self._full_frames: dict[bool, FullFrame] = {}  # the newest, by whether it is confirmed
+        self.pending_fetches: set[asyncio.Task[None]] = set()
 
     @property
     def configuration(self) -> Configuration:
@@ -58,71 +58,71 @@
 
     @property
     def position(self) -> ConfigurationPosition:
-        """The position of the newest commit that was taken in."""
+        """The position of the newest commit that was applied here."""
         return self._history.position
 
-    def take_commit(self) -> bool:
-        """Take in the newest commit; returns whether it changed the configuration."""
-        return self._take(self._group.snapshot())
+    def apply_commit(self) -> bool:
+        """Apply the newest commit; returns whether it changed the configuration."""
+        return self._apply(self._group.snapshot())
 
-    def answer(self, connection: Connection, question: FetchConfiguration) -> None:
-        """Send the configuration, or its changes since what the subscriber has."""
-        if not question.confirm:
+    def handle_fetch(self, connection: Connection, request: FetchConfiguration) -> None:
+        """Send the configuration; if the request says so, only after a quorum round has confirmed it."""
+        if not request.confirm:
             snapshot = self._group.snapshot()
-            connection.send_frame(self._frame(snapshot, question.base), ConflationKey.CONFIGURATION)
+            connection.send_frame(self._encode_response(snapshot, request.base), ConflationKey.CONFIGURATION)
             return
-        answering = asyncio.create_task(self._send_confirmed(connection))
-        self.answers.add(answering)
-        answering.add_done_callback(self.answers.discard)
+        task = asyncio.create_task(self._send_confirmed(connection))
+        self.pending_fetches.add(task)
+        task.add_done_callback(self.pending_fetches.discard)
 
     async def _send_confirmed(self, connection: Connection) -> None:
-        """Send the configuration once a round that begins now confirmed it; else nothing."""
+        """Send the configuration if a quorum round that begins now confirms it; otherwise send nothing."""
         outcome = await self._group.confirm()
         if isinstance(outcome, Confirmed):
-            frame = self._whole_frame(outcome.snapshot, confirmed=True)
+            frame = self._full_frame(outcome.snapshot, confirmed=True)
             connection.send_frame(frame, ConflationKey.CONFIGURATION)
 
-    def _take(self, snapshot: Snapshot) -> bool:
+    def _apply(self, snapshot: Snapshot) -> bool:
         source = read_payload(snapshot.payload).source
         if not source:
             return False
         try:
             return self._history.commit(position_of(snapshot), source)
         except BUILD_ERRORS:
-            logger.exception("committed configuration can't be read; it is told whole")
+            logger.exception("committed configuration can't be read; sending it in full")
             return False
 
-    def _frame(self, snapshot: Snapshot, base: ConfigurationPosition) -> bytes:
-        """The changes since the base, or the whole where they are not known or not clearly shorter."""
-        return self._changes_frame(snapshot, base) or self._whole_frame(snapshot, confirmed=False)
+    def _encode_response(self, snapshot: Snapshot, base: ConfigurationPosition) -> bytes:
+        """The delta from the base; the full configuration if the delta is unknown or not clearly smaller."""
+        return self._delta_frame(snapshot, base) or self._full_frame(snapshot, confirmed=False)
 
-    def _changes_frame(self, snapshot: Snapshot, base: ConfigurationPosition) -> bytes:
-        """The changes since the base; empty where the whole is to be sent."""
+    def _delta_frame(self, snapshot: Snapshot, base: ConfigurationPosition) -> bytes:
+        """The encoded delta from the base; NO_FRAME if the full configuration is to be sent."""
         if self._history.position != position_of(snapshot):
             return NO_FRAME
-        key = ChangesKey(self._history.position, base)
-        frame = self._changes.get(key)
+        key = DeltaKey(self._history.position, base)
+        frame = self._delta_frames.get(key)
         if frame is None:
-            frame = self._encode_changes(base, len(read_payload(snapshot.payload).source))
-            self._changes[key] = frame
+            frame = self._encode_delta(base, len(read_payload(snapshot.payload).source))
+            self._delta_frames[key] = frame
         return frame
 
-    def _encode_changes(self, base: ConfigurationPosition, whole: int) -> bytes:
+    def _encode_delta(self, base: ConfigurationPosition, full_size: int) -> bytes:
         delta = self._history.changes_since(base)
         if delta is None:
             return NO_FRAME
         frame = encode_frame(delta)
-        return frame if len(frame) <= min(LARGEST_DELTA, DELTA_SHARE * whole) else NO_FRAME
+        return frame if len(frame) <= min(MAX_DELTA_BYTES, MAX_DELTA_SHARE * full_size) else NO_FRAME
 
-    def _whole_frame(self, snapshot: Snapshot, *, confirmed: bool) -> bytes:
-        """The whole configuration, encoded once for all subscribers that ask for it."""
+    def _full_frame(self, snapshot: Snapshot, *, confirmed: bool) -> bytes:
+        """The encoded full configuration, which is encoded once for all subscribers that fetch it."""
         position = position_of(snapshot)
-        known = self._wholes.get(confirmed)
-        if known is None or known.position != position:
+        cached = self._full_frames.get(confirmed)
+        if cached is None or cached.position != position:
             source = read_payload(snapshot.payload).source
             body = ConfigurationBody(snapshot.epoch, snapshot.sequence, source, confirmed)
-            known = self._wholes[confirmed] = WholeFrame(position, encode_frame(body))
-        return known.frame
+            cached = self._full_frames[confirmed] = FullFrame(position, encode_frame(body))
+        return cached.frame
 
 
 def position_of(snapshot: Snapshot) -> ConfigurationPosition:
--- a/rookwood/controlplane/configuration_history.py
+++ b/rookwood/controlplane/configuration_history.py
@@ -1,11 +1,11 @@
-"""The committed configuration as a control machine tells it: whole, or by its changes since a base.
+"""Tracks when each item of the committed configuration changed, so that deltas can be computed.
 
-For each item the position is kept at which this machine saw it change. The changes since a base are then the
-items that changed after it, with their newest texts: they can be computed for every base since this machine
-came to know a configuration, and cover any number of versions at once.
+For each item, the position at which this machine saw it change is kept. The delta from a base consists of the
+items that changed after the base, with their newest texts. It can be computed from every configuration that
+this machine has seen, and may span any number of versions.
 
-A machine need not see each commit, and does not know what came and went between two that it saw. So it tells
-changes only since bases that it has seen itself.
+A machine may miss commits, and then does not know which items were added and removed again in between. It
+therefore computes deltas only from bases that it has seen itself.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from rookwood.clusterconfig.document import Configuration
 from rookwood.clusterconfig.items import Item, ItemChanges, ItemKey
 
-MOST_BASES = 4096  # positions since which changes are told
-MOST_REMOVED = 4096  # removed items that are remembered; a base from before the oldest gets the whole
+MOST_BASES = 4096  # positions from which deltas are computed
+MOST_REMOVED = 4096  # removed items that are remembered; there is no delta from a base before the oldest
 
 
 class ConfigurationHistory:
-    """Follows the commits of one control machine."""
+    """Records the commits that one control machine sees, and computes deltas between them."""
 
     def __init__(self) -> None:
         self._store = ConfigurationStore()
         self._changed_at: dict[ItemKey, ConfigurationPosition] = {}
         self._removed_at: dict[ItemKey, ConfigurationPosition] = {}
-        self._seen: dict[ConfigurationPosition, None] = {}
+        self._bases: dict[ConfigurationPosition, None] = {}
         self._source = b""
         self.position = NO_CONFIGURATION
 
@@ -39,22 +39,22 @@
         return self._store.configuration
 
     def commit(self, position: ConfigurationPosition, source: bytes) -> bool:
-        """Take in a committed, validated configuration; returns whether it differs from the last one."""
+        """Apply a committed, validated configuration; returns whether it differs from the last one."""
         if position <= self.position:
             return False
         changed = source != self._source
         if changed:
-            self._note(self._store.replace(source), position)
+            self._record_changes(self._store.replace(source), position)
             self._source = source
         self.position = position
-        self._seen[position] = None
-        while len(self._seen) > MOST_BASES:
-            del self._seen[next(iter(self._seen))]
+        self._bases[position] = None
+        while len(self._bases) > MOST_BASES:
+            del self._bases[next(iter(self._bases))]
         return changed
 
     def changes_since(self, base: ConfigurationPosition) -> ConfigurationDelta | None:
-        """The newest configuration by its changes since a base; None where the base is too old or unknown."""
-        if base not in self._seen:
+        """The delta from a base to the newest configuration; None if the base is too old or unknown."""
+        if base not in self._bases:
             return None
         changed = tuple(Item(key, self._store.texts[key]) for key in keys_after(self._changed_at, base))
         removed = tuple(keys_after(self._removed_at, base))
@@ -67,7 +67,7 @@
             digest=self._store.digest,
         )
 
-    def _note(self, changes: ItemChanges, position: ConfigurationPosition) -> None:
+    def _record_changes(self, changes: ItemChanges, position: ConfigurationPosition) -> None:
         for item in changes.changed:
             self._removed_at.pop(item.key, None)
             self._changed_at.pop(item.key, None)
@@ -81,15 +81,15 @@
             self._forget_bases(self._removed_at.pop(oldest))
 
     def _forget_bases(self, until: ConfigurationPosition) -> None:
-        """Forget the bases before a position: a removal at it is not known any more."""
-        while self._seen and (oldest := next(iter(self._seen))) < until:
-            del self._seen[oldest]
+        """Forget the bases before a position, because a removal at that position was forgotten."""
+        while self._bases and (oldest := next(iter(self._bases))) < until:
+            del self._bases[oldest]
 
 
 def keys_after(
     positions: dict[ItemKey, ConfigurationPosition], base: ConfigurationPosition
 ) -> Iterator[ItemKey]:
-    """The keys with a position after the base; the positions rise in the order of the mapping."""
+    """Yield the keys with a position after the base; the mapping must be ordered by position."""
     for key, position in reversed(positions.items()):
         if position <= base:
             return
--- a/rookwood/controlplane/control_api.py
+++ b/rookwood/controlplane/control_api.py
@@ -1,4 +1,4 @@
-"""The state of the control group over HTTP, for `rookwood control`: status, history, planned transfer."""
+"""HTTP interface for `rookwood control`: status of the control group, history, transfer of leadership."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class ControlApi:
-    """Handlers below /control. They tell what this machine knows, which may be less than the primary does."""
+    """Handlers below /control. They report the state of this machine, which may be behind the primary's."""
 
     def __init__(self, ip: str, group: ControlGroup, dispatchers: DispatcherProgress) -> None:
         self._ip = ip
@@ -55,22 +55,22 @@
         application.router.add_post(TRANSFER_PATH, self.transfer)
 
     async def status(self, request: web.Request) -> web.Response:
-        """This machine, its role and its copy."""
+        """Report this machine's role and its copy of the replicated state."""
         return web.json_response(self._status().to_json())
 
     async def history(self, request: web.Request) -> web.Response:
-        """The newest changes that are remembered here; `limit` tells how many."""
+        """Report the newest accepted changes that are remembered here, at most `limit` of them."""
         text = request.query.get(LIMIT_PARAMETER, str(DEFAULT_HISTORY))
         if not text.isascii() or not text.isdecimal() or not 0 < len(text) < DIGEST_CHARACTERS:
             return web.json_response({"err": "limit is not a number"}, status=400)
         snapshot = self._group.snapshot()
-        taken = read_payload(snapshot.payload).accepted
-        newest = taken[max(0, len(taken) - int(text)) :]
+        accepted = read_payload(snapshot.payload).accepted
+        newest = accepted[max(0, len(accepted) - int(text)) :]
         changes = tuple(HistoryEntry(change.version, change.digest.hex()) for change in newest)
         return web.json_response(MachineHistory(self._ip, position_of(snapshot), changes).to_json())
 
     async def transfer(self, request: web.Request) -> web.Response:
-        """Hand the leadership over, where this machine is the primary."""
+        """Transfer leadership to another member, if this machine is the primary."""
         outcome = await self._group.transfer()
         if isinstance(outcome, Transferred):
             return web.json_response({"from": self._ip, "epoch": outcome.epoch})
@@ -109,7 +109,7 @@
 
 
 def dispatcher_overview(dispatchers: DispatcherProgress) -> DispatcherOverview:
-    """How many dispatchers report, and who is farthest behind."""
+    """How many dispatchers report their position, and which one is farthest behind."""
     reporting = sum(1 for _ in dispatchers.lags())
     lag = dispatchers.farthest_behind()
     if lag is None:
@@ -120,7 +120,7 @@
 
 
 def role_name(role: Role) -> ControlRole:
-    """The role without its particulars."""
+    """The name of a role, without its epoch and primary."""
     if isinstance(role, Primary):
         return ControlRole.PRIMARY
     if isinstance(role, Learner):
--- a/rookwood/controlplane/demand.py
+++ b/rookwood/controlplane/demand.py
@@ -1,4 +1,4 @@
-"""Demand by weights key, summed over what all dispatchers report."""
+"""Sums the demand for each weights key over the reports of all dispatchers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from rookwood.modelplacement.loads import Demand
 from rookwood.modelplacement.types import WeightsKey
 
-REPORT_LIFETIME = 3.0  # seconds after which the demand of a reporter that fell silent no longer counts
+REPORT_LIFETIME = 3.0  # seconds after which the last report of a reporter no longer counts
 
 ServiceWeights = tuple[str, WeightsKey]
 WantedByWorker = Mapping[str, Mapping[WeightsKey, float]]
@@ -18,86 +18,91 @@
 
 @dataclass(slots=True)
 class ReportedDemand:
-    """What one reporter told last: a dispatcher, or a control machine for those that it feeds."""
+    """The last report of a dispatcher, or of a control machine for the dispatchers that it feeds."""
 
-    direct: bool
-    told: float = 0.0
+    from_dispatcher: bool
+    received_at: float = 0.0
     dispatchers: int = 1
     keys: dict[ServiceWeights, KeyDemand] = field(default_factory=dict)
     wanted: Counter[WantedWeights] = field(default_factory=Counter)
 
 
 class DemandSum:
-    """Collects reports and adds them up.
+    """Collects the reports of dispatchers and the summaries of control machines, and adds them up.
 
-    What dispatchers want is counted as their reports change it, since plans ask for it far more often.
+    How many dispatchers want which weights is counted when a report arrives, since plans read the counts far
+    more often.
     """
 
     def __init__(self) -> None:
         self._reporters: dict[str, ReportedDemand] = {}
-        self._wants: Counter[WantedWeights] = Counter()
+        self._wanted_counts: Counter[WantedWeights] = Counter()
 
-    def take(self, report: DemandReport | DemandSummary, now: float) -> None:
-        """Take in a dispatcher's report, or another control machine's sum."""
-        direct = isinstance(report, DemandReport)
-        known = self._reporters.setdefault(report.identity, ReportedDemand(direct))
-        known.told = now
+    def record_report(self, report: DemandReport | DemandSummary, now: float) -> None:
+        """Record a dispatcher's report or another control machine's summary."""
+        from_dispatcher = isinstance(report, DemandReport)
+        reporter = self._reporters.setdefault(report.identity, ReportedDemand(from_dispatcher))
+        reporter.received_at = now
         if report.complete:
-            known.direct = direct
-            known.keys.clear()
-            known.dispatchers = 1 if isinstance(report, DemandReport) else report.dispatchers
-            self._replace_wanted(known, _count_wanted(report))
+            reporter.from_dispatcher = from_dispatcher
+            reporter.keys.clear()
+            reporter.dispatchers = 1 if isinstance(report, DemandReport) else report.dispatchers
+            self._replace_wanted(reporter, _count_wanted(report))
         for key in report.keys:
-            known.keys[key.service, WeightsKey(key.model, key.adapter)] = key
+            reporter.keys[key.service, WeightsKey(key.model, key.adapter)] = key
 
     def total(self, service: str, now: float) -> dict[WeightsKey, Demand]:
-        """Demand for the weights of one service."""
-        self._drop_silent(now)
-        sums: dict[WeightsKey, list[KeyDemand]] = defaultdict(list)
-        for known in self._reporters.values():
-            for (name, key), demand in known.keys.items():
+        """The summed demand for each key of one service."""
+        self._drop_expired(now)
+        summed: dict[WeightsKey, list[KeyDemand]] = defaultdict(list)
+        for reporter in self._reporters.values():
+            for (name, key), demand in reporter.keys.items():
                 if name == service:
-                    sums[key].append(demand)
-        return {key: add_demands(demands) for key, demands in sums.items()}
+                    summed[key].append(demand)
+        return {key: add_demands(demands) for key, demands in summed.items()}
 
-    def wanted(self, service: str) -> WantedByWorker:
-        """Per worker of a service the weights wanted there, with the share of dispatchers that want them."""
-        dispatchers = sum(known.dispatchers for known in self._reporters.values())
+    def wanted_shares(self, service: str) -> WantedByWorker:
+        """The weights wanted at each worker of a service, with the share of dispatchers that want them."""
+        dispatchers = sum(reporter.dispatchers for reporter in self._reporters.values())
         shares: dict[str, dict[WeightsKey, float]] = defaultdict(dict)
-        for item, count in self._wants.items():
+        for item, count in self._wanted_counts.items():
             if item.service == service:
                 shares[item.worker][WeightsKey(item.model, item.adapter)] = count / dispatchers
         return shares
 
     def summary(self, identity: str, now: float) -> DemandSummary | None:
-        """The sum of what dispatchers reported here, for the primary; None where none did."""
-        self._drop_silent(now)
-        direct = [known for known in self._reporters.values() if known.direct]
-        if not direct:
+        """The sum of the dispatchers' own reports recorded here, for the primary; None if there are none."""
+        self._drop_expired(now)
+        reporters = [reporter for reporter in self._reporters.values() if reporter.from_dispatcher]
+        if not reporters:
             return None
         wanted: Counter[WantedWeights] = Counter()
-        for known in direct:
-            wanted.update(known.wanted)
+        for reporter in reporters:
+            wanted.update(reporter.wanted)
         counted = tuple(
             CountedWeights(item.service, item.worker, item.model, item.adapter, count)
             for item, count in wanted.items()
         )
-        names = dict.fromkeys(name for known in direct for name in known.keys)
-        return DemandSummary(identity, len(direct), self._sums(direct, names), counted, complete=True)
+        names = dict.fromkeys(name for reporter in reporters for name in reporter.keys)
+        return DemandSummary(
+            identity, len(reporters), self._sum_keys(reporters, names), counted, complete=True
+        )
 
-    def summary_of(self, identity: str, keys: Iterable[KeyDemand]) -> DemandSummary:
-        """The sum of what dispatchers reported here for some keys alone, which is urgent."""
-        direct = [known for known in self._reporters.values() if known.direct]
+    def partial_summary(self, identity: str, keys: Iterable[KeyDemand]) -> DemandSummary:
+        """The sum of the dispatchers' own reports recorded here, for the primary, for some keys only."""
+        reporters = [reporter for reporter in self._reporters.values() if reporter.from_dispatcher]
         names = [(key.service, WeightsKey(key.model, key.adapter)) for key in keys]
-        return DemandSummary(identity, len(direct), self._sums(direct, names), (), complete=False)
+        return DemandSummary(identity, len(reporters), self._sum_keys(reporters, names), (), complete=False)
 
     @staticmethod
-    def _sums(reporters: list[ReportedDemand], names: Iterable[ServiceWeights]) -> tuple[KeyDemand, ...]:
-        sums = []
+    def _sum_keys(reporters: list[ReportedDemand], names: Iterable[ServiceWeights]) -> tuple[KeyDemand, ...]:
+        summed = []
         for service, key in names:
-            demands = [known.keys[service, key] for known in reporters if (service, key) in known.keys]
+            demands = [
+                reporter.keys[service, key] for reporter in reporters if (service, key) in reporter.keys
+            ]
             total = add_demands(demands)
-            sums.append(
+            summed.append(
                 KeyDemand(
                     service,
                     key.model,
@@ -108,21 +113,21 @@
                     total.oldest_wait_s,
                 )
             )
-        return tuple(sums)
+        return tuple(summed)
 
-    def _drop_silent(self, now: float) -> None:
-        for identity, known in list(self._reporters.items()):
-            if now - known.told > REPORT_LIFETIME:
-                self._replace_wanted(known, Counter())
+    def _drop_expired(self, now: float) -> None:
+        for identity, reporter in list(self._reporters.items()):
+            if now - reporter.received_at > REPORT_LIFETIME:
+                self._replace_wanted(reporter, Counter())
                 del self._reporters[identity]
 
-    def _replace_wanted(self, known: ReportedDemand, wanted: Counter[WantedWeights]) -> None:
-        self._wants.update(wanted)
-        self._wants.subtract(known.wanted)
-        for item in known.wanted:
-            if not self._wants[item]:
-                del self._wants[item]
-        known.wanted = wanted
+    def _replace_wanted(self, reporter: ReportedDemand, wanted: Counter[WantedWeights]) -> None:
+        self._wanted_counts.update(wanted)
+        self._wanted_counts.subtract(reporter.wanted)
+        for item in reporter.wanted:
+            if not self._wanted_counts[item]:
+                del self._wanted_counts[item]
+        reporter.wanted = wanted
 
 
 def _count_wanted(report: DemandReport | DemandSummary) -> Counter[WantedWeights]:
--- a/rookwood/controlplane/demand_relay.py
+++ b/rookwood/controlplane/demand_relay.py
@@ -1,6 +1,6 @@
-"""Tells the primary what the dispatchers report that another control machine feeds: their sum.
+"""Sends the primary the summed demand of the dispatchers that this control machine feeds.
 
-Requests that have begun to wait for weights are told at once.
+The sum is sent at regular intervals. Demand of requests that have begun to wait for weights is sent at once.
 """
 
 from __future__ import annotations
@@ -17,43 +17,46 @@
 
 @dataclass(frozen=True, slots=True)
 class PrimaryLink:
-    """The link to a primary on another machine, and its release."""
+    """The link to a primary on another machine, and the protocol release of that primary."""
 
     connection: Connection
     release: int
 
     @property
-    def takes_sums(self) -> bool:
-        """Whether the primary understands sums."""
+    def accepts_summaries(self) -> bool:
+        """Whether the primary accepts summaries; an older one needs the reports themselves."""
         return self.release >= RELEASE_WITH_RELAYED_FEED
 
 
 FindPrimary = Callable[[], PrimaryLink | None]
-"""The link to the primary; None where this machine is the primary, or has no link to it."""
+"""Returns the link to the primary; None if this machine is the primary or has no link to it."""
 
 
 class DemandRelay:
-    """Passes reports on; what was reported is kept in the sum that the load planner uses."""
+    """Relays reports to the primary; they are summed in `demand`, which the load planner here also reads."""
 
     def __init__(self, own_ip: str, demand: DemandSum, find_primary: FindPrimary) -> None:
         self._own_ip = own_ip
         self._demand = demand
         self._find_primary = find_primary
 
-    def reported(self, report: DemandReport) -> None:
-        """A dispatcher that this machine feeds reported, and its report was added to the sum."""
+    def relay_report(self, report: DemandReport) -> None:
+        """Relay a dispatcher's report, which is already recorded in the sum.
+
+        A primary that accepts summaries gets complete reports only with the next summary.
+        """
         primary = self._find_primary()
         if primary is None:
             return
-        if not primary.takes_sums:
+        if not primary.accepts_summaries:
             primary.connection.send(report)
         elif not report.complete:
-            primary.connection.send(self._demand.summary_of(self._own_ip, report.keys))
+            primary.connection.send(self._demand.partial_summary(self._own_ip, report.keys))
 
-    def tell_primary(self, now: float) -> None:
-        """Tell the whole sum: once in an interval, and at once to a new primary."""
+    def send_summary(self, now: float) -> None:
+        """Send the summary of all keys; called at regular intervals, and when the primary changes."""
         primary = self._find_primary()
-        if primary is None or not primary.takes_sums:
+        if primary is None or not primary.accepts_summaries:
             return
         summary = self._demand.summary(self._own_ip, now)
         if summary is not None:
--- a/rookwood/controlplane/group_recovery.py
+++ b/rookwood/controlplane/group_recovery.py
@@ -1,9 +1,11 @@
-"""A new group from the one copy that is left, for when a majority of the disks is gone.
+"""Builds a new control group from one remaining copy, after a majority of the disks was lost.
 
-The copy becomes the document of a group of one member, this machine under a new token, at an epoch above all
-that the lost disks can have promised. The others join that group, emptied, as new machines do.
+The copy becomes the document of a group with one member, this machine under a new token, at an epoch above
+all that the lost disks can have promised. The other machines join that group with empty disks, as new
+machines do.
 
-This gives up what only the lost disks held. So it is refused while a majority of the group may still hold it.
+Recovery gives up everything that only the lost disks held. It is therefore refused while a majority of the
+members may still have their disks.
 """
 
 from __future__ import annotations
@@ -19,33 +21,33 @@
 
 TOKEN_BITS = 62
 
-# Candidates spend an epoch each, at most one in half a second or so. The lost disks would have had to hold
-# elections without this machine for minutes to come near this.
+# Each candidacy uses one epoch, and there is about one in half a second at most. The lost disks can have come
+# near this margin only if they held elections without this machine for minutes.
 EPOCH_MARGIN = 1000
 
 
 @dataclass(frozen=True)
 class NoCopy:
-    """The folder holds no record that can be read."""
+    """The directory holds no readable record; `faults` names the fault of each file."""
 
     faults: tuple[SlotFault, ...]
 
 
 @dataclass(frozen=True)
 class EmptyCopy:
-    """The copy is of a machine that held no document yet."""
+    """The copy belongs to a machine that held no document yet."""
 
 
 @dataclass(frozen=True)
 class MajorityAvailable:
-    """With this copy a majority of the members has its disk: they only have to be started."""
+    """Together with this copy a majority of the members has its disks; they only have to be started."""
 
     holders: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class NewerCopy:
-    """Another member holds a newer copy, which has to be the one that is kept."""
+    """Another member holds a newer copy, from which the group must be recovered instead."""
 
     member: str
     position: Position
@@ -53,21 +55,21 @@
 
 @dataclass(frozen=True)
 class UnaccountedMembers:
-    """These members neither say that their disk is gone, nor were named as lost."""
+    """These members neither report that their disk is lost nor were named as lost."""
 
     members: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class TargetInUse:
-    """The folder that the new group is to start from holds other files already."""
+    """The directory in which the new group would be stored already holds other files."""
 
     directory: str
 
 
 @dataclass(frozen=True)
 class RecoveryPlan:
-    """What would be written, and what is known of the copy."""
+    """The record to write, the position and version of the copy, and the members that are left out."""
 
     record: Record
     copy_position: Position
@@ -80,7 +82,7 @@
 
 @dataclass(frozen=True)
 class ObservedMembers:
-    """What other members tell: how new the copy is that they hold, or that they have lost theirs."""
+    """The answers of other members: the position of the copy that each holds, and who has lost its copy."""
 
     holders: Mapping[str, Position]
     emptied: Collection[str]
@@ -89,7 +91,7 @@
 def plan_recovery(
     ip: str, copy: LoadOutcome, observed: ObservedMembers, named_lost: Collection[str]
 ) -> RecoveryPlan | Refusal:
-    """Decide whether the copy may become a new group; pure."""
+    """Decide whether the copy may become a new group; no I/O."""
     if not isinstance(copy, Found):
         return NoCopy(() if isinstance(copy, Empty) else copy.faults)
     record = copy.record
@@ -102,11 +104,11 @@
     for member in holders:
         if observed.holders[member] > record.document.position:
             return NewerCopy(member, observed.holders[member])
-    gone = {*observed.emptied, *named_lost}
+    lost = {*observed.emptied, *named_lost}
     others = tuple(member for member in members if member not in holders and member != ip)
-    unknown = tuple(member for member in others if member not in gone)
-    if unknown:
-        return UnaccountedMembers(unknown)
+    unaccounted = tuple(member for member in others if member not in lost)
+    if unaccounted:
+        return UnaccountedMembers(unaccounted)
     epoch = record.promised + EPOCH_MARGIN
     token = secrets.randbits(TOKEN_BITS) + 1
     document = Document(Position(epoch, 1), Configuration((Member(ip, token),)), record.document.payload)
@@ -115,7 +117,7 @@
 
 
 def write_plan(plan: RecoveryPlan, directory: str, disk_mb: int) -> bool:
-    """Store the record twice, so that neither of the two files holds an older one; whether that succeeded."""
+    """Store the record twice, so that neither of the two files keeps an older one; returns the success."""
     storage = Storage(directory, disk_mb)
     try:
         storage.load()
@@ -125,7 +127,7 @@
 
 
 def load_copy(directory: str, disk_mb: int) -> LoadOutcome:
-    """Read the copy in a folder."""
+    """Read the copy in a directory."""
     storage = Storage(directory, disk_mb)
     try:
         return storage.load()
--- a/rookwood/controlplane/load_scheduler.py
+++ b/rookwood/controlplane/load_scheduler.py
@@ -1,7 +1,7 @@
-"""Gives load orders to workers while this machine is the primary: one order a worker at a time.
+"""Sends load orders to workers while this machine is the primary, at most one at a time to each worker.
 
-The primary's epoch is the fence of its orders. After a change of primary the new one waits for the
-lease time before its first order, so that holders never take turns within it.
+The primary's epoch is the fencing token of its orders. After a change of primary, `Tenure` delays the first
+order of the new one, so that orders of two primaries are at least the lease time apart.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from rookwood.controlplane.tenure import Tenure
 from rookwood.controlplane.worker_client import (
     HIGHER_FENCE_SEEN,
+    OrderAccepted,
     OrderCall,
-    OrderRefused,
-    OrderTaken,
+    OrderRejected,
     ReportFailed,
     WorkerClient,
     WorkerReport,
@@ -35,33 +35,33 @@
 
 logger = logging.getLogger("rookwood")
 
-PLAN_INTERVAL = 0.25
-LEAST_PLAN_PAUSE = 0.02  # however often reports wake the planner
-IDLE_REPORT_AGE = 1.0
-BUSY_POLL_INTERVAL = 0.06
-POLLS_PER_LOAD = 20  # a slow load is asked after less often
-ORDER_PATIENCE = 20.0
+PLAN_INTERVAL = 0.25  # seconds
+MIN_PLAN_PAUSE = 0.02  # seconds; limits how often reports and demand wake the planner
+IDLE_POLL_INTERVAL = 1.0  # seconds between two reports of an idle worker
+BUSY_POLL_INTERVAL = 0.06  # seconds between two reports of a worker that carries out an order
+POLLS_PER_LOAD = 20  # a worker with a slow load is polled less often
+ORDER_TIMEOUT = 20.0  # seconds for which a worker is polled until its order is done
 FRESH_REPORT_AGE = 0.5
 
 
 @dataclass(slots=True)
 class WorkerStatus:
-    """What the scheduler knows of one worker from its reports."""
+    """The state of one worker, as its reports and the orders sent to it show."""
 
-    started: float
+    first_seen_at: float
     report: WorkerReport | None = None
-    read_at: float = -1e9
-    due: bool = True
-    reading: bool = False
-    executing: bool = False
+    report_read_at: float = -1e9
+    report_due: bool = True
+    report_pending: bool = False
+    order_pending: bool = False
     failures: int = 0
-    leaving: WeightsKey | None = None  # weights that the order under way unloads
-    refused_epoch: int | None = None  # under which the worker has seen a higher fence than ours
+    unloading: WeightsKey | None = None  # weights that the pending order unloads
+    fenced_off_epoch: int | None = None  # own epoch in which the worker had seen a higher fence
 
 
 @dataclass(slots=True)
 class ServicePlan:
-    """The planner of one service's weights, made anew when the configuration changes them."""
+    """The load planner of one service, and the states of its workers."""
 
     engine: Engine
     planner: LoadPlanner
@@ -94,38 +94,38 @@
         self._wake = asyncio.Event()
         self._counter = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._leading_epoch: int | None = None
+        self._tenure_epoch: int | None = None
 
-    def take_demand(self, report: DemandReport | DemandSummary) -> None:
-        """Demand was reported, by a dispatcher or for several; waiting requests wake the planner."""
-        self.demand.take(report, self._now())
+    def record_demand(self, report: DemandReport | DemandSummary) -> None:
+        """Record the demand that one or several dispatchers report; waiting requests wake the planner."""
+        self.demand.record_report(report, self._now())
         if any(key.waiting for key in report.keys) and isinstance(self._group.role(), Primary):
             self._wake.set()
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a new configuration; planners stay, so that orders under way stay known."""
+        """Apply a new configuration; existing planners are kept, as they know the pending orders."""
         engines = {name: service.engine for name, service in configuration.services.items() if service.engine}
         if engines == {name: plan.engine for name, plan in self._plans.items()}:
             return
         plans: dict[str, ServicePlan] = {}
         for name, engine in engines.items():
-            known = self._plans.get(name)
-            plans[name] = self._keep_plan(known, engine) if known else self._new_plan(engine)
+            existing = self._plans.get(name)
+            plans[name] = self._update_plan(existing, engine) if existing else self._new_plan(engine)
         self._plans = plans
         self._wake.set()
 
     async def run(self) -> None:
-        """Plan for ever; cancelled by its task."""
+        """Plan repeatedly until cancelled."""
         self._client = WorkerClient()
         try:
             while True:
-                await self._wait()
-                epoch = self._leading()
+                await self._wait_for_wake()
+                epoch = self._order_epoch()
                 if epoch is None:
-                    self._leading_epoch = None
+                    self._tenure_epoch = None
                     continue
-                if epoch != self._leading_epoch:
-                    self._begin(epoch)
+                if epoch != self._tenure_epoch:
+                    self._begin_tenure(epoch)
                 self._plan_all(epoch)
         finally:
             for task in self._tasks:
@@ -133,15 +133,15 @@
             await self._client.close()
 
     def _plan_all(self, epoch: int) -> None:
-        """Plan each service; a fault in one plan must not end planning for the others."""
+        """Plan each service; an exception in one plan must not stop the planning of the others."""
         for name, plan in self._plans.items():
             try:
                 self._plan_service(name, plan, epoch)
             except Exception:
                 logger.exception("planning failed", extra={"service": name})
 
-    def _keep_plan(self, plan: ServicePlan, engine: Engine) -> ServicePlan:
-        """Take another engine into a plan; orders under way stay known."""
+    def _update_plan(self, plan: ServicePlan, engine: Engine) -> ServicePlan:
+        """Apply a changed engine to a plan, and keep the pending orders."""
         if plan.engine == engine:
             return plan
         plan.engine = engine
@@ -167,32 +167,35 @@
             mechanisms=self._mechanisms,
         )
 
-    def _begin(self, epoch: int) -> None:
-        logger.info("giving load orders", extra={"epoch": epoch})
-        self._leading_epoch = epoch
+    def _begin_tenure(self, epoch: int) -> None:
+        """Start with new planners, since another primary may have issued orders in the meantime."""
+        logger.info("issuing load orders", extra={"epoch": epoch})
+        self._tenure_epoch = epoch
         for plan in self._plans.values():
             plan.planner = self._new_planner(plan.engine)
             plan.planner.begin_tenure(self._now())
             plan.workers.clear()
 
-    def _leading(self) -> int | None:
+    def _order_epoch(self) -> int | None:
+        """The epoch under which this machine may issue orders now; None if it may not."""
         role = self._group.role()
         if not isinstance(role, Primary):
             return None
-        if role.epoch == self._leading_epoch:
+        if role.epoch == self._tenure_epoch:
             return role.epoch
         if not self._tenure.may_issue_orders(role.epoch, role.since, self._now()):
             return None
         return role.epoch
 
-    async def _wait(self) -> None:
+    async def _wait_for_wake(self) -> None:
+        """Wait until the planner is woken, at most for the plan interval."""
         try:
             async with asyncio.timeout(PLAN_INTERVAL):
                 await self._wake.wait()
         except TimeoutError:
             pass
         else:
-            await asyncio.sleep(LEAST_PLAN_PAUSE)
+            await asyncio.sleep(MIN_PLAN_PAUSE)
         self._wake.clear()
 
     def _plan_service(self, name: str, plan: ServicePlan, epoch: int) -> None:
@@ -203,117 +206,123 @@
             if record.service != name:
                 continue
             present.add(record.id)
-            status = plan.workers.setdefault(record.id, WorkerStatus(started=now))
-            self._refresh(plan, record, status, now)
-            if status.refused_epoch == epoch:
-                continue  # another holder orders there under a higher fence
+            status = plan.workers.setdefault(record.id, WorkerStatus(first_seen_at=now))
+            self._refresh_report(plan, record, status, now)
+            if status.fenced_off_epoch == epoch:
+                continue  # another primary sends orders there under a higher fence
             if status.report is not None and status.failures == 0:
-                workers.append(describe(plan.engine, record, status, status.report))
+                workers.append(describe_worker(plan.engine, record, status, status.report))
         for worker in plan.workers.keys() - present:
             del plan.workers[worker]
         demand = self.demand.total(name, now)
-        orders = plan.planner.plan(now, workers, demand, self.demand.wanted(name))
+        orders = plan.planner.plan(now, workers, demand, self.demand.wanted_shares(name))
         for order in orders:
-            self._start(self._execute(plan, order, epoch))
+            self._start_task(self._execute(plan, order, epoch))
 
-    def _refresh(self, plan: ServicePlan, record: WorkerRecord, status: WorkerStatus, now: float) -> None:
-        if status.reading or status.executing:
+    def _refresh_report(
+        self, plan: ServicePlan, record: WorkerRecord, status: WorkerStatus, now: float
+    ) -> None:
+        """Start to read a worker's report, if one is due and no call to the worker is pending."""
+        if status.report_pending or status.order_pending:
             return
         busy = status.report is not None and status.report.busy
-        hastens = busy and self._mechanisms.has(Mechanism.BUSY_REPORTS)
-        pause = BUSY_POLL_INTERVAL if hastens else IDLE_REPORT_AGE
-        if not status.due and now - status.read_at < pause:
+        polls_fast = busy and self._mechanisms.has(Mechanism.BUSY_REPORTS)
+        interval = BUSY_POLL_INTERVAL if polls_fast else IDLE_POLL_INTERVAL
+        if not status.report_due and now - status.report_read_at < interval:
             return
-        status.reading = True
-        status.due = False
-        self._start(self._read(record, status))
+        status.report_pending = True
+        status.report_due = False
+        self._start_task(self._read_report(record, status))
 
-    async def _read(self, record: WorkerRecord, status: WorkerStatus) -> None:
+    async def _read_report(self, record: WorkerRecord, status: WorkerStatus) -> None:
         assert self._client is not None
         first = status.report is None
         try:
             report = await self._client.report(record.address, record.id)
         finally:
-            status.reading = False
-        status.read_at = self._now()
-        taken = self._take_report(record.id, status, report)
-        if taken is not None and first:
+            status.report_pending = False
+        status.report_read_at = self._now()
+        recorded = self._record_report(record.id, status, report)
+        if recorded is not None and first:
             self._wake.set()
 
-    def _take_report(
+    def _record_report(
         self, worker: str, status: WorkerStatus, report: WorkerReport | ReportFailed
     ) -> WorkerReport | None:
-        """Take in what a worker answered; return the report, or None if it counts for nothing."""
+        """Record a worker's report; returns None if it failed or another worker sent it."""
         if isinstance(report, ReportFailed) or is_of_another_worker(status.report, report):
             status.failures += 1
             return None
         status.failures = 0
         status.report = report
-        status.read_at = self._now()
-        self._tell_holding(worker, status)
+        status.report_read_at = self._now()
+        self._publish_holding(worker, status)
         return report
 
-    def _tell_holding(self, worker: str, status: WorkerStatus) -> None:
-        """Tell the dispatchers what a worker holds, without what it is about to unload.
+    def _publish_holding(self, worker: str, status: WorkerStatus) -> None:
+        """Publish which weights a worker holds, without those that it is about to unload.
 
-        An unload waits for the requests that run, and meanwhile the worker rejects others for these weights.
+        An unload waits for the running requests, and meanwhile the worker rejects others for these weights.
         """
-        epoch = self._leading_epoch
+        epoch = self._tenure_epoch
         if epoch is None or status.report is None:
             return
         self._counter += 1
-        models = without_weights(status.report.models, status.leaving)
+        models = without_weights(status.report.models, status.unloading)
         self._table.set_holding(worker, models, HoldingStamp(epoch, self._counter))
 
     async def _execute(self, plan: ServicePlan, order: LoadOrder, epoch: int) -> None:
+        """Send an order, record its outcome, and wait until the worker has carried it out."""
         assert self._client is not None
         record = self._view.registry.get(order.worker)
         status = plan.workers.get(order.worker)
-        if record is None or status is None or self._leading() != epoch:
+        if record is None or status is None or self._order_epoch() != epoch:
             plan.planner.record_outcome(self._now(), order, False)
             return
         now = self._now()
         plan.planner.record_sending(now, order)
-        status.executing = True
+        status.order_pending = True
         if not order.is_load and self._mechanisms.has(Mechanism.UNLOAD_NOTICE):
-            status.leaving = order.key
-            self._tell_holding(order.worker, status)
+            status.unloading = order.key
+            self._publish_holding(order.worker, status)
         call = OrderCall(
             order.is_load, order.key.model, order.key.adapter, self._owner, epoch, order.if_sequence
         )
         try:
             outcome = await self._client.order(record.address, record.id, call)
-            if isinstance(outcome, OrderTaken):
+            if isinstance(outcome, OrderAccepted):
                 plan.planner.record_outcome(self._now(), order, True)
                 if not outcome.done:
-                    await self._follow(record, status, order.if_sequence, poll_interval(plan, order))
-            elif isinstance(outcome, OrderRefused):
-                logger.info("order refused", extra={"worker": order.worker, "status": outcome.status})
+                    await self._await_completion(
+                        record, status, order.if_sequence, poll_interval(plan, order)
+                    )
+            elif isinstance(outcome, OrderRejected):
+                logger.info("order rejected", extra={"worker": order.worker, "status": outcome.status})
                 if outcome.status == HIGHER_FENCE_SEEN:
-                    status.refused_epoch = epoch
+                    status.fenced_off_epoch = epoch
                 plan.planner.record_outcome(self._now(), order, False)
             else:
                 plan.planner.record_outcome(self._now(), order, None)
         finally:
-            status.executing = False
-            status.leaving = None
-            status.due = True
+            status.order_pending = False
+            status.unloading = None
+            status.report_due = True
             self._wake.set()
 
-    async def _follow(
+    async def _await_completion(
         self, record: WorkerRecord, status: WorkerStatus, sequence: int, interval: float
     ) -> None:
-        """Read reports until the order given on top of `sequence` is done."""
+        """Read reports until one shows that the order sent after the sequence number `sequence` is done."""
         assert self._client is not None
-        deadline = self._now() + ORDER_PATIENCE
+        deadline = self._now() + ORDER_TIMEOUT
         while self._now() < deadline and self._view.registry.get(record.id) is not None:
             await asyncio.sleep(interval)
-            answer = await self._client.report(record.address, record.id)
-            report = self._take_report(record.id, status, answer)
+            response = await self._client.report(record.address, record.id)
+            report = self._record_report(record.id, status, response)
             if report is None or (report.sequence > sequence and not report.busy):
                 return
 
-    def _start(self, work: object) -> None:
+    def _start_task(self, work: object) -> None:
         task: asyncio.Task[None] = asyncio.create_task(work)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -324,50 +333,50 @@
 
 
 def is_of_another_worker(before: WorkerReport | None, report: WorkerReport) -> bool:
-    """Whether a report cannot come from the worker that gave the one before.
+    """Whether a report cannot come from the worker that sent the one before.
 
-    Workers answer whatever instance is asked for, and addresses are used again. The sequence of one
-    incarnation never goes back, so a report in which it does comes from another worker at the address.
+    Workers may respond to a call that was meant for another instance, and addresses are reused. The sequence
+    of one incarnation never decreases, so a report in which it does comes from another worker at the address.
     """
     return before is not None and report.sequence < before.sequence
 
 
 def without_weights(models: tuple[HeldModel, ...], key: WeightsKey | None) -> tuple[HeldModel, ...]:
-    """The models without one of them, or without one adapter."""
+    """The models without the model or adapter that the key names."""
     if key is None:
         return models
     if not key.adapter:
-        return tuple(held for held in models if held.name != key.model)
+        return tuple(model for model in models if model.name != key.model)
     return tuple(
-        replace(held, adapters=held.adapters - {key.adapter}) if held.name == key.model else held
-        for held in models
+        replace(model, adapters=model.adapters - {key.adapter}) if model.name == key.model else model
+        for model in models
     )
 
 
 def poll_interval(plan: ServicePlan, order: LoadOrder) -> float:
-    """How often to ask after an order, in seconds."""
+    """The interval, in seconds, at which a worker is polled for the end of an order."""
     model = plan.engine.models.get(order.key.model)
     if model is None or order.key.adapter or not order.is_load:
         return BUSY_POLL_INTERVAL
     return max(BUSY_POLL_INTERVAL, model.load_s / POLLS_PER_LOAD)
 
 
-def describe(
+def describe_worker(
     engine: Engine, record: WorkerRecord, status: WorkerStatus, report: WorkerReport
 ) -> WorkerWeights:
-    """The planner's view of a worker."""
+    """Describe a worker for the planner."""
     return WorkerWeights(
         worker=record.id,
         zone=record.zone,
         size_mb=engine.size_mb,
         adapter_slots=engine.adapter_slots,
         slots=record.slots,
-        models={held.name: held.adapters for held in report.models},
-        busy=report.busy or status.executing,
+        models={model.name: model.adapters for model in report.models},
+        busy=report.busy or status.order_pending,
         sequence=report.sequence,
         active=report.active,
         queued=report.queued,
         draining=record.state is WorkerState.DRAINING,
-        started=status.started,
-        reported=status.read_at,
+        started=status.first_seen_at,
+        reported=status.report_read_at,
     )
--- a/rookwood/controlplane/metrics.py
+++ b/rookwood/controlplane/metrics.py
@@ -1,4 +1,4 @@
-"""The figures that a control machine tells."""
+"""The metrics of a control machine."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ControlPlaneMetrics:
-    """Reads the parts of a control machine when it is scraped."""
+    """Collects the metrics of a control machine's components at each scrape."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._configuration = configuration
 
     def families(self) -> Iterator[Metric]:
-        """All figures."""
+        """Yield all metrics."""
         version = read_payload(self._group.snapshot().payload).version
         yield from configuration_families(version, self._progress)
         yield from dispatcher_families(list(self._dispatchers.lags()))
@@ -61,7 +61,9 @@
         yield from activity_families(self._group.activity)
         yield from write_families(self._group.activity.writes)
         yield gauge(
-            "confirmations_open", "Fetches that await a confirming round.", len(self._configuration.answers)
+            "confirmations_open",
+            "Fetch requests that await a confirming quorum round.",
+            len(self._configuration.pending_fetches),
         )
         yield gauge("workers_known", "Workers in the view.", sum(1 for _ in self._view.registry))
         yield from invariant_families(INVARIANTS)
@@ -75,19 +77,21 @@
     def _group_families(self) -> Iterator[Metric]:
         role = self._group.role()
         name = role_name(role).value
-        yield gauges("role", "1 for the present role.", ("role",), [Sample({"role": name}, 1)])
-        yield gauge("epoch", "Epoch of the primary that is known.", _epoch(self._group))
+        yield gauges("role", "1 for the current role.", ("role",), [Sample({"role": name}, 1)])
+        yield gauge("epoch", "Epoch of the known primary.", _known_epoch(self._group))
         yield gauge("promised_epoch", "Highest epoch promised.", self._group.promised_epoch())
         yield gauge(
             "members_reachable",
-            "Members heard lately, itself included.",
+            "Members in contact, this one included.",
             len(self._group.reachable_members()),
         )
-        yield gauge("calls_open", "Changes and confirmations under way.", self._group.pending_calls)
-        yield gauge("disk_writes_open", "Writes that are not synced yet.", self._group.pending_writes)
+        yield gauge(
+            "calls_open", "Proposed changes and confirmations that are pending.", self._group.pending_calls
+        )
+        yield gauge("disk_writes_open", "Disk writes that are not synced yet.", self._group.pending_writes)
 
 
-def _epoch(group: ControlGroup) -> int:
+def _known_epoch(group: ControlGroup) -> int:
     role = group.role()
     return 0 if isinstance(role, Unattached) else role.epoch
 
@@ -96,7 +100,7 @@
     """How far each dispatcher that has reported is behind the newest commit."""
     yield gauges(
         "dispatcher_behind_seconds",
-        "Age of the oldest commit that the dispatcher has not reported; 0 when level.",
+        "Age of the oldest commit that the dispatcher has not reported; 0 when up to date.",
         DISPATCHER_LABELS,
         (Sample({"dispatcher": lag.dispatcher}, lag.behind_seconds) for lag in lags),
     )
@@ -119,19 +123,19 @@
 
 
 def activity_families(activity: GroupActivity) -> Iterator[Metric]:
-    """Elections, refusals and changes of role."""
+    """Elections, refused promises and role changes."""
     refused = (
         Sample({"kind": "older_epoch"}, activity.old_epoch_refusals),
         Sample({"kind": "pre_vote"}, activity.pre_vote_refusals),
     )
     yield counter("elections_begun", "Epochs for which this member asked for votes.", activity.elections)
     yield counter("pre_votes_begun", "Pre-vote ballots that this member sent.", activity.pre_votes)
-    yield counters("promises_refused", "Refusals sent, by kind.", ("kind",), refused)
-    yield counter("role_changes", "Changes of role.", activity.role_changes)
+    yield counters("promises_refused", "Refusals that this member sent, by kind.", ("kind",), refused)
+    yield counter("role_changes", "Role changes.", activity.role_changes)
 
 
 def write_families(writes: WriteTimes) -> Iterator[Metric]:
-    """Durable writes and how long they took."""
+    """Durable writes and their durations."""
     yield counter("disk_writes", "Durable writes, failed ones included.", writes.writes)
     yield counter("disk_write_failures", "Durable writes that failed.", writes.failures)
     yield counter("disk_write_seconds", "Time spent in durable writes.", writes.total_seconds)
--- a/rookwood/controlplane/notice_relay.py
+++ b/rookwood/controlplane/notice_relay.py
@@ -1,7 +1,7 @@
-"""Passes the dispatchers' work notices on, several in one frame, so that each reaches a dispatcher once.
+"""Relays the dispatchers' work notices, several in one frame, so that each reaches a dispatcher once.
 
-A dispatcher tells the machine that feeds it. That one tells its other dispatchers and the other control
-machines, which tell theirs.
+A dispatcher sends its notices to the control machine that feeds it. That machine relays them to its other
+dispatchers and to the other control machines, which relay them to their dispatchers.
 """
 
 from __future__ import annotations
@@ -11,38 +11,38 @@
 from rookwood.cluster.messages import WorkNotice, WorkNotices
 from rookwood.cluster.throttle import Throttle
 
-LEAST_INTERVAL = 0.05  # seconds between two frames of notices
+MIN_INTERVAL = 0.05  # seconds between two frames of notices, at least
 
 SendNotices = Callable[[WorkNotices], None]
 
 
 class NoticeRelay:
-    """Sends notices at once where they are rare, and collects them where they are many."""
+    """Relays notices without delay while they are rare, and in batches when they are frequent."""
 
     def __init__(self, to_dispatchers: SendNotices, to_control_machines: SendNotices) -> None:
         self._to_dispatchers = to_dispatchers
         self._to_control_machines = to_control_machines
-        self._collected: list[WorkNotice] = []
-        self._own: list[WorkNotice] = []
-        self._throttle = Throttle(LEAST_INTERVAL, self._flush)
+        self._pending: list[WorkNotice] = []
+        self._pending_from_dispatchers: list[WorkNotice] = []
+        self._throttle = Throttle(MIN_INTERVAL, self._flush)
 
-    def take_own(self, message: WorkNotices) -> None:
-        """A dispatcher that this machine feeds sent notices."""
-        self._own.extend(message.notices)
-        self._collect(message)
+    def relay_from_dispatcher(self, message: WorkNotices) -> None:
+        """Relay notices from a dispatcher that this machine feeds."""
+        self._pending_from_dispatchers.extend(message.notices)
+        self._add(message)
 
-    def take(self, message: WorkNotices) -> None:
-        """Another control machine passed on those of its dispatchers."""
-        self._collect(message)
+    def relay_from_control_machine(self, message: WorkNotices) -> None:
+        """Relay notices that another control machine has from its dispatchers."""
+        self._add(message)
 
-    def _collect(self, message: WorkNotices) -> None:
-        self._collected.extend(message.notices)
+    def _add(self, message: WorkNotices) -> None:
+        self._pending.extend(message.notices)
         self._throttle.request()
 
     def _flush(self) -> None:
-        collected, own = tuple(self._collected), tuple(self._own)
-        self._collected.clear()
-        self._own.clear()
-        self._to_dispatchers(WorkNotices(collected))
-        if own:
-            self._to_control_machines(WorkNotices(own))
+        pending, from_dispatchers = tuple(self._pending), tuple(self._pending_from_dispatchers)
+        self._pending.clear()
+        self._pending_from_dispatchers.clear()
+        self._to_dispatchers(WorkNotices(pending))
+        if from_dispatchers:
+            self._to_control_machines(WorkNotices(from_dispatchers))
--- a/rookwood/controlplane/operator_api.py
+++ b/rookwood/controlplane/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's interface: read and change the configuration. Definitive answers come from the primary."""
+"""The operator's HTTP interface, which reads and changes the configuration; only the primary serves it."""
 
 from __future__ import annotations
 
@@ -36,28 +36,28 @@
 
 logger = logging.getLogger("rookwood")
 
-ATTACH_PATIENCE = 0.7  # seconds for which a call waits for a primary to be known
-ATTACH_POLL = 0.05
-NO_BASE = -1
+PRIMARY_WAIT_LIMIT = 0.7  # seconds that a call waits until a primary is known
+PRIMARY_POLL_INTERVAL = 0.05  # seconds
+NO_BASE = -1  # no valid If-Match header was sent
 VERSION_TEXT = re.compile(r"[0-9]{1,19}")  # versions are below 2**63
-RETRY_AFTER = "0.3"
-OVERLOAD_RETRY_AFTER = "1"  # seconds; about a third of the changes that may wait are made by then
+RETRY_AFTER = "0.3"  # seconds
+OVERLOAD_RETRY_AFTER = "1"  # seconds, in which about a third of the largest queue of changes is processed
 
 
 @dataclass(frozen=True, slots=True)
-class Here:
+class LocalPrimary:
     """This machine is the primary."""
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
-    """Another machine is the primary."""
+class RemotePrimary:
+    """Another machine, with this address, is the primary."""
 
     ip: str
 
 
 @dataclass(frozen=True, slots=True)
-class Nowhere:
+class UnknownPrimary:
     """No primary is known."""
 
 
@@ -75,34 +75,34 @@
         application.router.add_patch("/config", self.patch)
 
     async def read(self, request: web.Request) -> web.Response:
-        """The newest committed configuration, after leadership was confirmed."""
-        refusal = await self._refer(request)
-        if refusal is not None:
-            return refusal
+        """Respond with the newest committed configuration, after a quorum has confirmed leadership."""
+        error_response = await self._redirect_unless_primary(request)
+        if error_response is not None:
+            return error_response
         outcome = await self._group.confirm()
         if not isinstance(outcome, Confirmed):
-            return unavailable("leadership is not confirmed")
+            return unavailable_response("leadership is not confirmed")
         document = read_payload(outcome.snapshot.payload)
         if not document.source:
             return web.json_response({"err": "no configuration yet"}, status=404)
         return web.Response(body=document.source, content_type="application/json")
 
     async def replace(self, request: web.Request) -> web.Response:
-        """A whole configuration."""
+        """Replace the full configuration."""
         return await self._change(request, ChangeMethod.PUT)
 
     async def patch(self, request: web.Request) -> web.Response:
-        """Changes to named items."""
+        """Change the items that the request names."""
         return await self._change(request, ChangeMethod.PATCH)
 
     async def _change(self, request: web.Request, method: ChangeMethod) -> web.Response:
         try:
             body = await request.read()
         except web.HTTPRequestEntityTooLarge:
-            return too_large("the body is too large")
-        refusal = await self._refer(request)
-        if refusal is not None:
-            return refusal
+            return too_large_response("the body is too large")
+        error_response = await self._redirect_unless_primary(request)
+        if error_response is not None:
+            return error_response
         change = Change(method, read_base(request), body)
 
         def apply(payload: bytes) -> bytes | Declined:
@@ -117,67 +117,69 @@
             logger.info("configuration taken", extra={"version": version})
             return web.json_response({"ver": version})
         if isinstance(outcome, Declined):
-            return answer_declined(outcome.result)
+            return declined_response(outcome.result)
         if isinstance(outcome, Overloaded):
             reason = "too many changes wait; this call changed nothing"
-            return unavailable(reason, OVERLOAD_RETRY_AFTER)
-        return unavailable("the change may not have been taken")
+            return unavailable_response(reason, OVERLOAD_RETRY_AFTER)
+        return unavailable_response("the change may not have been taken")
 
-    async def _refer(self, request: web.Request) -> web.Response | None:
-        """Where the primary is elsewhere or unknown, the answer that says so."""
-        place = await self._find_primary()
-        if isinstance(place, Here):
+    async def _redirect_unless_primary(self, request: web.Request) -> web.Response | None:
+        """None if this machine is the primary; otherwise a redirect, or an error if no primary is known."""
+        primary = await self._find_primary()
+        if isinstance(primary, LocalPrimary):
             return None
-        if isinstance(place, Elsewhere):
+        if isinstance(primary, RemotePrimary):
             port = self._settings.listen["ctl"].port
-            location = f"http://{place.ip}:{port}{request.raw_path}"
+            location = f"http://{primary.ip}:{port}{request.raw_path}"
             return web.Response(status=307, headers={"Location": location})
-        return unavailable("no primary is known")
+        return unavailable_response("no primary is known")
 
-    async def _find_primary(self) -> Here | Elsewhere | Nowhere:
-        deadline = asyncio.get_running_loop().time() + ATTACH_PATIENCE
+    async def _find_primary(self) -> LocalPrimary | RemotePrimary | UnknownPrimary:
+        deadline = asyncio.get_running_loop().time() + PRIMARY_WAIT_LIMIT
         while True:
             role = self._group.role()
             if isinstance(role, Primary):
-                return Here()
+                return LocalPrimary()
             if isinstance(role, Following) and role.in_contact:
-                return Elsewhere(role.primary)
+                return RemotePrimary(role.primary)
             if asyncio.get_running_loop().time() > deadline:
-                return Nowhere()
-            await asyncio.sleep(ATTACH_POLL)
+                return UnknownPrimary()
+            await asyncio.sleep(PRIMARY_POLL_INTERVAL)
 
 
 def read_base(request: web.Request) -> int:
-    """The version in If-Match; NO_BASE if it is missing or not a number that a version can have."""
+    """The version in If-Match; NO_BASE if the header is missing or no version can have this number."""
     text = request.headers.get("If-Match", "").strip().strip('"')
     return int(text) if VERSION_TEXT.fullmatch(text) else NO_BASE
 
 
-def unavailable(reason: str, retry_after: str = RETRY_AFTER) -> web.Response:
-    """Nothing to tell but the reason: the caller tries again, or elsewhere."""
+def unavailable_response(reason: str, retry_after: str = RETRY_AFTER) -> web.Response:
+    """A 503 response with the reason; the caller may try again, here or at another machine."""
     return web.json_response({"err": reason}, status=503, headers={"Retry-After": retry_after})
 
 
-def too_large(reason: str, size: int | None = None) -> web.Response:
-    """The answer for a change that is above the one limit of a configuration's size."""
+def too_large_response(reason: str, size: int | None = None) -> web.Response:
+    """A 413 response: the body or the resulting configuration is larger than a payload may be."""
     content: dict[str, str | int] = {"err": reason, "limit": MAX_PAYLOAD_BYTES}
     if size is not None:
         content["bytes"] = size
     return web.json_response(content, status=413)
 
 
-def answer_declined(answer: object) -> web.Response:
-    """The answer for a change that was not made."""
-    if isinstance(answer, AlreadyAccepted):
-        return web.json_response({"ver": answer.version})
-    if isinstance(answer, Conflict):
-        return web.json_response({"err": "another version is current", "ver": answer.current}, status=412)
-    if isinstance(answer, BaseTooOld):
-        return unavailable("the change builds on a version that is not remembered; it may have been taken")
-    if isinstance(answer, InvalidChange):
-        faults = [{"key": fault.key, "message": fault.message} for fault in answer.faults]
+def declined_response(result: object) -> web.Response:
+    """The response to a change that was declined; a repeated change that was accepted before succeeds."""
+    if isinstance(result, AlreadyAccepted):
+        return web.json_response({"ver": result.version})
+    if isinstance(result, Conflict):
+        return web.json_response({"err": "another version is current", "ver": result.current}, status=412)
+    if isinstance(result, BaseTooOld):
+        return unavailable_response(
+            "the change builds on a version that is not remembered; it may have been taken"
+        )
+    if isinstance(result, InvalidChange):
+        faults = [{"key": fault.key, "message": fault.message} for fault in result.faults]
         body = json.dumps({"err": "invalid configuration", "faults": faults})
         return web.Response(status=400, body=body.encode(), content_type="application/json")
-    if isinstance(answer, PayloadTooLarge):
-        return too_large("the configuration would be too large", answer.size)
-    raise AssertionError(f"unexpected decision {answer!r}")
+    if isinstance(result, PayloadTooLarge):
+        return too_large_response("the configuration would be too large", result.size)
+    raise AssertionError(f"unexpected decision {result!r}")
--- a/rookwood/controlplane/presence_quorum.py
+++ b/rookwood/controlplane/presence_quorum.py
@@ -1,8 +1,9 @@
-"""Who has taken the news that a worker drains or ended: it is acknowledged once a majority has.
+"""Waits until a majority of the control machines knows that a worker drains or has deregistered.
 
-A control machine that was cut off a moment ago does not know it yet. What it alone has taken may reach no
-dispatcher before the cut heals, and the worker, once acknowledged, ends. A majority that has taken the news
-has a member that each dispatcher in touch is linked to.
+Only then is this presence change acknowledged to the worker, which ends once it has the acknowledgement. A
+machine that was cut off a moment ago is not aware of that yet, and a change known to it alone may reach no
+dispatcher before the partition heals. Of a majority, at least one member is linked to each dispatcher that is
+in contact.
 """
 
 from __future__ import annotations
@@ -15,63 +16,63 @@
 
 from rookwood.cluster.messages import PresenceAck
 
-CONFIRMATION_LIMIT = 0.7  # seconds; a worker calls the next machine after one second
-REMEMBERED = 4096  # workers whose news a majority has
-REMEMBERED_FOR = 600.0  # seconds; workers end within seconds after they drain
+CONFIRMATION_LIMIT = 0.7  # seconds; a worker calls the next machine after 1 s without a response
+MAX_REMEMBERED = 4096  # confirmed presence changes
+REMEMBERED_SECONDS = 600.0  # workers end within seconds of draining
 
 
 @dataclass(slots=True)
-class AwaitedNews:
-    """One piece of news that calls wait for: who has taken it, and how many calls there are."""
+class PendingConfirmation:
+    """A presence change whose confirmation is awaited by a number of calls."""
 
-    taken_by: set[str]
-    settled: asyncio.Event = field(default_factory=asyncio.Event)
-    calls: int = 0
+    acknowledged_by: set[str]
+    confirmed: asyncio.Event = field(default_factory=asyncio.Event)
+    waiting_calls: int = 0
 
 
 class PresenceQuorum:
-    """Collects the acknowledgements of the other control machines."""
+    """Collects the acknowledgements of the other control machines for presence changes."""
 
     def __init__(self, own_ip: str, members: Callable[[], tuple[str, ...]]) -> None:
         self._own_ip = own_ip
         self._members = members
-        self._awaited: dict[PresenceAck, AwaitedNews] = {}
+        self._pending: dict[PresenceAck, PendingConfirmation] = {}
         self._confirmed: cachetools.TTLCache[PresenceAck, bool] = cachetools.TTLCache(
-            REMEMBERED, REMEMBERED_FOR
+            MAX_REMEMBERED, REMEMBERED_SECONDS
         )
 
-    def is_confirmed(self, news: PresenceAck) -> bool:
-        """Whether a majority took this news before."""
-        return news in self._confirmed
+    def is_confirmed(self, change: PresenceAck) -> bool:
+        """Whether a majority is known to have acknowledged this change."""
+        return change in self._confirmed
 
-    async def confirm(self, news: PresenceAck) -> bool:
-        """Wait until a majority has taken the news that was just told; false where that takes too long.
+    async def confirm(self, change: PresenceAck) -> bool:
+        """Wait until a majority has acknowledged a change just published; False if that takes too long.
 
-        Several calls may wait for one piece of news: workers send again what was not answered in time.
+        Several calls may wait for one change, because workers repeat a call that got no response in time.
         """
-        awaited = self._awaited.setdefault(news, AwaitedNews({self._own_ip}))
-        awaited.calls += 1
-        self._count(news, awaited)
+        pending = self._pending.setdefault(change, PendingConfirmation({self._own_ip}))
+        pending.waiting_calls += 1
+        self._check_majority(change, pending)
         try:
             async with asyncio.timeout(CONFIRMATION_LIMIT):
-                await awaited.settled.wait()
+                await pending.confirmed.wait()
         except TimeoutError:
             return False
         finally:
-            awaited.calls -= 1
-            if not awaited.calls:
-                del self._awaited[news]
+            pending.waiting_calls -= 1
+            if not pending.waiting_calls:
+                del self._pending[change]
         return True
 
-    def acknowledged(self, machine: str, news: PresenceAck) -> None:
-        """Another control machine has taken the news."""
-        awaited = self._awaited.get(news)
-        if awaited is not None:
-            awaited.taken_by.add(machine)
-            self._count(news, awaited)
+    def record_acknowledgement(self, machine: str, change: PresenceAck) -> None:
+        """Record that another control machine acknowledged a change."""
+        pending = self._pending.get(change)
+        if pending is not None:
+            pending.acknowledged_by.add(machine)
+            self._check_majority(change, pending)
 
-    def _count(self, news: PresenceAck, awaited: AwaitedNews) -> None:
+    def _check_majority(self, change: PresenceAck, pending: PendingConfirmation) -> None:
         members = self._members()
-        if 2 * len(awaited.taken_by.intersection(members)) > len(members):
-            self._confirmed[news] = True
-            awaited.settled.set()
+        if 2 * len(pending.acknowledged_by.intersection(members)) > len(members):
+            self._confirmed[change] = True
+            pending.confirmed.set()
--- a/rookwood/controlplane/program.py
+++ b/rookwood/controlplane/program.py
@@ -1,4 +1,4 @@
-"""The control plane's process: replication, worker registry, operator's interface, feeds, load orders."""
+"""A control machine's process: replication, worker registry, operator interface, feeds and load orders."""
 
 from __future__ import annotations
 
@@ -69,47 +69,48 @@
 logger = logging.getLogger("rookwood")
 
 TIER_CORE = "core"
-STATUS_INTERVAL = 0.4
-STATUS_REPEAT = 2.0  # seconds after which dispatchers get an unchanged status again
-HOUSEKEEPING_INTERVAL = 0.5
-SETTLED_BEATS = 4.0
+STATUS_INTERVAL = 0.4  # seconds
+UNCHANGED_STATUS_INTERVAL = 2.0  # seconds between two unchanged statuses to dispatchers
+HOUSEKEEPING_INTERVAL = 0.5  # seconds
+SETTLED_HEARTBEATS = 4.0  # heartbeat intervals from the start until workers have called this machine
 
 
 @dataclass(frozen=True, slots=True)
 class KnownPrimary:
-    """The primary as far as this machine knows.
+    """The primary that this machine knows; its address is empty if there is none.
 
-    `in_touch` while this machine hears it, `fresh` while it also has every commit that the primary told of.
+    `in_contact` while this machine hears from it; `fresh` while this machine also has every commit that the
+    primary has announced.
     """
 
     address: str
     epoch: int
-    in_touch: bool
+    in_contact: bool
     fresh: bool
 
 
 class ControlPlane:
-    """Wires the parts of a control machine together."""
+    """Connects the components of a control machine, and handles the messages of its subscribers."""
 
     def __init__(self, settings: NodeSettings, mechanisms: Mechanisms = ALL_MECHANISMS) -> None:
         self._settings = settings
-        self._file = SettingsFile(settings_path(), settings)
+        self._settings_file = SettingsFile(settings_path(), settings)
         self._stopping = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._started = 0.0
         self._commit_timer: asyncio.TimerHandle | None = None
         self.group = ControlGroup(
-            group_settings(settings), on_commit=self._committed, on_role=self._role_changed
+            group_settings(settings), on_commit=self._handle_commit, on_role=self._handle_role_change
         )
         self._configuration = ConfigurationFeed(self.group)
-        self._view = ClusterView(self._worker_changed, self._worker_gone)
+        self._view = ClusterView(self._handle_worker_change, self._handle_worker_gone)
         self._feed = FeedServer(self)
-        self._lag = LoopLag()
-        self.dispatchers = DispatcherProgress(stalled=lambda: self._lag.total)
+        self._loop_lag = LoopLag()
+        self.dispatchers = DispatcherProgress(stalled=lambda: self._loop_lag.total)
         self._dispatcher_count = DispatcherCount()
         self._progress = ConfigurationProgress()
         self._notices = NoticeRelay(self._send_notices, self._send_notices_to_core)
-        self._worker_news = WorkerRelay(self._view.registry.get, self._send_to_dispatchers)
+        self._worker_relay = WorkerRelay(self._view.registry.get, self._send_to_dispatchers)
         self._table = WorkerTable(self._view, settings.ip, settings.heartbeat_interval, self._publish)
         self._tenure = Tenure(settings.ip, settings.bounds.lease, settings.bounds.fenced)
         self._scheduler = LoadScheduler(
@@ -123,8 +124,8 @@
         )
         self._demand_relay = DemandRelay(settings.ip, self._scheduler.demand, self._primary_link)
         self._presence = PresenceQuorum(settings.ip, self.group.members)
-        self._told_status: Status | None = None
-        self._told_at = 0.0
+        self._sent_status: Status | None = None
+        self._status_sent_at = 0.0
         self._links: LinkSet | None = None
         self._metrics: MetricsServer | None = None
         self._runner: web.AppRunner | None = None
@@ -133,44 +134,44 @@
         """Serve until SIGTERM."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, self._keep_house)
+        loop.add_signal_handler(signal.SIGHUP, self._run_housekeeping)
         self._started = loop.time()
         await self.group.start()
         await self._feed.start(self._settings.ip, self._settings.feed_port)
         await self._serve_http()
         hello = Hello(self._settings.ip, TIER_CORE, self._settings.zone, PROTOCOL_RELEASE)
-        peers = PeerFeed(self._view, self._publish, self._tenure, self._notices.take)
+        peers = PeerFeed(self._view, self._publish, self._tenure, self._notices.relay_from_control_machine)
         self._links = LinkSet(self._settings.feed_port, hello, peers, self._settings.ip)
         self._metrics = MetricsServer(
-            self._settings.ip, partial(self._load_metrics, self._links), lag=self._lag
+            self._settings.ip, partial(self._load_metrics, self._links), lag=self._loop_lag
         )
         await self._metrics.start()
         self._tasks = [
             asyncio.create_task(repeat(STATUS_INTERVAL, self._send_status)),
-            asyncio.create_task(repeat(HOUSEKEEPING_INTERVAL, self._keep_house)),
-            asyncio.create_task(repeat(SUMMARY_INTERVAL, self._tell_demand)),
+            asyncio.create_task(repeat(HOUSEKEEPING_INTERVAL, self._run_housekeeping)),
+            asyncio.create_task(repeat(SUMMARY_INTERVAL, self._send_demand_summary)),
             asyncio.create_task(self._scheduler.run()),
         ]
-        self._keep_house()
+        self._run_housekeeping()
         logger.info("control plane started")
         await run_until(self._stopping, self._tasks)
         await self._stop()
 
     def _load_metrics(self, links: LinkSet) -> list[FamilySource]:
-        """What is told at a scrape; imported no sooner, see `MetricsServer`."""
+        """The metrics for a scrape; their module is imported only then, see `MetricsServer`."""
         from rookwood.controlplane.metrics import ControlPlaneMetrics
 
-        figures = ControlPlaneMetrics(
+        metrics = ControlPlaneMetrics(
             self.group, self._progress, self._view, self._feed, links, self.dispatchers, self._configuration
         )
-        return [figures.families]
+        return [metrics.families]
 
     async def _stop(self) -> None:
         logger.info("control plane stops")
         await self.group.stop(transfer=True)
         if self._commit_timer is not None:
             self._commit_timer.cancel()
-        await cancel_tasks([*self._tasks, *self._configuration.answers])
+        await cancel_tasks([*self._tasks, *self._configuration.pending_fetches])
         if self._metrics is not None:
             await self._metrics.stop()
         if self._links is not None:
@@ -191,56 +192,56 @@
         address = self._settings.listen["ctl"]
         await web.TCPSite(self._runner, address.ip, address.port, shutdown_timeout=0.5).start()
 
-    def _keep_house(self) -> None:
-        """Periodic work; also done at SIGHUP, which tells of a changed settings file."""
-        self._file.refresh()
+    def _run_housekeeping(self) -> None:
+        """Do periodic work; also runs at SIGHUP, which signals that the settings file changed."""
+        self._settings_file.refresh()
         now = asyncio.get_running_loop().time()
         self._table.expire(now)
         self.dispatchers.check(self._settings.bounds.apply)
         if self._links is not None:
-            seeds = {seed.ip for seed in self._file.settings.seeds}
+            seeds = {seed.ip for seed in self._settings_file.settings.seeds}
             self._links.set_peers(seeds | set(self.group.members()) | self._view.members())
 
     def _known_primary(self) -> KnownPrimary:
         role = self.group.role()
         if isinstance(role, Primary):
-            return KnownPrimary(self._settings.ip, role.epoch, in_touch=True, fresh=True)
+            return KnownPrimary(self._settings.ip, role.epoch, in_contact=True, fresh=True)
         if isinstance(role, Following):
             return KnownPrimary(role.primary, role.epoch, role.in_contact, role.is_fresh)
-        return KnownPrimary("", 0, in_touch=False, fresh=False)
+        return KnownPrimary("", 0, in_contact=False, fresh=False)
 
     def _status(self) -> Status:
-        known = self._known_primary()
+        primary = self._known_primary()
         snapshot = self.group.snapshot()
         now = asyncio.get_running_loop().time()
-        attached = self._attached()
-        everywhere = attached + self._view.attached_dispatchers()
+        attached = self._count_attached()
+        all_attached = attached + self._view.attached_dispatchers()
         return Status(
             identity=self._settings.ip,
-            epoch=known.epoch,
-            primary=known.address,
-            fresh=known.in_touch,
-            settled=now - self._started > SETTLED_BEATS * self._settings.heartbeat_interval,
+            epoch=primary.epoch,
+            primary=primary.address,
+            fresh=primary.in_contact,
+            settled=now - self._started > SETTLED_HEARTBEATS * self._settings.heartbeat_interval,
             config_epoch=snapshot.epoch,
             config_sequence=snapshot.sequence,
-            dispatchers=self._dispatcher_count.update(everywhere, now),
+            dispatchers=self._dispatcher_count.update(all_attached, now),
             members=self.group.members(),
             release=PROTOCOL_RELEASE,
             attached=attached,
             roots=self._roots(),
         )
 
-    def _attached(self) -> int:
-        """How many dispatchers subscribe here."""
-        hellos = [known.hello for known in self._feed.subscribers if is_dispatcher(known)]
+    def _count_attached(self) -> int:
+        """How many dispatchers subscribe to this machine."""
+        hellos = [connection.hello for connection in self._feed.subscribers if is_dispatcher(connection)]
         return len({hello.identity for hello in hellos if hello is not None})
 
     def _roots(self) -> tuple[ControlMachine, ...]:
-        """The members in touch with this machine, which dispatchers may subscribe to as well.
+        """The members linked to this machine and itself, to which dispatchers may subscribe.
 
-        Members subscribe to members: what is told to another machine alone does not reach all.
+        Members subscribe only to members, so what a dispatcher sent to any other machine would not reach all.
         """
-        hellos = [known.hello for known in self._feed.connections if is_core(known)]
+        hellos = [connection.hello for connection in self._feed.connections if is_core(connection)]
         linked = {ControlMachine(hello.identity, hello.zone) for hello in hellos if hello is not None}
         linked.add(ControlMachine(self._settings.ip, self._settings.zone))
         members = self.group.members()
@@ -252,134 +253,152 @@
         return HeartbeatAnswer(heartbeat.sent_at, snapshot.epoch, snapshot.sequence, fresh)
 
     def _send_status(self) -> None:
-        """Tell the status: to control machines as a heartbeat, to dispatchers where it is news.
+        """Send the status: to control machines always, as a heartbeat, and to dispatchers if it has changed.
 
-        Dispatchers have the answers to their own heartbeats.
+        Dispatchers have the answers to their own heartbeats as a sign of life.
         """
         now = asyncio.get_running_loop().time()
         status = self._status()
         self._view.message_received(self._settings.ip, replace(status, attached=0), now)
-        if status == self._told_status and now - self._told_at < STATUS_REPEAT:
-            self._feed.send_to([c for c in self._feed.connections if is_core(c)], status)
+        if status == self._sent_status and now - self._status_sent_at < UNCHANGED_STATUS_INTERVAL:
+            self._feed.send_to(
+                [connection for connection in self._feed.connections if is_core(connection)], status
+            )
             return
-        self._told_status = status
-        self._told_at = now
+        self._sent_status = status
+        self._status_sent_at = now
         self._feed.broadcast(status)
 
     def _publish(self, message: WorkerUpdates | WorkerGone, audience: Audience) -> None:
         if audience is not Audience.DISPATCHERS:
-            self._feed.send_to([known for known in self._feed.subscribers if is_core(known)], message)
+            self._feed.send_to(
+                [connection for connection in self._feed.subscribers if is_core(connection)], message
+            )
         if audience is Audience.CONTROL_MACHINES:
             return
         if isinstance(message, WorkerUpdates):
-            self._worker_news.take(message)
+            self._worker_relay.relay(message)
         else:
             self._send_to_dispatchers(message)
 
     def _send_to_dispatchers(self, message: WorkerUpdates | WorkerGone | WorkNotices) -> None:
-        self._feed.send_to([known for known in self._feed.subscribers if is_dispatcher(known)], message)
+        self._feed.send_to(
+            [connection for connection in self._feed.subscribers if is_dispatcher(connection)], message
+        )
 
-    def _committed(self, snapshot: Snapshot) -> None:
-        """Have the newest commit taken in once whoever asked for it is answered.
+    def _handle_commit(self, snapshot: Snapshot) -> None:
+        """Schedule the newest commit to be applied after the operator's call is responded to.
 
-        The group resolves the call of the operator right after this. A timer, also one without delay,
-        runs after all that is ready by then, the operator's answer among it.
+        The group resolves that call right after this callback. A timer, even one without delay, runs after
+        everything that is ready by then, including the response to the operator.
         """
         self.dispatchers.record_commit(ConfigurationPosition(snapshot.epoch, snapshot.sequence))
         if self._commit_timer is None:
-            self._commit_timer = asyncio.get_running_loop().call_later(0, self._take_commit)
+            self._commit_timer = asyncio.get_running_loop().call_later(0, self._apply_commit)
 
-    def _take_commit(self) -> None:
-        """Configure the load scheduler by the newest commit, and tell all subscribers of it."""
+    def _apply_commit(self) -> None:
+        """Apply the newest commit to the load scheduler, and announce it to all subscribers."""
         self._commit_timer = None
-        if self._configuration.take_commit():
+        if self._configuration.apply_commit():
             self._scheduler.configure(self._configuration.configuration)
         self._progress.put_in_force(self._configuration.position)
         self._send_status()
 
-    def _take_pending_commit(self) -> None:
+    def _apply_pending_commit(self) -> None:
         if self._commit_timer is not None:
             self._commit_timer.cancel()
-            self._take_commit()
+            self._apply_commit()
 
-    def _role_changed(self, role: Role) -> None:
+    def _handle_role_change(self, role: Role) -> None:
         logger.info("role changed", extra={"role": repr(role)})
         now = asyncio.get_running_loop().time()
         if isinstance(role, Primary):
             self._tenure.record_primary(self._settings.ip, role.epoch, now)
         elif isinstance(role, Following):
             self._tenure.record_primary(role.primary, role.epoch, now)
-        self._tell_demand()
+        self._send_demand_summary()
         self._send_status()
 
     def _primary_link(self) -> PrimaryLink | None:
-        """The link to the primary where that is another machine."""
+        """The link to the primary; None if this machine is the primary or has no link to it."""
         primary = self._known_primary().address
         connection = self._links.connection(primary) if self._links and primary else None
         return None if connection is None else PrimaryLink(connection, self._view.release(primary))
 
-    def _tell_demand(self) -> None:
-        self._demand_relay.tell_primary(asyncio.get_running_loop().time())
+    def _send_demand_summary(self) -> None:
+        self._demand_relay.send_summary(asyncio.get_running_loop().time())
 
-    def _worker_changed(self, record: object) -> None:
+    def _handle_worker_change(self, record: object) -> None:
         pass
 
-    def _worker_gone(self, worker: str) -> None:
+    def _handle_worker_gone(self, worker: str) -> None:
         logger.info("worker gone", extra={"worker": worker})
 
     def initial_messages(self, connection: Connection) -> Iterable[Message]:
-        """What whoever opens a link gets first."""
+        """The status and, for a subscriber, the list of workers that its kind of process gets."""
         if connection.hello is not None and not connection.hello.subscribes:
             return (self._status(),)
-        return (self._status(), self._table.direct() if is_core(connection) else self._table.known())
+        return (
+            self._status(),
+            self._table.reported_here() if is_core(connection) else self._table.all_workers(),
+        )
 
     def message_received(self, connection: Connection, message: Message) -> None:
-        """A message of a subscriber."""
+        """Handle a message on a link that another process opened."""
         if isinstance(message, FetchConfiguration):
-            self._take_pending_commit()
-            self._configuration.answer(connection, message)
+            self._apply_pending_commit()
+            self._configuration.handle_fetch(connection, message)
         elif isinstance(message, Heartbeat):
             if connection.hello is not None and not is_core(connection):
                 self.dispatchers.record_report(connection.hello.identity, message.position, message.stalled)
                 connection.send(self._heartbeat_answer(message))
         elif isinstance(message, DemandReport):
-            self._scheduler.take_demand(message)
-            self._demand_relay.reported(message)
+            self._scheduler.record_demand(message)
+            self._demand_relay.relay_report(message)
         elif isinstance(message, DemandSummary):
-            self._scheduler.take_demand(message)
+            self._scheduler.record_demand(message)
         elif isinstance(message, WorkNotices):
-            self._notices.take_own(message)
+            self._notices.relay_from_dispatcher(message)
         elif isinstance(message, PresenceAck) and connection.hello is not None:
-            self._presence.acknowledged(connection.hello.identity, message)
+            self._presence.record_acknowledgement(connection.hello.identity, message)
 
     def _send_notices(self, notices: WorkNotices) -> None:
-        """Tell the dispatchers fed here; those of release 0 hear all machines, and the primary tells them."""
-        least = 0 if isinstance(self.group.role(), Primary) else RELEASE_WITH_RELAYED_FEED
-        dispatchers = [known for known in self._feed.subscribers if is_dispatcher(known)]
-        told = [known for known in dispatchers if known.hello and known.hello.release >= least]
-        self._feed.send_to(told, notices)
+        """Send notices to the dispatchers that this machine feeds.
+
+        Dispatchers of release 0 subscribe to all machines, so only the primary sends them notices.
+        """
+        min_release = 0 if isinstance(self.group.role(), Primary) else RELEASE_WITH_RELAYED_FEED
+        dispatchers = [connection for connection in self._feed.subscribers if is_dispatcher(connection)]
+        receivers = [
+            connection
+            for connection in dispatchers
+            if connection.hello and connection.hello.release >= min_release
+        ]
+        self._feed.send_to(receivers, notices)
 
     def _send_notices_to_core(self, notices: WorkNotices) -> None:
-        self._feed.send_to([known for known in self._feed.subscribers if is_core(known)], notices)
+        self._feed.send_to(
+            [connection for connection in self._feed.subscribers if is_core(connection)], notices
+        )
 
     def subscriber_lost(self, connection: Connection) -> None:
-        """A subscriber is gone."""
+        """Forget the position that a dispatcher reported, as its link ended."""
         if connection.hello is not None:
             self.dispatchers.remove_dispatcher(connection.hello.identity)
 
 
 def is_core(connection: Connection) -> bool:
-    """Whether the subscriber is a control machine."""
+    """Whether the other end of the link is a control machine."""
     return connection.hello is not None and connection.hello.tier == TIER_CORE
 
 
 def is_dispatcher(connection: Connection) -> bool:
-    """Whether the subscriber is a dispatcher."""
+    """Whether the other end of the link is a dispatcher."""
     return connection.hello is not None and connection.hello.tier != TIER_CORE
 
 
 def group_settings(settings: NodeSettings) -> GroupSettings:
-    """The replication group's settings, derived from the process's settings."""
+    """Derive the settings of the replication group from those of the process."""
     return GroupSettings(
         ip=settings.ip,
         port=settings.replication_port,
--- a/rookwood/controlplane/worker_api.py
+++ b/rookwood/controlplane/worker_api.py
@@ -1,4 +1,4 @@
-"""The workers' interface: heartbeats and farewells."""
+"""The workers' HTTP interface: heartbeats and deregistration."""
 
 from __future__ import annotations
 
@@ -28,50 +28,53 @@
     def add_routes(self, application: web.Application) -> None:
         """Register the handlers."""
         application.router.add_put("/workers/{id}", self.heartbeat)
-        application.router.add_delete("/workers/{id}", self.farewell)
+        application.router.add_delete("/workers/{id}", self.deregister)
 
     async def heartbeat(self, request: web.Request) -> web.Response:
-        """Take in a heartbeat. A machine that lost its primary sends the worker elsewhere.
+        """Record a heartbeat. If this machine may be cut off, it responds with 503; the worker calls another.
 
-        That a worker drains is acknowledged once a majority of control machines has taken it.
+        A drain is acknowledged once a majority of control machines knows of it.
         """
         try:
             document = json.loads(await request.read())
             record = parse_heartbeat(request.match_info["id"], document)
         except (ValueError, MalformedHeartbeatError) as error:
             return web.json_response({"err": str(error)}, status=400)
-        told = self._table.heartbeat(record, asyncio.get_running_loop().time())
-        if self._cut_off():
+        published = self._table.record_heartbeat(record, asyncio.get_running_loop().time())
+        if self._may_be_cut_off():
             return web.json_response({"err": "no primary is known"}, status=503)
         if record.state is WorkerState.DRAINING:
-            if not await self._is_taken(record.id, told):
+            if not await self._confirm_by_majority(record.id, published):
                 return web.json_response({"err": "no majority has taken it"}, status=503)
             logger.info("worker drains", extra={"worker": record.id})
         return web.json_response({})
 
-    async def farewell(self, request: web.Request) -> web.Response:
-        """A worker ended, or is about to; acknowledged once a majority of control machines has taken it."""
+    async def deregister(self, request: web.Request) -> web.Response:
+        """Deregister a worker that ends; acknowledged once a majority of control machines knows of it."""
         worker = request.match_info["id"]
-        told = self._table.delete(worker, asyncio.get_running_loop().time())
-        if self._cut_off():
+        published = self._table.deregister(worker, asyncio.get_running_loop().time())
+        if self._may_be_cut_off():
             return web.json_response({"err": "no primary is known"}, status=503)
-        if not await self._is_taken(worker, told):
+        if not await self._confirm_by_majority(worker, published):
             return web.json_response({"err": "no majority has taken it"}, status=503)
         return web.json_response({})
 
-    async def _is_taken(self, worker: str, told: bool) -> bool:
-        """Whether a majority has taken that a worker drains or ended; who was not just told of it is now."""
-        news = PresenceAck(worker, self._table.was_deleted(worker))
-        if self._presence.is_confirmed(news):
+    async def _confirm_by_majority(self, worker: str, published: bool) -> bool:
+        """Wait until a majority knows that a worker drains or has deregistered; False if that takes too long.
+
+        The change is published again unless the caller has just `published` it.
+        """
+        change = PresenceAck(worker, self._table.was_deleted(worker))
+        if self._presence.is_confirmed(change):
             return True
-        if not told:
-            self._table.announce(worker)
-        return await self._presence.confirm(news)
+        if not published:
+            self._table.republish(worker)
+        return await self._presence.confirm(change)
 
-    def _cut_off(self) -> bool:
-        """Whether what this machine hears may not reach all others: it may be cut off, or is no member.
+    def _may_be_cut_off(self) -> bool:
+        """Whether updates of this machine may not reach all others, as it may be cut off or is no member.
 
-        Members subscribe to members. A worker that calls a learner alone would be unknown to the primary.
+        Members subscribe only to members: the primary would not know a worker that calls only a learner.
         """
         role = self._group.role()
         if isinstance(role, Backup):
--- a/rookwood/controlplane/worker_client.py
+++ b/rookwood/controlplane/worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to workers: reading reports and giving load orders."""
+"""HTTP client for workers: reads reports and sends load orders."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 CALL_LIMIT = 0.7  # seconds
-CONNECTIONS = 100
-IDLE_CONNECTION = 4.0  # seconds for which a kept connection is used again; workers close idle ones after 10
-NOT_CONNECTED = 0  # in place of a status: nothing was sent
+MAX_CONNECTIONS = 100
+IDLE_CONNECTION_LIMIT = 4.0  # seconds until an idle connection is closed; workers close them after 10
+NOT_CONNECTED = 0  # in place of a status, if nothing was sent
 FORMAT_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 INSTANCE_HEADER = "X-Want-Instance"
-OWN_INSTANCE_HEADER = "X-Instance"  # in a worker's answer
-REQUEST_ID_HEADER = "X-Try-Id"  # only requests of clients have one, and their answers
+OWN_INSTANCE_HEADER = "X-Instance"  # in the responses of a worker
+REQUEST_ID_HEADER = "X-Try-Id"  # only in clients' requests and the responses to them
 REPORTED = 200
 MISDIRECTED = 421
-HIGHER_FENCE_SEEN = 412  # the worker was given an order under a higher fence before
-HOLDS_ALREADY = 200
-TAKEN_STATUSES = (HOLDS_ALREADY, 202)
+HIGHER_FENCE_SEEN = 412  # the worker received an order with a higher fence before
+ALREADY_DONE = 200
+ACCEPTED_STATUSES = (ALREADY_DONE, 202)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """A worker's answer to GET /report."""
+    """A worker's response to GET /report."""
 
     models: tuple[HeldModel, ...]
     busy: bool
@@ -40,30 +40,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportFailed:
-    """No report came."""
+    """No valid report was received."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class OrderTaken:
-    """The worker carries the order out, or what it asks for holds already."""
+class OrderAccepted:
+    """The worker accepted the order; `done` if its effect was already there."""
 
     done: bool
 
 
 @dataclass(frozen=True, slots=True)
-class OrderRefused:
-    """The worker did not take the order."""
+class OrderRejected:
+    """The worker rejected the order, or the order was not sent."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class OrderUnknown:
-    """No answer came; the order may have been taken."""
+    """No valid response was received; the worker may have accepted the order."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
     if_sequence: int
 
     def body(self) -> bytes:
-        """The JSON text."""
+        """Encode the order as JSON text."""
         document: dict[str, str | int] = {"op": "place" if self.is_load else "evict", "model": self.model}
         if self.adapter:
             document["lora"] = self.adapter
@@ -89,19 +89,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallAnswer:
-    """A whole answer to a call."""
+class CallResponse:
+    """A response that was received in full."""
 
     status: int
     body: bytes
 
 
 class WorkerClient:
-    """HTTP calls to workers, each for one incarnation only and sent at most once."""
+    """Calls workers over HTTP. Each call is meant for one incarnation of a worker and sent at most once."""
 
     def __init__(self) -> None:
         self._http = HttpClient(
-            connections=CONNECTIONS, idle_limit=IDLE_CONNECTION, connect_limit=CALL_LIMIT / 2
+            connections=MAX_CONNECTIONS, idle_limit=IDLE_CONNECTION_LIMIT, connect_limit=CALL_LIMIT / 2
         )
 
     async def close(self) -> None:
@@ -110,61 +110,64 @@
 
     async def report(self, address: str, worker: str) -> WorkerReport | ReportFailed:
         """Read a worker's report."""
-        answer = await self._call("GET", f"http://{address}/report", worker, None)
-        if isinstance(answer, NotSent | ResponseLost):
-            return ReportFailed(answer.reason)
-        if answer.status != REPORTED:
-            return ReportFailed(f"status {answer.status}")
-        return parse_report(answer.body)
+        response = await self._call("GET", f"http://{address}/report", worker, None)
+        if isinstance(response, NotSent | ResponseLost):
+            return ReportFailed(response.reason)
+        if response.status != REPORTED:
+            return ReportFailed(f"status {response.status}")
+        return parse_report(response.body)
 
     async def order(
         self, address: str, worker: str, call: OrderCall
-    ) -> OrderTaken | OrderRefused | OrderUnknown:
-        """Give an order."""
-        answer = await self._call("POST", f"http://{address}/order", worker, call.body())
-        if isinstance(answer, NotSent):
-            return OrderRefused(NOT_CONNECTED)
-        if isinstance(answer, ResponseLost):
-            return OrderUnknown(answer.reason)
-        if isinstance(parse_report(answer.body), WorkerReport):
-            return OrderUnknown("a late report in place of an answer")
-        if answer.status in TAKEN_STATUSES:
-            return OrderTaken(done=answer.status == HOLDS_ALREADY)
-        return OrderRefused(answer.status)
+    ) -> OrderAccepted | OrderRejected | OrderUnknown:
+        """Send a load order."""
+        response = await self._call("POST", f"http://{address}/order", worker, call.body())
+        if isinstance(response, NotSent):
+            return OrderRejected(NOT_CONNECTED)
+        if isinstance(response, ResponseLost):
+            return OrderUnknown(response.reason)
+        if isinstance(parse_report(response.body), WorkerReport):
+            return OrderUnknown("a late report in place of a response to the order")
+        if response.status in ACCEPTED_STATUSES:
+            return OrderAccepted(done=response.status == ALREADY_DONE)
+        return OrderRejected(response.status)
 
     async def _call(
         self, method: str, url: str, worker: str, body: bytes | None
-    ) -> CallAnswer | NotSent | ResponseLost:
+    ) -> CallResponse | NotSent | ResponseLost:
         headers = {INSTANCE_HEADER: worker}
         if body is not None:
             headers["Content-Type"] = "application/json"
         try:
             async with asyncio.timeout(CALL_LIMIT):
-                answer = await self._http.send(method, URL(url), headers, body)
-                if isinstance(answer, NotSent | ResponseLost):
-                    return answer
-                flaw = find_call_flaw(answer, worker)
-                if flaw is not None:
-                    answer.discard()
-                    return ResponseLost(flaw)
-                whole = await answer.read_all()
+                response = await self._http.send(method, URL(url), headers, body)
+                if isinstance(response, NotSent | ResponseLost):
+                    return response
+                fault = find_response_fault(response, worker)
+                if fault is not None:
+                    response.discard()
+                    return ResponseLost(fault)
+                content = await response.read_all()
         except TimeoutError as error:
             return ResponseLost(repr(error))
-        return whole if isinstance(whole, ResponseLost) else CallAnswer(answer.status, whole)
+        return content if isinstance(content, ResponseLost) else CallResponse(response.status, content)
 
 
-def find_call_flaw(answer: Response, worker: str) -> str | None:
-    """Why an answer can't be this worker's answer to a call, if so; with 421 another worker answers."""
-    if any(answer.headers.getall(REQUEST_ID_HEADER, ())):
-        return "answer to a client's request"
-    foreign = any(named != worker for named in answer.headers.getall(OWN_INSTANCE_HEADER, ()))
-    if foreign and answer.status != MISDIRECTED:
-        return "answer of another worker"
+def find_response_fault(response: Response, worker: str) -> str | None:
+    """Why a response cannot be this worker's response to a call, or None.
+
+    A worker sends 421 if a call was meant for another instance, so that response may name another one.
+    """
+    if any(response.headers.getall(REQUEST_ID_HEADER, ())):
+        return "response to a client's request"
+    from_other_worker = any(named != worker for named in response.headers.getall(OWN_INSTANCE_HEADER, ()))
+    if from_other_worker and response.status != MISDIRECTED:
+        return "response of another worker"
     return None
 
 
 def parse_report(body: bytes) -> WorkerReport | ReportFailed:
-    """Read the JSON text of a report."""
+    """Parse the JSON text of a report."""
     try:
         document = json.loads(body)
         return WorkerReport(
--- a/rookwood/controlplane/worker_table.py
+++ b/rookwood/controlplane/worker_table.py
@@ -1,4 +1,4 @@
-"""The control plane's worker registry: heartbeats heard here, and what other control machines tell."""
+"""The control plane's table of workers, from heartbeats received here and the feeds of other machines."""
 
 from __future__ import annotations
 
@@ -10,56 +10,57 @@
 from rookwood.cluster.view import ClusterView
 from rookwood.cluster.workers import HeldModel, HoldingStamp, WorkerRecord
 
-SILENT_BEATS = 3.4  # a worker that misses this many heartbeats is taken for gone
-TOLD_ENDS = 256  # farewells in a greeting; older ones are known to all that still hear of the worker
+TIMEOUT_HEARTBEATS = 3.4  # heartbeat intervals after which a worker has timed out here
+# In the initial messages of a link. Older deregistrations are known wherever the worker is still reported.
+MAX_DEREGISTERED_SENT = 256
 
 
 class Audience(enum.Enum):
-    """Who is told of a worker."""
+    """The subscribers to which an update on workers is sent."""
 
-    DISPATCHERS = enum.auto()  # that this machine feeds
+    DISPATCHERS = enum.auto()  # those that this machine feeds
     CONTROL_MACHINES = enum.auto()
     ALL = enum.auto()
 
 
 class WorkerTable:
-    """Merges direct heartbeats with the feeds of the other control machines.
+    """Merges the heartbeats received here with the feeds of the other control machines.
 
-    Other control machines are told only of workers heard directly, so that two machines never keep a
-    silent worker known by telling each other of it.
+    Other control machines are sent only the workers whose heartbeats arrive here. Otherwise two machines
+    could keep a worker that has timed out by reporting it to each other.
     """
 
-    def __init__(self, view: ClusterView, own_ip: str, beat: float, publish: Publish) -> None:
+    def __init__(self, view: ClusterView, own_ip: str, heartbeat_interval: float, publish: Publish) -> None:
         self._view = view
         self._own_ip = own_ip
-        self._silence = SILENT_BEATS * beat
+        self._heartbeat_timeout = TIMEOUT_HEARTBEATS * heartbeat_interval
         self._publish = publish
-        self._heard: dict[str, float] = {}
+        self._last_heartbeats: dict[str, float] = {}
         view.link_opened(own_ip)
 
     def was_deleted(self, worker: str) -> bool:
-        """Whether the worker said that it ended."""
+        """Whether the worker has deregistered."""
         return self._view.registry.was_deleted(worker)
 
-    def heartbeat(self, record: WorkerRecord, now: float) -> bool:
-        """A worker called this machine; returns whether that was news, which all were told."""
+    def record_heartbeat(self, record: WorkerRecord, now: float) -> bool:
+        """Record a heartbeat; returns whether it changed anything, which was then published to all."""
         if self._view.registry.was_deleted(record.id):
             return False
-        news = record.id not in self._heard
-        self._heard[record.id] = now
+        is_new = record.id not in self._last_heartbeats
+        self._last_heartbeats[record.id] = now
         before = self._view.registry.get(record.id)
         self._view.message_received(self._own_ip, WorkerUpdates((record,), complete=False), now)
         after = self._view.registry.get(record.id)
         if after is None:
             return False
-        if news or before is None or replace(after, sequence=before.sequence) != before:
+        if is_new or before is None or replace(after, sequence=before.sequence) != before:
             self._publish(WorkerUpdates((after,), complete=False), Audience.ALL)
             return True
         return False
 
-    def delete(self, worker: str, now: float) -> bool:
-        """A worker said that it ended; returns whether that was news, which all were told."""
-        self._heard.pop(worker, None)
+    def deregister(self, worker: str, now: float) -> bool:
+        """Record that a worker deregistered; returns whether that was new, and then published to all."""
+        self._last_heartbeats.pop(worker, None)
         if self._view.registry.was_deleted(worker):
             return False
         gone = WorkerGone(worker, deleted=True)
@@ -67,8 +68,8 @@
         self._publish(gone, Audience.ALL)
         return True
 
-    def announce(self, worker: str) -> None:
-        """Tell all subscribers again what is known of a worker, or that it ended."""
+    def republish(self, worker: str) -> None:
+        """Publish the record of a worker, or its deregistration, to all subscribers again."""
         known = self._view.registry.get(worker)
         if known is not None:
             self._publish(WorkerUpdates((known,), complete=False), Audience.ALL)
@@ -76,7 +77,7 @@
             self._publish(WorkerGone(worker, deleted=True), Audience.ALL)
 
     def set_holding(self, worker: str, models: tuple[HeldModel, ...], stamp: HoldingStamp) -> None:
-        """The load scheduler read which weights a worker holds."""
+        """Record which weights a worker holds, from a report that the load scheduler has read."""
         known = self._view.registry.get(worker)
         if known is None:
             return
@@ -85,34 +86,39 @@
             self._publish(WorkerUpdates((changed,), complete=False), Audience.ALL)
 
     def expire(self, now: float) -> None:
-        """Forget workers that fell silent here, and tell the dispatchers of those that nobody hears any more.
+        """Remove workers whose heartbeats timed out, and publish the removals.
 
-        A worker may call another control machine next. The other machines are told at once that it is silent
-        here; a dispatcher has one source, and keeps the worker while any machine hears it.
+        A worker may send its next heartbeats to another control machine. The other machines are therefore
+        informed at once that it timed out here. A dispatcher has only this machine as its source, so it is
+        informed only when no machine reports the worker any more.
         """
-        silent = [worker for worker, heard in self._heard.items() if now - heard > self._silence]
-        for worker in silent:
-            del self._heard[worker]
+        timed_out = [
+            worker for worker, last in self._last_heartbeats.items() if now - last > self._heartbeat_timeout
+        ]
+        for worker in timed_out:
+            del self._last_heartbeats[worker]
             gone = WorkerGone(worker, deleted=False)
             self._view.message_received(self._own_ip, gone, now)
             self._publish(gone, Audience.CONTROL_MACHINES)
         for worker in self._view.remove_unreported_workers(now):
             self._publish(WorkerGone(worker, deleted=False), Audience.DISPATCHERS)
 
-    def known(self) -> WorkerUpdates:
-        """All workers, for a dispatcher that subscribes."""
-        return WorkerUpdates(tuple(self._view.registry), complete=True, ended=self._ended())
+    def all_workers(self) -> WorkerUpdates:
+        """All known workers, for a new subscriber that is a dispatcher."""
+        return WorkerUpdates(tuple(self._view.registry), complete=True, ended=self._recently_deregistered())
 
-    def direct(self) -> WorkerUpdates:
-        """The workers heard directly, for another control machine that subscribes."""
-        records: Iterable[WorkerRecord | None] = (self._view.registry.get(worker) for worker in self._heard)
-        heard = tuple(record for record in records if record is not None)
-        return WorkerUpdates(heard, complete=True, ended=self._ended())
+    def reported_here(self) -> WorkerUpdates:
+        """The workers whose heartbeats arrive here, for a new subscriber that is a control machine."""
+        records: Iterable[WorkerRecord | None] = (
+            self._view.registry.get(worker) for worker in self._last_heartbeats
+        )
+        reported = tuple(record for record in records if record is not None)
+        return WorkerUpdates(reported, complete=True, ended=self._recently_deregistered())
 
-    def _ended(self) -> tuple[str, ...]:
-        """Farewells that a new subscriber may have missed, beside a machine that missed them too."""
-        return self._view.registry.recently_deleted(TOLD_ENDS)
+    def _recently_deregistered(self) -> tuple[str, ...]:
+        """The latest deregistrations, which a new subscriber and its previous source may have missed."""
+        return self._view.registry.recently_deleted(MAX_DEREGISTERED_SENT)
 
 
 Publish = Callable[[WorkerUpdates | WorkerGone, Audience], None]
-"""Sends an update to subscribers."""
+"""Publishes an update on workers to the subscribers of the audience."""
--- a/rookwood_controlplane.py
+++ b/rookwood_controlplane.py
@@ -1,4 +1,4 @@
-"""Starts the control plane."""
+"""Entry point of a control machine's process."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Run until SIGTERM; 2 if the settings can't be used."""
+    """Run until SIGTERM and return the exit code: 2 if the arguments or the settings are invalid."""
     skip_tls_import()
     import asyncio
 
--- a/tests/test_controlplane_confirmation.py
+++ b/tests/test_controlplane_confirmation.py
@@ -65,7 +65,7 @@
 
     async def answered(self) -> None:
         """Wait until all questions were dealt with."""
-        await within(asyncio.gather(*self.control._configuration.answers))
+        await within(asyncio.gather(*self.control._configuration.pending_fetches))
 
     async def test_a_confirmed_primary_says_so(self) -> None:
         rounds = self.ask(True, Confirmed(SNAPSHOT))
--- a/tests/test_controlplane_notices.py
+++ b/tests/test_controlplane_notices.py
@@ -21,21 +21,21 @@
         self.relay = NoticeRelay(self.to_dispatchers.put_nowait, self.to_control_machines.put_nowait)
 
     async def test_notices_of_a_moment_go_together_and_each_once(self) -> None:
-        self.relay.take_own(WorkNotices((FIRST,)))
-        self.relay.take_own(WorkNotices((SECOND,)))
+        self.relay.relay_from_dispatcher(WorkNotices((FIRST,)))
+        self.relay.relay_from_dispatcher(WorkNotices((SECOND,)))
         both = WorkNotices((FIRST, SECOND))
         self.assertEqual(both, await self.to_dispatchers.get())
         self.assertEqual(both, await self.to_control_machines.get())
-        self.relay.take_own(WorkNotices((SECOND,)))
+        self.relay.relay_from_dispatcher(WorkNotices((SECOND,)))
         self.assertEqual(WorkNotices((SECOND,)), await self.to_dispatchers.get())
 
     async def test_what_other_control_machines_pass_on_goes_to_dispatchers_alone(self) -> None:
         """They all tell one another of their own dispatchers' notices; each reaches a machine once."""
-        self.relay.take(WorkNotices((FIRST,)))
-        self.relay.take_own(WorkNotices((SECOND,)))
+        self.relay.relay_from_control_machine(WorkNotices((FIRST,)))
+        self.relay.relay_from_dispatcher(WorkNotices((SECOND,)))
         self.assertEqual(WorkNotices((FIRST, SECOND)), await self.to_dispatchers.get())
         self.assertEqual(WorkNotices((SECOND,)), await self.to_control_machines.get())
-        self.relay.take(WorkNotices((FIRST,)))
+        self.relay.relay_from_control_machine(WorkNotices((FIRST,)))
         await self.to_dispatchers.get()
         self.assertTrue(self.to_control_machines.empty())
 
--- a/tests/test_controlplane_operator.py
+++ b/tests/test_controlplane_operator.py
@@ -115,8 +115,8 @@
 
 class OperatorApiTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.enterContext(mock.patch.object(operator_api, "ATTACH_PATIENCE", 0.02))
-        self.enterContext(mock.patch.object(operator_api, "ATTACH_POLL", 0.01))
+        self.enterContext(mock.patch.object(operator_api, "PRIMARY_WAIT_LIMIT", 0.02))
+        self.enterContext(mock.patch.object(operator_api, "PRIMARY_POLL_INTERVAL", 0.01))
         self.group = FakeGroup()
         application = web.Application(client_max_size=MAX_PAYLOAD_BYTES)
         OperatorApi(settings(), cast(ControlGroup, self.group)).add_routes(application)
--- a/tests/test_controlplane_orders.py
+++ b/tests/test_controlplane_orders.py
@@ -17,7 +17,7 @@
 from rookwood.controlplane import load_scheduler
 from rookwood.controlplane.load_scheduler import LoadScheduler, without_weights
 from rookwood.controlplane.tenure import LAST_ORDER_LIMIT, LEASE_MARGIN, Tenure
-from rookwood.controlplane.worker_client import OrderCall, OrderRefused, OrderTaken, WorkerReport
+from rookwood.controlplane.worker_client import OrderAccepted, OrderCall, OrderRejected, WorkerReport
 from rookwood.controlplane.worker_table import WorkerTable
 from rookwood.coordination.group import Backup, ControlGroup, Primary, Role
 from rookwood.lab.emulatedworker.settings import WorkerSettings
@@ -162,10 +162,10 @@
             self.last_often_read.set()
         return self._reports[0]
 
-    async def order(self, address: str, worker: str, call: OrderCall) -> OrderTaken | OrderRefused:
+    async def order(self, address: str, worker: str, call: OrderCall) -> OrderAccepted | OrderRejected:
         """An order is taken and never carried out; or refused, where a status is set for that."""
         self.orders.append(call)
-        return OrderTaken(done=False) if self.refusal is None else OrderRefused(self.refusal)
+        return OrderAccepted(done=False) if self.refusal is None else OrderRejected(self.refusal)
 
     async def close(self) -> None:
         """Nothing is open."""
@@ -200,10 +200,10 @@
         scheduler.configure(load_configuration(json.dumps(CONFIGURATION).encode()))
         document = {"svc": SERVICE, "addr": self.worker.address, "az": "z1", "slots": 8, "seq": 1}
         now = asyncio.get_running_loop().time()
-        self.table.heartbeat(parse_heartbeat(self.worker.instance, document), now)
+        self.table.record_heartbeat(parse_heartbeat(self.worker.instance, document), now)
         running = asyncio.create_task(scheduler.run())
         self.addAsyncCleanup(cancel_tasks, [running])
-        scheduler.take_demand(WAITING)
+        scheduler.record_demand(WAITING)
         return group
 
     async def holding(self, model: str) -> None:
@@ -243,7 +243,7 @@
         """Let the scheduler read these reports; returns the client and whether "small" is known as held."""
         client = ScriptedClient(list(reports), ordered_first)
         self.enterContext(mock.patch.object(load_scheduler, "WorkerClient", lambda: client))
-        for pause in ("PLAN_INTERVAL", "LEAST_PLAN_PAUSE", "IDLE_REPORT_AGE", "BUSY_POLL_INTERVAL"):
+        for pause in ("PLAN_INTERVAL", "MIN_PLAN_PAUSE", "IDLE_POLL_INTERVAL", "BUSY_POLL_INTERVAL"):
             self.enterContext(mock.patch.object(load_scheduler, pause, SHORT_INTERVAL))
         await self.start_scheduler(Primary(1, asyncio.get_running_loop().time()))
         await within(client.last_often_read.wait())
@@ -256,7 +256,7 @@
         client = ScriptedClient([idle_report(5)], ordered_first=False)
         client.refusal = status
         self.enterContext(mock.patch.object(load_scheduler, "WorkerClient", lambda: client))
-        for pause in ("PLAN_INTERVAL", "LEAST_PLAN_PAUSE", "IDLE_REPORT_AGE", "BUSY_POLL_INTERVAL"):
+        for pause in ("PLAN_INTERVAL", "MIN_PLAN_PAUSE", "IDLE_POLL_INTERVAL", "BUSY_POLL_INTERVAL"):
             self.enterContext(mock.patch.object(load_scheduler, pause, SHORT_INTERVAL))
         await self.start_scheduler(Primary(1, asyncio.get_running_loop().time()))
         await within(self.ordered(client))
@@ -296,7 +296,7 @@
         client = ScriptedClient([idle_report(5, "old")], ordered_first=False)
         self.enterContext(mock.patch.dict(CONFIGURATION, tight))
         self.enterContext(mock.patch.object(load_scheduler, "WorkerClient", lambda: client))
-        for pause in ("PLAN_INTERVAL", "LEAST_PLAN_PAUSE", "IDLE_REPORT_AGE", "BUSY_POLL_INTERVAL"):
+        for pause in ("PLAN_INTERVAL", "MIN_PLAN_PAUSE", "IDLE_POLL_INTERVAL", "BUSY_POLL_INTERVAL"):
             self.enterContext(mock.patch.object(load_scheduler, pause, SHORT_INTERVAL))
         await self.start_scheduler(Primary(1, asyncio.get_running_loop().time()))
         await within(self.ordered(client))
--- a/tests/test_controlplane_workers.py
+++ b/tests/test_controlplane_workers.py
@@ -28,9 +28,9 @@
 from rookwood.controlplane.worker_api import WorkerApi
 from rookwood.controlplane.worker_client import (
     NOT_CONNECTED,
+    OrderAccepted,
     OrderCall,
-    OrderRefused,
-    OrderTaken,
+    OrderRejected,
     OrderUnknown,
     ReportFailed,
     WorkerClient,
@@ -83,50 +83,50 @@
 
 class WorkerTableTests(WorkerTableCase):
     def test_a_new_worker_is_published_to_all(self) -> None:
-        self.table.heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(WORKER, 0.0)
         self.assertEqual([(WorkerUpdates((WORKER,), complete=False), Audience.ALL)], self.published)
 
     def test_a_heartbeat_without_news_is_not_published(self) -> None:
-        self.table.heartbeat(WORKER, 0.0)
-        self.table.heartbeat(replace(WORKER, sequence=6), 1.0)
+        self.table.record_heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(replace(WORKER, sequence=6), 1.0)
         self.assertEqual(1, len(self.published))
 
     def test_draining_is_published_at_once_and_never_undone(self) -> None:
-        self.table.heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(WORKER, 0.0)
         draining = replace(WORKER, sequence=6, state=WorkerState.DRAINING)
-        self.table.heartbeat(draining, 0.1)
+        self.table.record_heartbeat(draining, 0.1)
         self.assertEqual((WorkerUpdates((draining,), complete=False), Audience.ALL), self.published[-1])
-        self.table.heartbeat(replace(WORKER, sequence=7), 0.2)
+        self.table.record_heartbeat(replace(WORKER, sequence=7), 0.2)
         known = self.view.registry.get(WORKER.id)
         assert known is not None
         self.assertIs(WorkerState.DRAINING, known.state)
 
     def test_a_late_heartbeat_changes_nothing(self) -> None:
-        self.table.heartbeat(replace(WORKER, sequence=9), 0.0)
-        self.table.heartbeat(replace(WORKER, sequence=8, slots=2), 0.1)
+        self.table.record_heartbeat(replace(WORKER, sequence=9), 0.0)
+        self.table.record_heartbeat(replace(WORKER, sequence=8, slots=2), 0.1)
         known = self.view.registry.get(WORKER.id)
         assert known is not None
         self.assertEqual(WORKER.slots, known.slots)
 
     def test_a_silent_worker_goes_and_may_come_back(self) -> None:
-        self.table.heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(WORKER, 0.0)
         self.table.expire(LONG_SILENCE)
         self.assertEqual([WORKER.id], self.gone)
         gone = WorkerGone(WORKER.id, deleted=False)
         told = [(gone, Audience.CONTROL_MACHINES), (gone, Audience.DISPATCHERS)]
         self.assertEqual(told, self.published[-2:])
-        self.table.heartbeat(replace(WORKER, sequence=9), LONG_SILENCE)
+        self.table.record_heartbeat(replace(WORKER, sequence=9), LONG_SILENCE)
         self.assertIsNotNone(self.view.registry.get(WORKER.id))
         self.assertIsInstance(self.published[-1][0], WorkerUpdates)
 
     def test_one_missed_heartbeat_is_not_silence(self) -> None:
-        self.table.heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(WORKER, 0.0)
         self.table.expire(2 * BEAT)
         self.assertEqual([], self.gone)
 
     def test_a_worker_that_another_machine_hears_stays(self) -> None:
         self.view.link_opened(PEER)
-        self.table.heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(WORKER, 0.0)
         self.view.message_received(PEER, WorkerUpdates((WORKER,), complete=True), 0.0)
         self.table.expire(LONG_SILENCE)
         self.assertEqual([], self.gone)
@@ -134,33 +134,33 @@
         self.assertEqual(told, self.published[-1], "no dispatcher is told: the other machine hears it")
 
     def test_a_deleted_worker_is_published_once_and_stays_deleted(self) -> None:
-        self.table.heartbeat(WORKER, 0.0)
-        self.table.delete(WORKER.id, 0.1)
-        self.table.delete(WORKER.id, 0.1)
-        self.table.heartbeat(replace(WORKER, sequence=99), 0.1)
+        self.table.record_heartbeat(WORKER, 0.0)
+        self.table.deregister(WORKER.id, 0.1)
+        self.table.deregister(WORKER.id, 0.1)
+        self.table.record_heartbeat(replace(WORKER, sequence=99), 0.1)
         self.assertEqual([WORKER.id], self.gone)
         self.assertEqual(2, len(self.published))
         self.assertEqual((WorkerGone(WORKER.id, deleted=True), Audience.ALL), self.published[-1])
-        self.assertEqual((), self.table.known().records)
+        self.assertEqual((), self.table.all_workers().records)
 
     def test_other_control_machines_are_told_only_of_workers_heard_here(self) -> None:
         told = replace(WORKER, id="i-2")
-        self.table.heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(WORKER, 0.0)
         self.view.message_received(PEER, WorkerUpdates((told,), complete=True), 0.0)
-        self.assertEqual(WorkerUpdates((WORKER,), complete=True), self.table.direct())
-        self.assertEqual({WORKER, told}, set(self.table.known().records))
-        self.assertTrue(self.table.known().complete)
+        self.assertEqual(WorkerUpdates((WORKER,), complete=True), self.table.reported_here())
+        self.assertEqual({WORKER, told}, set(self.table.all_workers().records))
+        self.assertTrue(self.table.all_workers().complete)
 
     def test_reported_holdings_are_published_and_win_over_heartbeats(self) -> None:
-        self.table.heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(WORKER, 0.0)
         self.table.set_holding(WORKER.id, HELD, HoldingStamp(3, 1))
         self.assertEqual(HELD, self.view.registry.get(WORKER.id).models)  # type: ignore[union-attr]
-        self.table.heartbeat(replace(WORKER, sequence=9), 0.1)
+        self.table.record_heartbeat(replace(WORKER, sequence=9), 0.1)
         self.assertEqual(HELD, self.view.registry.get(WORKER.id).models)  # type: ignore[union-attr]
         self.assertIs(Audience.ALL, self.published[-1][1])
 
     def test_older_reports_of_holdings_are_ignored(self) -> None:
-        self.table.heartbeat(WORKER, 0.0)
+        self.table.record_heartbeat(WORKER, 0.0)
         self.table.set_holding(WORKER.id, HELD, HoldingStamp(3, 2))
         self.table.set_holding(WORKER.id, (), HoldingStamp(3, 1))
         self.table.set_holding(WORKER.id, (), HoldingStamp(2, 9))
@@ -199,11 +199,11 @@
     def publish(self, update: Update, audience: Audience) -> None:
         """The other machines that hear of it acknowledge a moment later."""
         if isinstance(update, WorkerGone):
-            news = PresenceAck(update.worker, deleted=True)
+            change = PresenceAck(update.worker, deleted=True)
         else:
-            news = PresenceAck(update.records[0].id, deleted=False)
+            change = PresenceAck(update.records[0].id, deleted=False)
         for machine in self.acknowledging:
-            asyncio.get_running_loop().call_soon(self.presence.acknowledged, machine, news)
+            asyncio.get_running_loop().call_soon(self.presence.record_acknowledgement, machine, change)
 
     async def beat(self, body: bytes | None = None, **changes: object) -> int:
         """Send a heartbeat; returns the status."""
@@ -292,7 +292,7 @@
         complete: bool = True,
     ) -> None:
         """One dispatcher's report."""
-        self.demand.take(DemandReport(identity, keys, wanted, complete), now)
+        self.demand.record_report(DemandReport(identity, keys, wanted, complete), now)
 
     def test_the_demand_of_all_dispatchers_is_added_up(self) -> None:
         self.report(DISPATCHER, 0.0, KeyDemand("models", "small", "a1", 2.0, 1.0, 3, 0.5))
@@ -322,21 +322,21 @@
         wanted = (WantedWeights("models", WORKER.id, "small", "a1"),)
         self.report(DISPATCHER, 0.0, wanted=wanted)
         self.report(PEER, 0.0)
-        self.assertEqual(0.5, self.demand.wanted("models")[WORKER.id][KEY])
+        self.assertEqual(0.5, self.demand.wanted_shares("models")[WORKER.id][KEY])
         self.report(PEER, 1.0, wanted=wanted)
-        self.assertEqual(1.0, self.demand.wanted("models")[WORKER.id][KEY])
+        self.assertEqual(1.0, self.demand.wanted_shares("models")[WORKER.id][KEY])
         self.report(DISPATCHER, 2.0)
         self.report(PEER, 2.0)
-        self.assertNotIn(WORKER.id, self.demand.wanted("models"))
+        self.assertNotIn(WORKER.id, self.demand.wanted_shares("models"))
 
     def test_what_a_silent_dispatcher_wanted_no_longer_counts(self) -> None:
         wanted = (WantedWeights("models", WORKER.id, "small", "a1"),)
         self.report(DISPATCHER, 0.0, wanted=wanted)
         self.report(PEER, LONG_SILENCE)
         self.demand.total("models", LONG_SILENCE)
-        self.assertEqual({}, dict(self.demand.wanted("models")))
+        self.assertEqual({}, dict(self.demand.wanted_shares("models")))
         self.report(DISPATCHER, LONG_SILENCE, wanted=wanted)
-        self.assertEqual(0.5, self.demand.wanted("models")[WORKER.id][KEY])
+        self.assertEqual(0.5, self.demand.wanted_shares("models")[WORKER.id][KEY])
 
     def test_services_are_kept_apart(self) -> None:
         self.report(DISPATCHER, 0.0, KeyDemand("models", "small", "a1", 2.0, 1.0, 3, 0.5))
@@ -367,7 +367,7 @@
         self.addAsyncCleanup(worker.stop)
         return worker
 
-    async def order_answered(self, status: int) -> OrderTaken | OrderRefused | OrderUnknown:
+    async def order_with_response(self, status: int) -> OrderAccepted | OrderRejected | OrderUnknown:
         """Give the order to a worker that answers with the status."""
         worker = await self.start_worker(FakeWorker(responding(b"", status)))
         return await self.client.order(worker.address, worker.id, ORDER)
@@ -387,7 +387,7 @@
 
     async def test_an_order_names_owner_fence_and_revision(self) -> None:
         worker = await self.start_worker(FakeWorker(responding(b"", 202)))
-        self.assertEqual(OrderTaken(done=False), await self.client.order(worker.address, worker.id, ORDER))
+        self.assertEqual(OrderAccepted(done=False), await self.client.order(worker.address, worker.id, ORDER))
         (request,) = worker.requests
         self.assertEqual(("POST", "/order"), (request.method, request.target))
         self.assertEqual(worker.id, request.headers["x-want-instance"])
@@ -408,11 +408,11 @@
         self.assertNotIn("lora", document)
 
     async def test_what_holds_already_is_done(self) -> None:
-        self.assertEqual(OrderTaken(done=True), await self.order_answered(200))
+        self.assertEqual(OrderAccepted(done=True), await self.order_with_response(200))
 
     async def test_a_refusal_gives_its_status(self) -> None:
         for status in (400, 409, 412, 421):
-            self.assertEqual(OrderRefused(status), await self.order_answered(status))
+            self.assertEqual(OrderRejected(status), await self.order_with_response(status))
 
     async def test_an_order_without_an_answer_may_have_been_taken_and_is_sent_once(self) -> None:
         worker = await self.start_worker(FakeWorker(responding(b"", 202), break_off))
@@ -495,7 +495,7 @@
         with mock.patch.object(worker_client, "CALL_LIMIT", SHORT_CALL_LIMIT):
             self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), OrderUnknown)
         late.set()
-        self.assertEqual(OrderRefused(409), await self.client.order(worker.address, worker.id, ORDER))
+        self.assertEqual(OrderRejected(409), await self.client.order(worker.address, worker.id, ORDER))
         await within(closed.wait())
         self.assertEqual(2, worker.connections)
 
@@ -503,7 +503,7 @@
         report = responding(json.dumps(REPORT).encode(), X_Instance="i-2")
         worker = await self.start_worker(FakeWorker(report))
         self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
-        for status, expected in ((202, OrderUnknown), (200, OrderUnknown), (421, OrderRefused)):
+        for status, expected in ((202, OrderUnknown), (200, OrderUnknown), (421, OrderRejected)):
             worker = await self.start_worker(FakeWorker(responding(b"", status, X_Instance="i-2")))
             self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), expected)
 
@@ -513,7 +513,7 @@
         for status in (301, 302, 303, 307, 308):
             away = responding(b"", status, Location=f"http://{other.address}/order")
             worker = await self.start_worker(FakeWorker(away))
-            self.assertEqual(OrderRefused(status), await self.client.order(worker.address, worker.id, ORDER))
+            self.assertEqual(OrderRejected(status), await self.client.order(worker.address, worker.id, ORDER))
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
         self.assertEqual([], other.requests)
 
@@ -521,7 +521,7 @@
         worker = await self.start_worker(FakeWorker(responding()))
         address = worker.address
         await worker.stop()
-        self.assertEqual(OrderRefused(NOT_CONNECTED), await self.client.order(address, worker.id, ORDER))
+        self.assertEqual(OrderRejected(NOT_CONNECTED), await self.client.order(address, worker.id, ORDER))
 
 
 if __name__ == "__main__":
--- a/tests/test_demand_relay.py
+++ b/tests/test_demand_relay.py
@@ -46,14 +46,14 @@
     def report(self, dispatcher: str, *keys: KeyDemand, complete: bool = True, now: float = NOW) -> None:
         """A dispatcher reports."""
         report = DemandReport(dispatcher, keys, (WANTED,) if complete else (), complete)
-        self.demand.take(report, now)
-        self.relay.reported(report)
+        self.demand.record_report(report, now)
+        self.relay.relay_report(report)
 
     def test_the_sum_tells_all_keys_and_by_how_many_weights_are_wanted(self) -> None:
         self.report("e1", KEY)
         self.report("e2", replace(KEY, rate=1.0, waiting=1, oldest_wait=3.0), OTHER_KEY)
         self.assertEqual([], self.connection.sent, "nothing in it is urgent")
-        self.relay.tell_primary(NOW)
+        self.relay.send_summary(NOW)
         (summary,) = self.connection.sent
         total = KeyDemand("s", "m", "a1", rate=1.5, busy=0.5, waiting=3, oldest_wait=3.0)
         wanted = (CountedWeights("s", "w1", "m", "", 2),)
@@ -74,28 +74,30 @@
         ]
         direct, at_peer, summed = DemandSum(), DemandSum(), DemandSum()
         for report in reports:
-            direct.take(report, NOW)
+            direct.record_report(report, NOW)
         for report in reports[:2]:
-            at_peer.take(report, NOW)
+            at_peer.record_report(report, NOW)
         summary = at_peer.summary(PEER, NOW)
         assert summary is not None
-        summed.take(summary, NOW)
-        summed.take(reports[2], NOW)
+        summed.record_report(summary, NOW)
+        summed.record_report(reports[2], NOW)
         self.assertEqual(direct.total("s", NOW), summed.total("s", NOW))
-        self.assertEqual(direct.wanted("s"), summed.wanted("s"))
+        self.assertEqual(direct.wanted_shares("s"), summed.wanted_shares("s"))
 
     def test_sums_of_other_machines_are_not_passed_on(self) -> None:
-        self.demand.take(DemandSummary(PEER, 3, (KEY,), (), True), NOW)
+        self.demand.record_report(DemandSummary(PEER, 3, (KEY,), (), True), NOW)
         self.assertIsNone(self.demand.summary(OWN_IP, NOW))
-        self.relay.tell_primary(NOW)
+        self.relay.send_summary(NOW)
         self.assertEqual([], self.connection.sent)
 
     def test_a_later_sum_replaces_the_one_before(self) -> None:
         counted = CountedWeights("s", "w1", "m", "", 3)
-        self.demand.take(DemandSummary(PEER, 3, (KEY,), (counted,), True), NOW)
-        self.demand.take(DemandSummary(PEER, 2, (OTHER_KEY,), (replace(counted, count=1),), True), NOW)
+        self.demand.record_report(DemandSummary(PEER, 3, (KEY,), (counted,), True), NOW)
+        self.demand.record_report(
+            DemandSummary(PEER, 2, (OTHER_KEY,), (replace(counted, count=1),), True), NOW
+        )
         self.assertEqual([WeightsKey("n")], list(self.demand.total("s", NOW)))
-        self.assertEqual({"w1": {WeightsKey("m"): 0.5}}, self.demand.wanted("s"))
+        self.assertEqual({"w1": {WeightsKey("m"): 0.5}}, self.demand.wanted_shares("s"))
 
     def test_who_falls_silent_no_longer_counts(self) -> None:
         self.report("e1", KEY)
@@ -104,18 +106,18 @@
         summary = self.demand.summary(OWN_IP, later)
         assert summary is not None
         self.assertEqual((1, 0.5), (summary.dispatchers, summary.keys[0].rate))
-        self.assertEqual({"w1": {WeightsKey("m"): 1.0}}, self.demand.wanted("s"))
+        self.assertEqual({"w1": {WeightsKey("m"): 1.0}}, self.demand.wanted_shares("s"))
 
     def test_a_primary_of_release_0_gets_the_reports_themselves(self) -> None:
         self.primary = PrimaryLink(self.connection, release=0)  # type: ignore[arg-type]
         self.report("e1", KEY)
-        self.relay.tell_primary(NOW)
+        self.relay.send_summary(NOW)
         self.assertEqual([DemandReport("e1", (KEY,), (WANTED,), True)], self.connection.sent)
 
     def test_the_primary_itself_sends_nothing(self) -> None:
         self.primary = None
         self.report("e1", KEY, complete=False)
-        self.relay.tell_primary(NOW)
+        self.relay.send_summary(NOW)
         self.assertEqual([], self.connection.sent)
 
 
--- a/tests/test_tenure_simulation.py
+++ b/tests/test_tenure_simulation.py
@@ -21,14 +21,14 @@
 class ShortWait(Tenure):
     """Waits for half of the lease."""
 
-    def _wait(self) -> float:
+    def _wait_seconds(self) -> float:
         return self.lease / 2
 
 
 class LeaseOnly(Tenure):
     """Takes orders under way, and last orders of a cut-off holder, for impossible."""
 
-    def _wait(self) -> float:
+    def _wait_seconds(self) -> float:
         return self.lease
 
 
@@ -37,21 +37,21 @@
 
     def may_issue_orders(self, epoch: int, since: float, now: float) -> bool:
         """Without a look at `fenced`."""
-        return super().may_issue_orders(epoch, since, now) or self._holder_before_failed(epoch, now)
+        return super().may_issue_orders(epoch, since, now) or self._previous_primary_failed(epoch, now)
 
 
 class ShortcutOnAnyLink(Tenure):
     """Takes every earlier holder for failed."""
 
-    def _holder_before_failed(self, epoch: int, now: float) -> bool:
+    def _previous_primary_failed(self, epoch: int, now: float) -> bool:
         return True
 
 
 class ChainForgotten(Tenure):
     """Looks at the holder right before alone, however short its tenure was."""
 
-    def _holder_before_failed(self, epoch: int, now: float) -> bool:
-        holder = self._holders.get(epoch - 1)
+    def _previous_primary_failed(self, epoch: int, now: float) -> bool:
+        holder = self._primaries.get(epoch - 1)
         link = self._links.get(holder.ip) if holder is not None else None
         return holder is not None and link is not None and link.broke_at >= holder.seen_at
 
@@ -59,8 +59,8 @@
 class OldBreakCounts(Tenure):
     """Takes a link that broke at any time for a sign that the holder failed."""
 
-    def _holder_before_failed(self, epoch: int, now: float) -> bool:
-        holder = self._holders.get(epoch - 1)
+    def _previous_primary_failed(self, epoch: int, now: float) -> bool:
+        holder = self._primaries.get(epoch - 1)
         return holder is not None and holder.ip in self._links and self._links[holder.ip].broke_at > 0
 
 
--- a/tests/test_worker_presence.py
+++ b/tests/test_worker_presence.py
@@ -14,7 +14,7 @@
 from rookwood.controlplane.peer_feed import PeerFeed
 from rookwood.controlplane.presence_quorum import PresenceQuorum
 from rookwood.controlplane.tenure import Tenure
-from rookwood.controlplane.worker_table import TOLD_ENDS, Audience, WorkerTable
+from rookwood.controlplane.worker_table import MAX_DEREGISTERED_SENT, Audience, WorkerTable
 
 BEAT = 1.2
 WORKER = WorkerRecord("i-1", "models", "10.0.0.9:80", "z1", 8, WorkerState.UP, 5, ())
@@ -31,7 +31,7 @@
         """Subscribe: the greeting comes."""
         self.view.link_opened(machine.ip)
         self.view.message_received(machine.ip, machine.status(), now)
-        self.view.message_received(machine.ip, machine.table.known(), now)
+        self.view.message_received(machine.ip, machine.table.all_workers(), now)
         machine.dispatchers.append(self)
 
     def state(self) -> WorkerState | None:
@@ -72,7 +72,7 @@
         peer.peers.append(self)
         self.view.link_opened(peer.ip)
         self.peer_feed.message_received(peer.ip, peer.status())
-        self.peer_feed.message_received(peer.ip, peer.table.direct())
+        self.peer_feed.message_received(peer.ip, peer.table.reported_here())
 
     def cut_off(self, others: list[ControlMachine], now: float) -> None:
         """No link to the others any more, dispatchers reach it as before."""
@@ -107,7 +107,7 @@
         dispatcher = Dispatcher()
         for machine in self.machines:
             dispatcher.link(machine, self.now)
-        first.table.heartbeat(WORKER, self.now)
+        first.table.record_heartbeat(WORKER, self.now)
         for seconds in (5.0, 10.0, 20.0, 60.0, 600.0):
             self.housekeeping(self.now + seconds, dispatcher)
         for machine in self.machines:
@@ -119,9 +119,9 @@
     ) -> None:
         """The farewell was acknowledged by a majority; a machine cut off before still tells of the worker."""
         first, second, cut = self.machines
-        cut.table.heartbeat(WORKER, self.now)
+        cut.table.record_heartbeat(WORKER, self.now)
         cut.cut_off([first, second], self.now)
-        first.table.delete(WORKER.id, self.now + 0.5)
+        first.table.deregister(WORKER.id, self.now + 0.5)
         starting = Dispatcher()
         for machine in self.machines:
             starting.link(machine, self.now + 1.0)
@@ -138,11 +138,11 @@
         """A majority has taken it, and passes it on."""
         first, _, third = self.machines
         dispatcher = Dispatcher()
-        first.table.heartbeat(WORKER, self.now)
+        first.table.record_heartbeat(WORKER, self.now)
         dispatcher.link(third, self.now)
         self.assertIs(WorkerState.UP, dispatcher.state())
         self.lose_link(first, third)
-        first.table.delete(WORKER.id, self.now)
+        first.table.deregister(WORKER.id, self.now)
         self.assertIsNone(dispatcher.state())
         self.assertTrue(third.view.registry.was_deleted(WORKER.id))
 
@@ -150,10 +150,10 @@
         """It is named in the greeting of a machine that did not miss it."""
         first, second, third = self.machines
         dispatcher = Dispatcher()
-        first.table.heartbeat(WORKER, self.now)
+        first.table.record_heartbeat(WORKER, self.now)
         dispatcher.link(third, self.now)
         third.cut_off([first, second], self.now)
-        first.table.delete(WORKER.id, self.now)
+        first.table.deregister(WORKER.id, self.now)
         self.assertIs(WorkerState.UP, dispatcher.state())
         third.subscribe(second)
         self.assertIsNone(dispatcher.state())
@@ -163,10 +163,10 @@
         first, second, _ = self.machines
         dispatcher = Dispatcher()
         dispatcher.link(first, self.now)
-        first.table.heartbeat(WORKER, self.now)
+        first.table.record_heartbeat(WORKER, self.now)
         for beat in range(1, 12):
             now = self.now + beat * BEAT
-            second.table.heartbeat(replace(WORKER, sequence=WORKER.sequence + beat), now)
+            second.table.record_heartbeat(replace(WORKER, sequence=WORKER.sequence + beat), now)
             self.housekeeping(now, dispatcher)
             self.assertIs(WorkerState.UP, dispatcher.state(), beat)
 
@@ -176,10 +176,10 @@
         dispatcher = Dispatcher()
         for machine in self.machines:
             dispatcher.link(machine, self.now)
-        first.table.heartbeat(replace(WORKER, state=WorkerState.DRAINING, sequence=6), self.now)
+        first.table.record_heartbeat(replace(WORKER, state=WorkerState.DRAINING, sequence=6), self.now)
         self.housekeeping(self.now + 10.0, dispatcher)
         self.assertIsNone(dispatcher.state())
-        first.table.heartbeat(WORKER, self.now + 11.0)
+        first.table.record_heartbeat(WORKER, self.now + 11.0)
         self.assertIs(WorkerState.DRAINING, dispatcher.state())
 
     async def test_a_worker_that_is_heard_elsewhere_stays(self) -> None:
@@ -188,19 +188,19 @@
         dispatcher = Dispatcher()
         for machine in self.machines:
             dispatcher.link(machine, self.now)
-        first.table.heartbeat(WORKER, self.now)
-        second.table.heartbeat(replace(WORKER, sequence=6), self.now + 3.0)
+        first.table.record_heartbeat(WORKER, self.now)
+        second.table.record_heartbeat(replace(WORKER, sequence=6), self.now + 3.0)
         self.housekeeping(self.now + 5.0, dispatcher)
         self.assertIs(WorkerState.UP, dispatcher.state())
 
     async def test_greetings_tell_of_a_bounded_number_of_ends(self) -> None:
         """The newest farewells alone: a greeting stays short on a thin link."""
         table = self.machines[0].table
-        for number in range(TOLD_ENDS + 10):
-            table.delete(f"i-{number}", self.now)
-        ended = table.known().ended
-        self.assertEqual(TOLD_ENDS, len(ended))
-        self.assertEqual(f"i-{TOLD_ENDS + 9}", ended[-1])
+        for number in range(MAX_DEREGISTERED_SENT + 10):
+            table.deregister(f"i-{number}", self.now)
+        ended = table.all_workers().ended
+        self.assertEqual(MAX_DEREGISTERED_SENT, len(ended))
+        self.assertEqual(f"i-{MAX_DEREGISTERED_SENT + 9}", ended[-1])
 
 
 class PresenceQuorumTest(unittest.IsolatedAsyncioTestCase):
@@ -214,7 +214,7 @@
         await asyncio.wait([first], timeout=0.1)
         second = asyncio.create_task(quorum.confirm(self.NEWS))
         self.assertFalse(await first)
-        quorum.acknowledged(IPS[1], self.NEWS)
+        quorum.record_acknowledgement(IPS[1], self.NEWS)
         self.assertTrue(await second)
         self.assertTrue(quorum.is_confirmed(self.NEWS))
 
@@ -222,9 +222,9 @@
         quorum = PresenceQuorum(IPS[0], lambda: IPS)
         waiting = asyncio.create_task(quorum.confirm(self.NEWS))
         await asyncio.wait([waiting], timeout=0.01)
-        quorum.acknowledged("10.0.0.99", self.NEWS)
+        quorum.record_acknowledgement("10.0.0.99", self.NEWS)
         self.assertFalse(quorum.is_confirmed(self.NEWS))
-        quorum.acknowledged(IPS[2], self.NEWS)
+        quorum.record_acknowledgement(IPS[2], self.NEWS)
         self.assertTrue(await waiting)
 
 
--- a/tests/test_worker_relay.py
+++ b/tests/test_worker_relay.py
@@ -19,7 +19,7 @@
 
 class WorkerRelayTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.enterContext(mock.patch.object(worker_relay, "LEAST_INTERVAL", 0.01))
+        self.enterContext(mock.patch.object(worker_relay, "MIN_INTERVAL", 0.01))
         self.registry = WorkerRegistry()
         self.sent: asyncio.Queue[WorkerUpdates] = asyncio.Queue()
         self.relay = WorkerRelay(self.registry.get, self.sent.put_nowait)
@@ -28,7 +28,7 @@
         """Another control machine tells of workers."""
         for record in records:
             self.registry.merge(record)
-        self.relay.take(WorkerUpdates(records, complete=False))
+        self.relay.relay(WorkerUpdates(records, complete=False))
 
     async def test_changes_of_a_moment_go_in_one_message_with_the_newest_state(self) -> None:
         newer = replace(FIRST, sequence=6, slots=9)
@@ -57,7 +57,7 @@
         self.assertEqual(WorkerUpdates((SECOND,), complete=False), await within(self.sent.get()))
 
     async def test_nothing_is_sent_for_an_empty_list(self) -> None:
-        self.relay.take(WorkerUpdates((), complete=True))
+        self.relay.relay(WorkerUpdates((), complete=True))
         self.relay.flush()
         self.assertTrue(self.sent.empty())
 
