--- a/tests/test_controlplane_commit.py
+++ b/tests/test_controlplane_commit.py
@@ -1,4 +1,4 @@
-"""What a control machine does at a commit, and in which order."""
+"""The order of a control machine's actions at a commit."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.fake_worker import within
 
 HTTP_OK = 200
-ANSWERED, PARSED, SENT = "answered", "parsed", "sent"
+RESPONDED, PARSED, SENT = "responded", "parsed", "sent"
 CONFIGURATION: dict[str, Any] = {
     "ver": 1,
     "routes": [],
@@ -49,51 +49,51 @@
         self.enterContext(mock.patch.dict("os.environ", {SETTINGS_VARIABLE: directory}))
         self.events: list[str] = []
         self.sent = asyncio.Event()
-        self.note_events()
+        self.record_events()
         running = asyncio.create_task(ControlPlane(parse_settings(document)).run())
         self.addAsyncCleanup(cancel_tasks, [running])
 
-    def note_events(self) -> None:
-        """Note when an answer leaves, a configuration is parsed and its position is sent to subscribers."""
+    def record_events(self) -> None:
+        """Record each response, parsing of a configuration, and sending of its position to subscribers."""
         write_eof, broadcast = web.Response.write_eof, FeedServer.broadcast
         replace = ConfigurationStore.replace
 
-        async def note_answer(response: web.Response, data: bytes = b"") -> None:
+        async def record_response(response: web.Response, data: bytes = b"") -> None:
             await write_eof(response, data)
             if response.status == HTTP_OK:
-                self.events.append(ANSWERED)
+                self.events.append(RESPONDED)
 
-        def note_parsing(store: ConfigurationStore, source: bytes) -> ItemChanges:
+        def record_parsing(store: ConfigurationStore, source: bytes) -> ItemChanges:
             self.events.append(PARSED)
             return replace(store, source)
 
-        def note_sending(server: FeedServer, message: Message) -> None:
+        def record_sending(server: FeedServer, message: Message) -> None:
             broadcast(server, message)
             if isinstance(message, Status) and message.config_sequence > 0 and PARSED in self.events:
                 self.events.append(SENT)
                 self.sent.set()
 
-        self.enterContext(mock.patch.object(web.Response, "write_eof", note_answer))
-        self.enterContext(mock.patch.object(ConfigurationStore, "replace", note_parsing))
-        self.enterContext(mock.patch.object(FeedServer, "broadcast", note_sending))
+        self.enterContext(mock.patch.object(web.Response, "write_eof", record_response))
+        self.enterContext(mock.patch.object(ConfigurationStore, "replace", record_parsing))
+        self.enterContext(mock.patch.object(FeedServer, "broadcast", record_sending))
 
     async def put_configuration(self) -> None:
-        """Put the configuration, again until the machine listens and leads."""
+        """Put the configuration; repeat the call until the machine listens and is the primary."""
         async with ClientSession() as session:
             while True:
                 headers = {"If-Match": "0"}
                 url = f"http://{self.address}/config"
                 try:
-                    async with session.put(url, data=json.dumps(CONFIGURATION), headers=headers) as answer:
-                        if answer.status == HTTP_OK:
+                    async with session.put(url, data=json.dumps(CONFIGURATION), headers=headers) as response:
+                        if response.status == HTTP_OK:
                             return
                 except ClientError:
                     await asyncio.sleep(0)
 
-    async def test_the_operator_is_answered_before_the_configuration_is_parsed_and_sent(self) -> None:
+    async def test_the_operator_gets_a_response_before_the_configuration_is_parsed_and_sent(self) -> None:
         await within(self.put_configuration())
         await within(self.sent.wait())
-        self.assertEqual([ANSWERED, PARSED, SENT], self.events[:3])
+        self.assertEqual([RESPONDED, PARSED, SENT], self.events[:3])
 
 
 if __name__ == "__main__":
--- a/tests/test_controlplane_confirmation.py
+++ b/tests/test_controlplane_confirmation.py
@@ -1,4 +1,4 @@
-"""What a control machine hands out as current when a dispatcher that starts asks it."""
+"""Which configuration a control machine sends as confirmed to a dispatcher that starts."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 SNAPSHOT = Snapshot(2, 5, ControlDocument(version=3, source=SOURCE).encode())
 
 
-class CollectingConnection:
-    """A dispatcher's link that keeps what it is sent."""
+class RecordingConnection:
+    """A link to a dispatcher that records the messages sent on it."""
 
     def __init__(self) -> None:
         self.sent: asyncio.Queue[Message] = asyncio.Queue()
 
     def send_frame(self, frame: bytes, subject: Hashable | None = None) -> None:
-        """Keep the message of a frame."""
+        """Record the message of a frame."""
         length, number = HEADER.unpack_from(frame)
         body = frame[HEADER.size :]
         assert len(body) == length
@@ -53,35 +53,35 @@
         }
         self.control = ControlPlane(parse_settings(document))
         self.enterContext(mock.patch.object(self.control.group, "snapshot", lambda: SNAPSHOT))
-        self.connection = CollectingConnection()
+        self.connection = RecordingConnection()
 
-    def ask(self, confirm: bool, outcome: Confirmed | NotPrimary | Uncertain) -> mock.AsyncMock:
-        """A dispatcher asks while a round would end so."""
+    def fetch(self, confirm: bool, outcome: Confirmed | NotPrimary | Uncertain) -> mock.AsyncMock:
+        """Fetch the configuration as a dispatcher, while a quorum round would have this outcome."""
         rounds = mock.AsyncMock(return_value=outcome)
         self.enterContext(mock.patch.object(self.control.group, "confirm", rounds))
-        question = FetchConfiguration(5, confirm)
-        self.control.message_received(cast(Connection, self.connection), question)
+        request = FetchConfiguration(5, confirm)
+        self.control.message_received(cast(Connection, self.connection), request)
         return rounds
 
-    async def answered(self) -> None:
-        """Wait until all questions were dealt with."""
+    async def wait_for_fetches(self) -> None:
+        """Wait until no fetch request awaits a quorum round."""
         await within(asyncio.gather(*self.control._configuration.pending_fetches))
 
-    async def test_a_confirmed_primary_says_so(self) -> None:
-        rounds = self.ask(True, Confirmed(SNAPSHOT))
-        await self.answered()
+    async def test_a_confirmed_primary_sends_a_confirmed_configuration(self) -> None:
+        rounds = self.fetch(True, Confirmed(SNAPSHOT))
+        await self.wait_for_fetches()
         rounds.assert_awaited_once()
         self.assertEqual(ConfigurationBody(2, 5, SOURCE, confirmed=True), self.connection.sent.get_nowait())
 
-    async def test_whoever_no_majority_confirms_sends_nothing(self) -> None:
-        for outcome in (NotPrimary(None), Uncertain("no answer within the limit")):
+    async def test_a_machine_that_no_majority_confirms_sends_nothing(self) -> None:
+        for outcome in (NotPrimary(None), Uncertain("no response within the limit")):
             with self.subTest(outcome=outcome):
-                self.ask(True, outcome)
-                await self.answered()
+                self.fetch(True, outcome)
+                await self.wait_for_fetches()
                 self.assertTrue(self.connection.sent.empty())
 
-    async def test_a_dispatcher_that_serves_gets_what_is_committed_without_a_round(self) -> None:
-        rounds = self.ask(False, NotPrimary(None))
+    async def test_a_fetch_without_confirmation_needs_no_quorum_round(self) -> None:
+        rounds = self.fetch(False, NotPrimary(None))
         rounds.assert_not_awaited()
         self.assertEqual(ConfigurationBody(2, 5, SOURCE, confirmed=False), self.connection.sent.get_nowait())
 
@@ -89,9 +89,9 @@
         encoder = mock.patch.object(configuration_feed, "encode_frame", side_effect=encode_frame)
         encoded = self.enterContext(encoder)
         for _ in range(3):
-            self.ask(False, NotPrimary(None))
-            self.ask(True, Confirmed(SNAPSHOT))
-            await self.answered()
+            self.fetch(False, NotPrimary(None))
+            self.fetch(True, Confirmed(SNAPSHOT))
+            await self.wait_for_fetches()
         self.assertEqual(2, encoded.call_count)
         self.assertEqual(6, self.connection.sent.qsize())
 
--- a/tests/test_controlplane_notices.py
+++ b/tests/test_controlplane_notices.py
@@ -1,4 +1,4 @@
-"""Work notices on their way: collected by the control plane, counted once by each dispatcher."""
+"""Work notices: relayed in batches by control machines, and counted once by each dispatcher."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.to_control_machines: asyncio.Queue[WorkNotices] = asyncio.Queue()
         self.relay = NoticeRelay(self.to_dispatchers.put_nowait, self.to_control_machines.put_nowait)
 
-    async def test_notices_of_a_moment_go_together_and_each_once(self) -> None:
+    async def test_notices_are_relayed_in_batches_and_each_once(self) -> None:
         self.relay.relay_from_dispatcher(WorkNotices((FIRST,)))
         self.relay.relay_from_dispatcher(WorkNotices((SECOND,)))
         both = WorkNotices((FIRST, SECOND))
@@ -29,8 +29,8 @@
         self.relay.relay_from_dispatcher(WorkNotices((SECOND,)))
         self.assertEqual(WorkNotices((SECOND,)), await self.to_dispatchers.get())
 
-    async def test_what_other_control_machines_pass_on_goes_to_dispatchers_alone(self) -> None:
-        """They all tell one another of their own dispatchers' notices; each reaches a machine once."""
+    async def test_notices_of_other_control_machines_are_relayed_only_to_dispatchers(self) -> None:
+        """Each machine sends its own dispatchers' notices to all others; a second relay would repeat them."""
         self.relay.relay_from_control_machine(WorkNotices((FIRST,)))
         self.relay.relay_from_dispatcher(WorkNotices((SECOND,)))
         self.assertEqual(WorkNotices((FIRST, SECOND)), await self.to_dispatchers.get())
@@ -40,8 +40,8 @@
         self.assertTrue(self.to_control_machines.empty())
 
 
-class CountingTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_dispatcher_counts_others_and_not_its_own_again(self) -> None:
+class NoticeCountingTests(unittest.IsolatedAsyncioTestCase):
+    async def test_a_dispatcher_counts_only_the_notices_of_other_dispatchers(self) -> None:
         pool = WorkerPool()
         router = Router("e1", "z1", pool)
         router.record_notice(WorkNotice("e1", "w1", 0.5, ()), 10.0)
--- a/tests/test_controlplane_workers.py
+++ b/tests/test_controlplane_workers.py
@@ -1,4 +1,4 @@
-"""The control plane towards workers: heartbeats, silence, farewells, demand sums, reports and orders."""
+"""The control plane and its workers: heartbeats, timeouts, deregistration, demand, reports and orders."""
 
 from __future__ import annotations
 
@@ -52,11 +52,11 @@
 )
 
 OWN_IP, PEER, DISPATCHER = "10.0.0.1", "10.0.0.2", "10.0.0.7"
-BEAT = 1.0
-LONG_SILENCE = 100.0
+HEARTBEAT_INTERVAL = 1.0
+LONG_GAP = 100.0  # seconds without a heartbeat or report
 SHORT_CONFIRMATION = 0.02  # seconds
 WORKER = WorkerRecord("i-1", "models", "10.0.0.9:80", "z1", 8, WorkerState.UP, 5, ())
-HELD = (HeldModel("small", 1, frozenset()),)
+MODELS = (HeldModel("small", 1, frozenset()),)
 SETTLED = Status(OWN_IP, 1, OWN_IP, True, True, 0, 0, 1, (OWN_IP,))
 ORDER = OrderCall(True, "small", "a1", "node-7", 41, 2)
 SHORT_CALL_LIMIT = 0.5  # seconds; well above a stall of the event loop on a busy machine
@@ -67,17 +67,17 @@
 
 
 class WorkerTableCase(unittest.TestCase):
-    """A worker table whose updates are collected."""
+    """A test with a worker table whose updates are recorded."""
 
     def setUp(self) -> None:
         self.gone: list[str] = []
         self.published: list[tuple[Update, Audience]] = []
         self.view = ClusterView(lambda record: None, self.gone.append)
-        self.table = WorkerTable(self.view, OWN_IP, BEAT, self.publish)
+        self.table = WorkerTable(self.view, OWN_IP, HEARTBEAT_INTERVAL, self.publish)
         self.view.message_received(OWN_IP, SETTLED, 0.0)
 
     def publish(self, update: Update, audience: Audience) -> None:
-        """Collect an update."""
+        """Record an update."""
         self.published.append((update, audience))
 
 
@@ -86,7 +86,7 @@
         self.table.record_heartbeat(WORKER, 0.0)
         self.assertEqual([(WorkerUpdates((WORKER,), complete=False), Audience.ALL)], self.published)
 
-    def test_a_heartbeat_without_news_is_not_published(self) -> None:
+    def test_a_heartbeat_without_changes_is_not_published(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
         self.table.record_heartbeat(replace(WORKER, sequence=6), 1.0)
         self.assertEqual(1, len(self.published))
@@ -108,30 +108,30 @@
         assert known is not None
         self.assertEqual(WORKER.slots, known.slots)
 
-    def test_a_silent_worker_goes_and_may_come_back(self) -> None:
+    def test_a_worker_that_timed_out_is_removed_and_may_come_back(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
-        self.table.expire(LONG_SILENCE)
+        self.table.expire(LONG_GAP)
         self.assertEqual([WORKER.id], self.gone)
         gone = WorkerGone(WORKER.id, deleted=False)
-        told = [(gone, Audience.CONTROL_MACHINES), (gone, Audience.DISPATCHERS)]
-        self.assertEqual(told, self.published[-2:])
-        self.table.record_heartbeat(replace(WORKER, sequence=9), LONG_SILENCE)
+        expected = [(gone, Audience.CONTROL_MACHINES), (gone, Audience.DISPATCHERS)]
+        self.assertEqual(expected, self.published[-2:])
+        self.table.record_heartbeat(replace(WORKER, sequence=9), LONG_GAP)
         self.assertIsNotNone(self.view.registry.get(WORKER.id))
         self.assertIsInstance(self.published[-1][0], WorkerUpdates)
 
-    def test_one_missed_heartbeat_is_not_silence(self) -> None:
+    def test_one_missed_heartbeat_is_no_timeout(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
-        self.table.expire(2 * BEAT)
+        self.table.expire(2 * HEARTBEAT_INTERVAL)
         self.assertEqual([], self.gone)
 
-    def test_a_worker_that_another_machine_hears_stays(self) -> None:
+    def test_a_worker_that_another_machine_reports_stays(self) -> None:
         self.view.link_opened(PEER)
         self.table.record_heartbeat(WORKER, 0.0)
         self.view.message_received(PEER, WorkerUpdates((WORKER,), complete=True), 0.0)
-        self.table.expire(LONG_SILENCE)
+        self.table.expire(LONG_GAP)
         self.assertEqual([], self.gone)
-        told = (WorkerGone(WORKER.id, deleted=False), Audience.CONTROL_MACHINES)
-        self.assertEqual(told, self.published[-1], "no dispatcher is told: the other machine hears it")
+        expected = (WorkerGone(WORKER.id, deleted=False), Audience.CONTROL_MACHINES)
+        self.assertEqual(expected, self.published[-1], "dispatchers keep it, as the other machine reports it")
 
     def test_a_deleted_worker_is_published_once_and_stays_deleted(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
@@ -143,28 +143,28 @@
         self.assertEqual((WorkerGone(WORKER.id, deleted=True), Audience.ALL), self.published[-1])
         self.assertEqual((), self.table.all_workers().records)
 
-    def test_other_control_machines_are_told_only_of_workers_heard_here(self) -> None:
-        told = replace(WORKER, id="i-2")
+    def test_other_control_machines_get_only_the_workers_with_heartbeats_here(self) -> None:
+        reported_elsewhere = replace(WORKER, id="i-2")
         self.table.record_heartbeat(WORKER, 0.0)
-        self.view.message_received(PEER, WorkerUpdates((told,), complete=True), 0.0)
+        self.view.message_received(PEER, WorkerUpdates((reported_elsewhere,), complete=True), 0.0)
         self.assertEqual(WorkerUpdates((WORKER,), complete=True), self.table.reported_here())
-        self.assertEqual({WORKER, told}, set(self.table.all_workers().records))
+        self.assertEqual({WORKER, reported_elsewhere}, set(self.table.all_workers().records))
         self.assertTrue(self.table.all_workers().complete)
 
-    def test_reported_holdings_are_published_and_win_over_heartbeats(self) -> None:
+    def test_reported_holdings_are_published_and_take_precedence_over_heartbeats(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
-        self.table.set_holding(WORKER.id, HELD, HoldingStamp(3, 1))
-        self.assertEqual(HELD, self.view.registry.get(WORKER.id).models)  # type: ignore[union-attr]
+        self.table.set_holding(WORKER.id, MODELS, HoldingStamp(3, 1))
+        self.assertEqual(MODELS, self.view.registry.get(WORKER.id).models)  # type: ignore[union-attr]
         self.table.record_heartbeat(replace(WORKER, sequence=9), 0.1)
-        self.assertEqual(HELD, self.view.registry.get(WORKER.id).models)  # type: ignore[union-attr]
+        self.assertEqual(MODELS, self.view.registry.get(WORKER.id).models)  # type: ignore[union-attr]
         self.assertIs(Audience.ALL, self.published[-1][1])
 
     def test_older_reports_of_holdings_are_ignored(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
-        self.table.set_holding(WORKER.id, HELD, HoldingStamp(3, 2))
+        self.table.set_holding(WORKER.id, MODELS, HoldingStamp(3, 2))
         self.table.set_holding(WORKER.id, (), HoldingStamp(3, 1))
         self.table.set_holding(WORKER.id, (), HoldingStamp(2, 9))
-        self.assertEqual(HELD, self.view.registry.get(WORKER.id).models)  # type: ignore[union-attr]
+        self.assertEqual(MODELS, self.view.registry.get(WORKER.id).models)  # type: ignore[union-attr]
 
 
 class FakeGroup:
@@ -174,14 +174,14 @@
         self.current = role
 
     def role(self) -> Role:
-        """The role set."""
+        """The role that the test has set."""
         return self.current
 
 
 class WorkerApiTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.view = ClusterView(lambda record: None, lambda worker: None)
-        table = WorkerTable(self.view, OWN_IP, BEAT, self.publish)
+        table = WorkerTable(self.view, OWN_IP, HEARTBEAT_INTERVAL, self.publish)
         self.group = FakeGroup(Primary(1, 0.0))
         application = web.Application()
         self.members: tuple[str, ...] = (OWN_IP,)
@@ -197,7 +197,7 @@
         self.addAsyncCleanup(self.client.close)
 
     def publish(self, update: Update, audience: Audience) -> None:
-        """The other machines that hear of it acknowledge a moment later."""
+        """Have the machines in `acknowledging` acknowledge the update a moment later."""
         if isinstance(update, WorkerGone):
             change = PresenceAck(update.worker, deleted=True)
         else:
@@ -205,7 +205,7 @@
         for machine in self.acknowledging:
             asyncio.get_running_loop().call_soon(self.presence.record_acknowledgement, machine, change)
 
-    async def beat(self, body: bytes | None = None, **changes: object) -> int:
+    async def send_heartbeat(self, body: bytes | None = None, **changes: object) -> int:
         """Send a heartbeat; returns the status."""
         document = {"svc": "models", "addr": "10.0.0.9:80", "az": "z1", "slots": 8, "state": "up", "seq": 1}
         data = json.dumps({**document, **changes}).encode() if body is None else body
@@ -213,49 +213,55 @@
             self.assertLessEqual(len(await response.read()), ACKNOWLEDGEMENT_LIMIT)
             return response.status
 
-    async def test_a_heartbeat_is_acknowledged_and_known(self) -> None:
-        self.assertEqual(200, await self.beat())
+    async def test_a_heartbeat_is_acknowledged_and_recorded(self) -> None:
+        self.assertEqual(200, await self.send_heartbeat())
         self.assertIsNotNone(self.view.registry.get("i-1"))
 
     async def test_a_backup_acknowledges_too(self) -> None:
         self.group.current = Backup(PEER, 1, True)
-        self.assertEqual(200, await self.beat(state="draining"))
+        self.assertEqual(200, await self.send_heartbeat(state="draining"))
 
-    async def test_a_machine_that_is_no_member_sends_the_worker_elsewhere(self) -> None:
-        """Members subscribe to members: the primary would never hear of the worker."""
+    async def test_a_learner_does_not_acknowledge_heartbeats(self) -> None:
+        """Members subscribe only to members, so the primary would not know the worker."""
         self.group.current = Learner(PEER, 1, True)
-        self.assertEqual(503, await self.beat())
-        self.assertEqual(503, await self.beat(state="draining"))
+        self.assertEqual(503, await self.send_heartbeat())
+        self.assertEqual(503, await self.send_heartbeat(state="draining"))
 
-    async def test_a_machine_without_a_primary_sends_the_worker_elsewhere(self) -> None:
-        self.assertEqual(200, await self.beat())
+    async def test_a_machine_without_a_primary_does_not_acknowledge_heartbeats(self) -> None:
+        self.assertEqual(200, await self.send_heartbeat())
         self.group.current = Unattached("no primary")
-        self.assertEqual(503, await self.beat(seq=2))
+        self.assertEqual(503, await self.send_heartbeat(seq=2))
         self.group.current = Backup(PEER, 2, True)
-        self.assertEqual(200, await self.beat(seq=3))
+        self.assertEqual(200, await self.send_heartbeat(seq=3))
 
-    async def test_a_drain_is_not_acknowledged_where_it_may_reach_nobody(self) -> None:
-        """Restarted behind a cut, or a backup that has not heard its primary lately."""
+    async def test_a_machine_that_may_be_cut_off_acknowledges_neither_drains_nor_deregistrations(
+        self,
+    ) -> None:
+        """A machine that restarted while cut off, or a backup that is not in contact with its primary."""
         for role in (Unattached("starting"), Backup(PEER, 2, False)):
             with self.subTest(role=role):
                 self.group.current = role
-                self.assertEqual(503, await self.beat(state="draining"))
+                self.assertEqual(503, await self.send_heartbeat(state="draining"))
                 async with self.client.delete(self.url) as response:
                     self.assertEqual(503, response.status)
 
-    async def test_a_drain_is_acknowledged_once_a_majority_has_taken_it(self) -> None:
-        """A machine that was just cut off still believes in its primary."""
+    async def test_a_drain_is_acknowledged_once_a_majority_knows_of_it(self) -> None:
+        """A machine that was cut off a moment ago still has a role with a primary."""
         self.members = (OWN_IP, PEER, "10.0.0.3")
         with mock.patch.object(presence_quorum, "CONFIRMATION_LIMIT", SHORT_CONFIRMATION):
-            self.assertEqual(503, await self.beat(state="draining"))
+            self.assertEqual(503, await self.send_heartbeat(state="draining"))
             self.acknowledging = ("10.0.0.4",)
-            self.assertEqual(503, await self.beat(state="draining", seq=2), "not a member")
+            self.assertEqual(
+                503,
+                await self.send_heartbeat(state="draining", seq=2),
+                "an acknowledgement of a machine that is no member does not count",
+            )
         self.acknowledging = (PEER,)
-        self.assertEqual(200, await self.beat(state="draining", seq=3))
+        self.assertEqual(200, await self.send_heartbeat(state="draining", seq=3))
         self.acknowledging = ()
-        self.assertEqual(200, await self.beat(state="draining", seq=4), "taken before")
+        self.assertEqual(200, await self.send_heartbeat(state="draining", seq=4), "confirmed before")
 
-    async def test_a_farewell_is_acknowledged_once_a_majority_has_taken_it(self) -> None:
+    async def test_a_deregistration_is_acknowledged_once_a_majority_knows_of_it(self) -> None:
         self.members = (OWN_IP, PEER, "10.0.0.3")
         with mock.patch.object(presence_quorum, "CONFIRMATION_LIMIT", SHORT_CONFIRMATION):
             async with self.client.delete(self.url) as response:
@@ -263,19 +269,19 @@
         self.acknowledging = (PEER,)
         async with self.client.delete(self.url) as response:
             self.assertEqual(200, response.status)
-        self.assertEqual(200, await self.beat(state="draining"), "a late heartbeat")
+        self.assertEqual(200, await self.send_heartbeat(state="draining"), "a late heartbeat")
 
-    async def test_what_is_no_heartbeat_is_refused(self) -> None:
+    async def test_a_malformed_heartbeat_is_rejected(self) -> None:
         for body in (b"", b"{", b"[]", b"7", b"null", b'"text"', b'{"svc":"models"}', b"\xff\xfe"):
             with self.subTest(body=body):
-                self.assertEqual(400, await self.beat(body))
+                self.assertEqual(400, await self.send_heartbeat(body))
         self.assertEqual(0, len(self.view.registry))
 
-    async def test_a_farewell_deletes_for_good(self) -> None:
-        await self.beat()
+    async def test_a_deregistered_worker_stays_deleted(self) -> None:
+        await self.send_heartbeat()
         async with self.client.delete(self.url) as response:
             self.assertEqual(200, response.status)
-        self.assertEqual(200, await self.beat(seq=9))
+        self.assertEqual(200, await self.send_heartbeat(seq=9))
         self.assertIsNone(self.view.registry.get("i-1"))
 
 
@@ -291,7 +297,7 @@
         wanted: tuple[WantedWeights, ...] = (),
         complete: bool = True,
     ) -> None:
-        """One dispatcher's report."""
+        """Record a report of a dispatcher."""
         self.demand.record_report(DemandReport(identity, keys, wanted, complete), now)
 
     def test_the_demand_of_all_dispatchers_is_added_up(self) -> None:
@@ -302,7 +308,7 @@
             (3.0, 1.5, 4, 2.0), (total.rate, total.busy_slots, total.waiting, total.oldest_wait_s)
         )
 
-    def test_a_new_report_replaces_the_one_before(self) -> None:
+    def test_a_new_report_replaces_the_earlier_one(self) -> None:
         self.report(DISPATCHER, 0.0, KeyDemand("models", "small", "a1", 2.0, 1.0, 3, 0.5))
         self.report(DISPATCHER, 1.0, KeyDemand("models", "small", "a1", 5.0, 1.0, 0, 0.0))
         self.assertEqual(5.0, self.demand.total("models", 1.0)[KEY].rate)
@@ -314,11 +320,11 @@
         self.report(DISPATCHER, 0.3, KeyDemand("models", "large", "", 1.0, 0.0, 1, 0.0))
         self.assertEqual({WeightsKey("large")}, set(self.demand.total("models", 0.4)))
 
-    def test_a_silent_dispatcher_no_longer_counts(self) -> None:
+    def test_the_demand_of_an_expired_report_no_longer_counts(self) -> None:
         self.report(DISPATCHER, 0.0, KeyDemand("models", "small", "a1", 2.0, 1.0, 3, 0.5))
-        self.assertEqual({}, self.demand.total("models", LONG_SILENCE))
+        self.assertEqual({}, self.demand.total("models", LONG_GAP))
 
-    def test_what_tables_want_counts_by_the_share_of_dispatchers(self) -> None:
+    def test_wanted_weights_have_the_share_of_dispatchers_that_want_them(self) -> None:
         wanted = (WantedWeights("models", WORKER.id, "small", "a1"),)
         self.report(DISPATCHER, 0.0, wanted=wanted)
         self.report(PEER, 0.0)
@@ -329,16 +335,16 @@
         self.report(PEER, 2.0)
         self.assertNotIn(WORKER.id, self.demand.wanted_shares("models"))
 
-    def test_what_a_silent_dispatcher_wanted_no_longer_counts(self) -> None:
+    def test_the_wanted_weights_of_an_expired_report_no_longer_count(self) -> None:
         wanted = (WantedWeights("models", WORKER.id, "small", "a1"),)
         self.report(DISPATCHER, 0.0, wanted=wanted)
-        self.report(PEER, LONG_SILENCE)
-        self.demand.total("models", LONG_SILENCE)
+        self.report(PEER, LONG_GAP)
+        self.demand.total("models", LONG_GAP)
         self.assertEqual({}, dict(self.demand.wanted_shares("models")))
-        self.report(DISPATCHER, LONG_SILENCE, wanted=wanted)
+        self.report(DISPATCHER, LONG_GAP, wanted=wanted)
         self.assertEqual(0.5, self.demand.wanted_shares("models")[WORKER.id][KEY])
 
-    def test_services_are_kept_apart(self) -> None:
+    def test_demand_is_summed_separately_for_each_service(self) -> None:
         self.report(DISPATCHER, 0.0, KeyDemand("models", "small", "a1", 2.0, 1.0, 3, 0.5))
         self.assertEqual({}, self.demand.total("others", 0.0))
 
@@ -362,30 +368,30 @@
         self.addAsyncCleanup(self.client.close)
 
     async def start_worker(self, worker: FakeWorker) -> FakeWorker:
-        """Start a worker, stopped at the end."""
+        """Start a worker, which is stopped at the end of the test."""
         await worker.start()
         self.addAsyncCleanup(worker.stop)
         return worker
 
     async def order_with_response(self, status: int) -> OrderAccepted | OrderRejected | OrderUnknown:
-        """Give the order to a worker that answers with the status."""
+        """Send an order to a worker that responds with this status."""
         worker = await self.start_worker(FakeWorker(responding(b"", status)))
         return await self.client.order(worker.address, worker.id, ORDER)
 
-    async def test_a_report_is_read(self) -> None:
+    async def test_a_report_is_parsed(self) -> None:
         worker = await self.start_worker(FakeWorker(responding(json.dumps(REPORT).encode())))
         report = await self.client.report(worker.address, worker.id)
-        self.assertEqual(WorkerReport(HELD, True, 2, 1, 12), report)
+        self.assertEqual(WorkerReport(MODELS, True, 2, 1, 12), report)
         self.assertEqual(worker.id, worker.requests[0].headers["x-want-instance"])
         self.assertEqual(("GET", "/report"), (worker.requests[0].method, worker.requests[0].target))
 
-    async def test_no_report_is_a_failure(self) -> None:
+    async def test_an_error_response_or_an_invalid_report_is_a_failure(self) -> None:
         behaviours = (rejecting(421), responding(b"{"), responding(b"[]"), responding(b"7"), break_off)
         for behaviour in behaviours:
             worker = await self.start_worker(FakeWorker(behaviour))
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
 
-    async def test_an_order_names_owner_fence_and_revision(self) -> None:
+    async def test_an_order_contains_owner_fence_and_revision(self) -> None:
         worker = await self.start_worker(FakeWorker(responding(b"", 202)))
         self.assertEqual(OrderAccepted(done=False), await self.client.order(worker.address, worker.id, ORDER))
         (request,) = worker.requests
@@ -402,54 +408,54 @@
         }
         self.assertEqual(expected, json.loads(request.body))
 
-    async def test_an_order_for_a_model_names_no_adapter(self) -> None:
+    async def test_an_order_for_a_model_contains_no_adapter(self) -> None:
         document = json.loads(replace(ORDER, is_load=False, adapter="").body())
         self.assertEqual("evict", document["op"])
         self.assertNotIn("lora", document)
 
-    async def test_what_holds_already_is_done(self) -> None:
+    async def test_an_order_whose_effect_is_already_there_is_done(self) -> None:
         self.assertEqual(OrderAccepted(done=True), await self.order_with_response(200))
 
-    async def test_a_refusal_gives_its_status(self) -> None:
+    async def test_a_rejected_order_has_the_status_of_the_response(self) -> None:
         for status in (400, 409, 412, 421):
             self.assertEqual(OrderRejected(status), await self.order_with_response(status))
 
-    async def test_an_order_without_an_answer_may_have_been_taken_and_is_sent_once(self) -> None:
+    async def test_an_order_without_a_response_is_unknown_and_sent_once(self) -> None:
         worker = await self.start_worker(FakeWorker(responding(b"", 202), break_off))
         await self.client.order(worker.address, worker.id, ORDER)
         self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), OrderUnknown)
         self.assertEqual(2, len(worker.requests))
 
-    async def test_an_unframed_answer_that_is_reset_tells_nothing(self) -> None:
-        async def cut(exchange: Exchange) -> None:
+    async def test_an_unframed_response_that_is_reset_is_invalid(self) -> None:
+        async def respond_in_part(exchange: Exchange) -> None:
             exchange.write(response_bytes(exchange.request, json.dumps(REPORT).encode(), Content_Length=None))
             await exchange.reset()
 
-        worker = await self.start_worker(FakeWorker(cut))
+        worker = await self.start_worker(FakeWorker(respond_in_part))
         self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
         self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), OrderUnknown)
 
-    async def test_an_unframed_report_that_is_closed_in_the_middle_is_no_report(self) -> None:
+    async def test_an_unframed_report_that_is_cut_short_is_invalid(self) -> None:
         body = json.dumps(REPORT).encode()
 
         def closing_after(size: int) -> Behaviour:
-            async def cut(exchange: Exchange) -> None:
+            async def respond_in_part(exchange: Exchange) -> None:
                 exchange.write(response_bytes(exchange.request, body[:size], Content_Length=None))
                 await exchange.break_off()
 
-            return cut
+            return respond_in_part
 
         worker = await self.start_worker(FakeWorker(*(closing_after(size) for size in range(len(body)))))
         for _ in range(len(body)):
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
 
-    async def test_an_answer_without_the_parts_of_a_report_is_no_report(self) -> None:
+    async def test_a_report_without_a_required_field_is_invalid(self) -> None:
         for part in ("models", "seq"):
             body = json.dumps({name: value for name, value in REPORT.items() if name != part}).encode()
             worker = await self.start_worker(FakeWorker(responding(body)))
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
 
-    async def test_a_call_is_sent_once_though_a_kept_connection_breaks(self) -> None:
+    async def test_a_call_is_not_repeated_when_a_reused_connection_breaks(self) -> None:
         report = responding(json.dumps(REPORT).encode())
         for broken in (break_off, Exchange.reset):
             worker = await self.start_worker(FakeWorker(report, broken, report))
@@ -457,17 +463,17 @@
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
             self.assertEqual((2, 1), (len(worker.requests), worker.connections))
 
-    async def test_an_answer_to_a_request_counts_for_nothing_and_ends_its_connection(self) -> None:
-        """The true answer is still to come there, and would be taken for that of the next call."""
+    async def test_a_response_to_a_client_request_is_invalid_and_closes_the_connection(self) -> None:
+        """The response to the call is still to come there, and would be taken as that of the next call."""
         report = responding(json.dumps(REPORT).encode())
 
-        async def answer_a_request(exchange: Exchange) -> None:
+        async def respond_to_a_request(exchange: Exchange) -> None:
             exchange.write(response_bytes(exchange.request, json.dumps(REPORT).encode(), X_Try_Id="other"))
             await exchange.caller_closed()
             raise ConnectionResetError
 
         worker = await self.start_worker(
-            FakeWorker(report, answer_a_request, report, answer_a_request, report)
+            FakeWorker(report, respond_to_a_request, report, respond_to_a_request, report)
         )
         await self.client.report(worker.address, worker.id)
         self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
@@ -476,30 +482,30 @@
         self.assertIsInstance(await self.client.report(worker.address, worker.id), WorkerReport)
         self.assertEqual((5, 3), (len(worker.requests), worker.connections))
 
-    async def test_a_report_is_no_answer_to_an_order(self) -> None:
-        """Workers do not name the call that they answer, so that a late report is told by its content."""
+    async def test_a_report_is_no_valid_response_to_an_order(self) -> None:
+        """Responses do not name their call, so a late report is recognised by its content."""
         worker = await self.start_worker(FakeWorker(responding(json.dumps(REPORT).encode(), X_Try_Id=None)))
         self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), OrderUnknown)
 
-    async def test_an_answer_after_the_time_of_a_call_counts_for_nothing(self) -> None:
-        late, closed = asyncio.Event(), asyncio.Event()
+    async def test_a_response_after_the_time_limit_of_a_call_is_ignored(self) -> None:
+        released, closed = asyncio.Event(), asyncio.Event()
 
-        async def answer_late(exchange: Exchange) -> None:
-            await late.wait()
+        async def respond_late(exchange: Exchange) -> None:
+            await released.wait()
             exchange.write(response_bytes(exchange.request, b"", 202, X_Try_Id=None))
             await exchange.caller_closed()
             closed.set()
             raise ConnectionResetError
 
-        worker = await self.start_worker(FakeWorker(answer_late, responding(b"", 409)))
+        worker = await self.start_worker(FakeWorker(respond_late, responding(b"", 409)))
         with mock.patch.object(worker_client, "CALL_LIMIT", SHORT_CALL_LIMIT):
             self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), OrderUnknown)
-        late.set()
+        released.set()
         self.assertEqual(OrderRejected(409), await self.client.order(worker.address, worker.id, ORDER))
         await within(closed.wait())
         self.assertEqual(2, worker.connections)
 
-    async def test_an_answer_of_another_life_of_the_worker_counts_for_nothing(self) -> None:
+    async def test_a_response_of_another_incarnation_of_the_worker_is_invalid(self) -> None:
         report = responding(json.dumps(REPORT).encode(), X_Instance="i-2")
         worker = await self.start_worker(FakeWorker(report))
         self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
@@ -507,17 +513,17 @@
             worker = await self.start_worker(FakeWorker(responding(b"", status, X_Instance="i-2")))
             self.assertIsInstance(await self.client.order(worker.address, worker.id, ORDER), expected)
 
-    async def test_no_call_follows_a_redirection(self) -> None:
-        """Another place is another worker, which the call is not for."""
+    async def test_calls_follow_no_redirects(self) -> None:
+        """Another address is another worker, for which the call is not meant."""
         other = await self.start_worker(FakeWorker(responding(json.dumps(REPORT).encode())))
         for status in (301, 302, 303, 307, 308):
-            away = responding(b"", status, Location=f"http://{other.address}/order")
-            worker = await self.start_worker(FakeWorker(away))
+            redirect = responding(b"", status, Location=f"http://{other.address}/order")
+            worker = await self.start_worker(FakeWorker(redirect))
             self.assertEqual(OrderRejected(status), await self.client.order(worker.address, worker.id, ORDER))
             self.assertIsInstance(await self.client.report(worker.address, worker.id), ReportFailed)
         self.assertEqual([], other.requests)
 
-    async def test_an_order_that_was_not_sent_was_not_taken(self) -> None:
+    async def test_an_order_that_was_not_sent_is_rejected(self) -> None:
         worker = await self.start_worker(FakeWorker(responding()))
         address = worker.address
         await worker.stop()
--- a/tests/test_tenure_simulation.py
+++ b/tests/test_tenure_simulation.py
@@ -1,4 +1,4 @@
-"""Holders of load orders never take turns within the lease: simulated runs, and broken variants."""
+"""Orders of two primaries are at least the lease apart in simulated runs, which detect faulty variants."""
 
 from __future__ import annotations
 
@@ -11,91 +11,91 @@
 
 
 class NoWait(Tenure):
-    """Orders at once."""
+    """Issues orders without any wait."""
 
     def may_issue_orders(self, epoch: int, since: float, now: float) -> bool:
-        """Always."""
+        """Allow orders at any time."""
         return True
 
 
 class ShortWait(Tenure):
-    """Waits for half of the lease."""
+    """Waits only for half of the lease."""
 
     def _wait_seconds(self) -> float:
         return self.lease / 2
 
 
 class LeaseOnly(Tenure):
-    """Takes orders under way, and last orders of a cut-off holder, for impossible."""
+    """Ignores orders under way, and the last orders of a primary that was cut off."""
 
     def _wait_seconds(self) -> float:
         return self.lease
 
 
-class ShortcutWithoutFences(Tenure):
-    """Does not wait for a holder that failed, though workers refuse nothing."""
+class FailureWithoutFences(Tenure):
+    """Does not wait after a primary that failed, even if workers check no fences."""
 
     def may_issue_orders(self, epoch: int, since: float, now: float) -> bool:
-        """Without a look at `fenced`."""
+        """Decide without regard to `fenced`."""
         return super().may_issue_orders(epoch, since, now) or self._previous_primary_failed(epoch, now)
 
 
-class ShortcutOnAnyLink(Tenure):
-    """Takes every earlier holder for failed."""
+class EveryPrimaryFailed(Tenure):
+    """Assumes that every previous primary has failed."""
 
     def _previous_primary_failed(self, epoch: int, now: float) -> bool:
         return True
 
 
-class ChainForgotten(Tenure):
-    """Looks at the holder right before alone, however short its tenure was."""
+class PreviousPrimaryOnly(Tenure):
+    """Considers only the previous primary, however short its tenure was."""
 
     def _previous_primary_failed(self, epoch: int, now: float) -> bool:
-        holder = self._primaries.get(epoch - 1)
-        link = self._links.get(holder.ip) if holder is not None else None
-        return holder is not None and link is not None and link.broke_at >= holder.seen_at
+        previous = self._primaries.get(epoch - 1)
+        link = self._links.get(previous.ip) if previous is not None else None
+        return previous is not None and link is not None and link.broke_at >= previous.seen_at
 
 
-class OldBreakCounts(Tenure):
-    """Takes a link that broke at any time for a sign that the holder failed."""
+class AnyEarlierBreak(Tenure):
+    """Takes a link that broke at any time as a sign that the previous primary failed."""
 
     def _previous_primary_failed(self, epoch: int, now: float) -> bool:
-        holder = self._primaries.get(epoch - 1)
-        return holder is not None and holder.ip in self._links and self._links[holder.ip].broke_at > 0
+        previous = self._primaries.get(epoch - 1)
+        return previous is not None and previous.ip in self._links and self._links[previous.ip].broke_at > 0
 
 
-def first_break(variant: type[Tenure], fenced: bool) -> str | None:
-    """The first seed that breaks the rule, and how."""
+def find_violation(variant: type[Tenure], fenced: bool) -> str | None:
+    """The first seed under which the variant violates the rule, with the violation; None if there is none."""
     for seed in range(SEEDS):
         simulation = TenureSimulation(seed, fenced, variant)
         simulation.run()
-        broken = simulation.broken()
-        if broken is not None:
-            return f"seed {seed}: {broken}"
+        violation = simulation.broken()
+        if violation is not None:
+            return f"seed {seed}: {violation}"
     return None
 
 
 class TenureSimulationTests(unittest.TestCase):
-    def test_holders_take_no_turns_where_workers_check_fences(self) -> None:
-        self.assertIsNone(first_break(Tenure, fenced=True))
+    def test_orders_of_two_primaries_are_a_lease_apart_if_workers_check_fences(self) -> None:
+        self.assertIsNone(find_violation(Tenure, fenced=True))
 
-    def test_holders_take_no_turns_where_workers_check_none(self) -> None:
-        self.assertIsNone(first_break(Tenure, fenced=False))
+    def test_orders_of_two_primaries_are_a_lease_apart_if_workers_check_no_fences(self) -> None:
+        self.assertIsNone(find_violation(Tenure, fenced=False))
 
-    def test_variants_that_are_broken_on_purpose_are_found(self) -> None:
-        mutants: list[tuple[type[Tenure], bool]] = [
+    def test_the_simulation_detects_faulty_variants(self) -> None:
+        variants: list[tuple[type[Tenure], bool]] = [
             (NoWait, True),
             (NoWait, False),
             (ShortWait, False),
             (LeaseOnly, False),
-            (ShortcutWithoutFences, False),
-            (ShortcutOnAnyLink, True),
-            (OldBreakCounts, True),
-            (ChainForgotten, True),
+            (FailureWithoutFences, False),
+            (EveryPrimaryFailed, True),
+            (AnyEarlierBreak, True),
+            (PreviousPrimaryOnly, True),
         ]
-        for variant, fenced in mutants:
+        for variant, fenced in variants:
             with self.subTest(variant=variant.__name__, fenced=fenced):
-                self.assertIsNotNone(first_break(variant, fenced), variant.__name__)
+                self.assertIsNotNone(find_violation(variant, fenced), variant.__name__)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_presence.py
+++ b/tests/test_worker_presence.py
@@ -1,4 +1,4 @@
-"""What dispatchers and control machines believe of workers that fell silent or ended, without sockets."""
+"""How dispatchers and control machines see workers that time out, drain or deregister; without sockets."""
 
 from __future__ import annotations
 
@@ -16,49 +16,49 @@
 from rookwood.controlplane.tenure import Tenure
 from rookwood.controlplane.worker_table import MAX_DEREGISTERED_SENT, Audience, WorkerTable
 
-BEAT = 1.2
+HEARTBEAT_INTERVAL = 1.2
 WORKER = WorkerRecord("i-1", "models", "10.0.0.9:80", "z1", 8, WorkerState.UP, 5, ())
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
 
 class Dispatcher:
-    """A dispatcher's view, fed by control machines."""
+    """The view of a dispatcher that control machines feed."""
 
     def __init__(self) -> None:
         self.view = ClusterView(lambda record: None, lambda worker: None)
 
     def link(self, machine: ControlMachine, now: float) -> None:
-        """Subscribe: the greeting comes."""
+        """Subscribe to a control machine and receive the initial messages."""
         self.view.link_opened(machine.ip)
         self.view.message_received(machine.ip, machine.status(), now)
         self.view.message_received(machine.ip, machine.table.all_workers(), now)
         machine.dispatchers.append(self)
 
     def state(self) -> WorkerState | None:
-        """What is believed of the worker."""
+        """The state of the worker in the dispatcher's view; None if it is not known."""
         record = self.view.registry.get(WORKER.id)
         return None if record is None else record.state
 
 
 class ControlMachine:
-    """The parts of a control machine that deal with workers, without sockets."""
+    """The components of a control machine that handle workers, without sockets."""
 
     def __init__(self, ip: str) -> None:
         self.ip = ip
         self.fresh = True
         self.view = ClusterView(lambda record: None, lambda worker: None)
-        self.table = WorkerTable(self.view, ip, BEAT, self.publish)
+        self.table = WorkerTable(self.view, ip, HEARTBEAT_INTERVAL, self.publish)
         self.peer_feed = PeerFeed(self.view, self.publish, Tenure(ip, 3.0, True))
         self.dispatchers: list[Dispatcher] = []
         self.peers: list[ControlMachine] = []
         self.view.message_received(ip, self.status(), 0.0)
 
     def status(self) -> Status:
-        """Settled."""
+        """The status of a settled machine."""
         return Status(self.ip, 1, IPS[0], self.fresh, True, 1, 1, 1, IPS)
 
     def publish(self, message: WorkerUpdates | WorkerGone, audience: Audience) -> None:
-        """Tell subscribers at once."""
+        """Deliver an update to subscribers at once."""
         now = asyncio.get_running_loop().time()
         if audience is not Audience.CONTROL_MACHINES:
             for dispatcher in self.dispatchers:
@@ -68,14 +68,14 @@
                 peer.peer_feed.message_received(self.ip, message)
 
     def subscribe(self, peer: ControlMachine) -> None:
-        """This machine hears the other one."""
+        """Subscribe this machine to another one."""
         peer.peers.append(self)
         self.view.link_opened(peer.ip)
         self.peer_feed.message_received(peer.ip, peer.status())
         self.peer_feed.message_received(peer.ip, peer.table.reported_here())
 
     def cut_off(self, others: list[ControlMachine], now: float) -> None:
-        """No link to the others any more, dispatchers reach it as before."""
+        """Break the links to the other machines; dispatchers stay linked."""
         self.fresh = False
         for other in others:
             self.peers.remove(other)
@@ -95,59 +95,63 @@
                 if peer is not machine:
                     machine.subscribe(peer)
 
-    def housekeeping(self, now: float, *dispatchers: Dispatcher) -> None:
+    def run_housekeeping(self, now: float, *dispatchers: Dispatcher) -> None:
         for machine in self.machines:
             machine.table.expire(now)
         for dispatcher in dispatchers:
             dispatcher.view.remove_unreported_workers(now)
 
-    async def test_a_worker_that_falls_silent_goes_at_dispatchers_too(self) -> None:
-        """A crash says nothing: the worker was heard at one machine, which tells that it fell silent."""
+    async def test_a_worker_whose_heartbeats_time_out_is_removed_at_dispatchers(self) -> None:
+        """A crash announces nothing, so the machine that received the heartbeats must publish the timeout."""
         first = self.machines[0]
         dispatcher = Dispatcher()
         for machine in self.machines:
             dispatcher.link(machine, self.now)
         first.table.record_heartbeat(WORKER, self.now)
         for seconds in (5.0, 10.0, 20.0, 60.0, 600.0):
-            self.housekeeping(self.now + seconds, dispatcher)
+            self.run_housekeeping(self.now + seconds, dispatcher)
         for machine in self.machines:
             self.assertIsNone(machine.view.registry.get(WORKER.id), machine.ip)
         self.assertIsNone(dispatcher.state())
 
-    async def test_a_dispatcher_that_starts_beside_a_cut_off_machine_does_not_use_a_worker_that_ended(
+    async def test_a_starting_dispatcher_ignores_a_deregistered_worker_that_a_cut_off_machine_reports(
         self,
     ) -> None:
-        """The farewell was acknowledged by a majority; a machine cut off before still tells of the worker."""
-        first, second, cut = self.machines
-        cut.table.record_heartbeat(WORKER, self.now)
-        cut.cut_off([first, second], self.now)
+        """A majority knows of the deregistration; a machine that was cut off before reports the worker."""
+        first, second, isolated = self.machines
+        isolated.table.record_heartbeat(WORKER, self.now)
+        isolated.cut_off([first, second], self.now)
         first.table.deregister(WORKER.id, self.now + 0.5)
         starting = Dispatcher()
         for machine in self.machines:
             starting.link(machine, self.now + 1.0)
         for seconds in (2.5, 3.0, 3.5, 4.0):
-            self.housekeeping(self.now + seconds, starting)
-        self.assertIsNone(starting.state(), "4 s after the cut, 3.5 s after the acknowledgement")
+            self.run_housekeeping(self.now + seconds, starting)
+        self.assertIsNone(starting.state(), "4 s after the partition, 3.5 s after the acknowledgement")
 
-    def lose_link(self, first: ControlMachine, second: ControlMachine) -> None:
-        """The two machines don't reach each other; all others reach both."""
+    def break_link(self, first: ControlMachine, second: ControlMachine) -> None:
+        """Break the link between two machines; both stay linked to all others."""
         first.cut_off([second], self.now)
         first.fresh = True
 
-    async def test_a_farewell_reaches_a_machine_that_does_not_hear_who_was_told(self) -> None:
-        """A majority has taken it, and passes it on."""
+    async def test_a_deregistration_reaches_a_machine_without_a_link_to_the_one_that_received_it(
+        self,
+    ) -> None:
+        """The machines of the majority that know of it relay it."""
         first, _, third = self.machines
         dispatcher = Dispatcher()
         first.table.record_heartbeat(WORKER, self.now)
         dispatcher.link(third, self.now)
         self.assertIs(WorkerState.UP, dispatcher.state())
-        self.lose_link(first, third)
+        self.break_link(first, third)
         first.table.deregister(WORKER.id, self.now)
         self.assertIsNone(dispatcher.state())
         self.assertTrue(third.view.registry.was_deleted(WORKER.id))
 
-    async def test_a_farewell_that_a_machine_missed_reaches_its_dispatchers_when_it_hears_of_it(self) -> None:
-        """It is named in the greeting of a machine that did not miss it."""
+    async def test_a_missed_deregistration_reaches_dispatchers_with_the_initial_messages_of_a_link(
+        self,
+    ) -> None:
+        """The initial messages of a machine that did not miss it contain it."""
         first, second, third = self.machines
         dispatcher = Dispatcher()
         first.table.record_heartbeat(WORKER, self.now)
@@ -158,43 +162,43 @@
         third.subscribe(second)
         self.assertIsNone(dispatcher.state())
 
-    async def test_a_worker_that_calls_another_machine_stays_with_dispatchers_of_the_first(self) -> None:
-        """A dispatcher has one source; that the worker fell silent there says nothing of the others."""
+    async def test_a_worker_that_calls_another_machine_stays_known_to_dispatchers_of_the_first(self) -> None:
+        """A dispatcher has one source; after a timeout there, other machines may still get heartbeats."""
         first, second, _ = self.machines
         dispatcher = Dispatcher()
         dispatcher.link(first, self.now)
         first.table.record_heartbeat(WORKER, self.now)
-        for beat in range(1, 12):
-            now = self.now + beat * BEAT
-            second.table.record_heartbeat(replace(WORKER, sequence=WORKER.sequence + beat), now)
-            self.housekeeping(now, dispatcher)
-            self.assertIs(WorkerState.UP, dispatcher.state(), beat)
-
-    async def test_a_drain_outlasts_silence(self) -> None:
-        """A worker that drained and fell silent does not serve again by a heartbeat that comes late."""
+        for number in range(1, 12):
+            now = self.now + number * HEARTBEAT_INTERVAL
+            second.table.record_heartbeat(replace(WORKER, sequence=WORKER.sequence + number), now)
+            self.run_housekeeping(now, dispatcher)
+            self.assertIs(WorkerState.UP, dispatcher.state(), number)
+
+    async def test_a_drain_outlasts_a_heartbeat_timeout(self) -> None:
+        """A late heartbeat must not make a drained worker serve again after it timed out."""
         first = self.machines[0]
         dispatcher = Dispatcher()
         for machine in self.machines:
             dispatcher.link(machine, self.now)
         first.table.record_heartbeat(replace(WORKER, state=WorkerState.DRAINING, sequence=6), self.now)
-        self.housekeeping(self.now + 10.0, dispatcher)
+        self.run_housekeeping(self.now + 10.0, dispatcher)
         self.assertIsNone(dispatcher.state())
         first.table.record_heartbeat(WORKER, self.now + 11.0)
         self.assertIs(WorkerState.DRAINING, dispatcher.state())
 
-    async def test_a_worker_that_is_heard_elsewhere_stays(self) -> None:
-        """It calls another control machine now: that the first one hears it no more tells nothing."""
+    async def test_a_worker_that_another_machine_reports_stays(self) -> None:
+        """The worker calls another control machine now, so a timeout at the first one must not remove it."""
         first, second, _ = self.machines
         dispatcher = Dispatcher()
         for machine in self.machines:
             dispatcher.link(machine, self.now)
         first.table.record_heartbeat(WORKER, self.now)
         second.table.record_heartbeat(replace(WORKER, sequence=6), self.now + 3.0)
-        self.housekeeping(self.now + 5.0, dispatcher)
+        self.run_housekeeping(self.now + 5.0, dispatcher)
         self.assertIs(WorkerState.UP, dispatcher.state())
 
-    async def test_greetings_tell_of_a_bounded_number_of_ends(self) -> None:
-        """The newest farewells alone: a greeting stays short on a thin link."""
+    async def test_initial_messages_contain_a_bounded_number_of_deregistrations(self) -> None:
+        """Only the newest are sent, so that the initial messages stay short on a slow link."""
         table = self.machines[0].table
         for number in range(MAX_DEREGISTERED_SENT + 10):
             table.deregister(f"i-{number}", self.now)
@@ -204,27 +208,27 @@
 
 
 class PresenceQuorumTest(unittest.IsolatedAsyncioTestCase):
-    NEWS = PresenceAck(WORKER.id, deleted=False)
+    CHANGE = PresenceAck(WORKER.id, deleted=False)
 
-    async def test_calls_that_wait_for_one_piece_of_news_do_not_take_it_from_each_other(self) -> None:
-        """A worker calls again after a second; the first call must not end what the second one waits for."""
+    async def test_calls_that_wait_for_the_same_change_do_not_disturb_each_other(self) -> None:
+        """A worker repeats a call after a second; the end of the first call must not end the second one."""
         self.enterContext(mock.patch.object(presence_quorum, "CONFIRMATION_LIMIT", 0.2))
         quorum = PresenceQuorum(IPS[0], lambda: IPS)
-        first = asyncio.create_task(quorum.confirm(self.NEWS))
+        first = asyncio.create_task(quorum.confirm(self.CHANGE))
         await asyncio.wait([first], timeout=0.1)
-        second = asyncio.create_task(quorum.confirm(self.NEWS))
+        second = asyncio.create_task(quorum.confirm(self.CHANGE))
         self.assertFalse(await first)
-        quorum.record_acknowledgement(IPS[1], self.NEWS)
+        quorum.record_acknowledgement(IPS[1], self.CHANGE)
         self.assertTrue(await second)
-        self.assertTrue(quorum.is_confirmed(self.NEWS))
+        self.assertTrue(quorum.is_confirmed(self.CHANGE))
 
-    async def test_a_majority_is_waited_for_and_strangers_do_not_count(self) -> None:
+    async def test_a_majority_is_awaited_and_machines_that_are_no_members_do_not_count(self) -> None:
         quorum = PresenceQuorum(IPS[0], lambda: IPS)
-        waiting = asyncio.create_task(quorum.confirm(self.NEWS))
+        waiting = asyncio.create_task(quorum.confirm(self.CHANGE))
         await asyncio.wait([waiting], timeout=0.01)
-        quorum.record_acknowledgement("10.0.0.99", self.NEWS)
-        self.assertFalse(quorum.is_confirmed(self.NEWS))
-        quorum.record_acknowledgement(IPS[2], self.NEWS)
+        quorum.record_acknowledgement("10.0.0.99", self.CHANGE)
+        self.assertFalse(quorum.is_confirmed(self.CHANGE))
+        quorum.record_acknowledgement(IPS[2], self.CHANGE)
         self.assertTrue(await waiting)
 
 
--- a/tests/test_worker_relay.py
+++ b/tests/test_worker_relay.py
@@ -1,4 +1,4 @@
-"""What a control machine passes on of workers that others heard, and when."""
+"""Which changes of workers a control machine relays to its dispatchers, and when."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
         self.sent: asyncio.Queue[WorkerUpdates] = asyncio.Queue()
         self.relay = WorkerRelay(self.registry.get, self.sent.put_nowait)
 
-    def hear(self, *records: WorkerRecord) -> None:
-        """Another control machine tells of workers."""
+    def receive(self, *records: WorkerRecord) -> None:
+        """Receive records of workers from another control machine."""
         for record in records:
             self.registry.merge(record)
         self.relay.relay(WorkerUpdates(records, complete=False))
 
-    async def test_changes_of_a_moment_go_in_one_message_with_the_newest_state(self) -> None:
+    async def test_changes_within_the_interval_are_sent_in_one_message_with_the_newest_state(self) -> None:
         newer = replace(FIRST, sequence=6, slots=9)
-        self.hear(FIRST)
-        self.hear(SECOND)
-        self.hear(newer)
+        self.receive(FIRST)
+        self.receive(SECOND)
+        self.receive(newer)
         self.assertTrue(self.sent.empty())
         self.assertEqual(WorkerUpdates((newer, SECOND), complete=False), await within(self.sent.get()))
         self.assertTrue(self.sent.empty())
 
-    async def test_a_drain_is_passed_on_at_once_with_what_waits(self) -> None:
+    async def test_a_drain_is_sent_at_once_with_the_pending_changes(self) -> None:
         draining = replace(SECOND, state=WorkerState.DRAINING)
-        self.hear(FIRST)
-        self.hear(draining)
+        self.receive(FIRST)
+        self.receive(draining)
         self.assertEqual(WorkerUpdates((FIRST, draining), complete=False), self.sent.get_nowait())
 
-    async def test_a_worker_that_went_meanwhile_is_not_told_of(self) -> None:
-        self.hear(FIRST, SECOND)
+    async def test_a_worker_that_was_deleted_in_the_meantime_is_not_sent(self) -> None:
+        self.receive(FIRST, SECOND)
         self.registry.delete(FIRST.id)
         self.assertEqual(WorkerUpdates((SECOND,), complete=False), await within(self.sent.get()))
 
-    async def test_later_changes_are_passed_on_as_well(self) -> None:
-        self.hear(FIRST)
+    async def test_later_changes_are_sent_as_well(self) -> None:
+        self.receive(FIRST)
         await within(self.sent.get())
-        self.hear(SECOND)
+        self.receive(SECOND)
         self.assertEqual(WorkerUpdates((SECOND,), complete=False), await within(self.sent.get()))
 
     async def test_nothing_is_sent_for_an_empty_list(self) -> None:
