--- a/rookwood/controlplane/demand.py
+++ b/rookwood/controlplane/demand.py
@@ -83,21 +83,25 @@
             CountedWeights(item.service, item.worker, item.model, item.adapter, count)
             for item, count in wanted.items()
         )
-        names = dict.fromkeys(name for reporter in reporters for name in reporter.keys)
+        service_keys = dict.fromkeys(key for reporter in reporters for key in reporter.keys)
         return DemandSummary(
-            identity, len(reporters), self._sum_keys(reporters, names), counted, complete=True
+            identity, len(reporters), self._sum_keys(reporters, service_keys), counted, complete=True
         )
 
     def partial_summary(self, identity: str, keys: Iterable[KeyDemand]) -> DemandSummary:
         """The sum of the dispatchers' own reports recorded here, for the primary, for some keys only."""
         reporters = [reporter for reporter in self._reporters.values() if reporter.from_dispatcher]
-        names = [(key.service, WeightsKey(key.model, key.adapter)) for key in keys]
-        return DemandSummary(identity, len(reporters), self._sum_keys(reporters, names), (), complete=False)
+        service_keys = [(key.service, WeightsKey(key.model, key.adapter)) for key in keys]
+        return DemandSummary(
+            identity, len(reporters), self._sum_keys(reporters, service_keys), (), complete=False
+        )
 
     @staticmethod
-    def _sum_keys(reporters: list[ReportedDemand], names: Iterable[ServiceWeights]) -> tuple[KeyDemand, ...]:
+    def _sum_keys(
+        reporters: list[ReportedDemand], service_keys: Iterable[ServiceWeights]
+    ) -> tuple[KeyDemand, ...]:
         summed = []
-        for service, key in names:
+        for service, key in service_keys:
             demands = [
                 reporter.keys[service, key] for reporter in reporters if (service, key) in reporter.keys
             ]
--- a/rookwood/controlplane/program.py
+++ b/rookwood/controlplane/program.py
@@ -277,7 +277,7 @@
         if audience is Audience.CONTROL_MACHINES:
             return
         if isinstance(message, WorkerUpdates):
-            self._worker_relay.relay(message)
+            self._worker_relay.relay_updates(message)
         else:
             self._send_to_dispatchers(message)
 
--- a/rookwood/controlplane/worker_relay.py
+++ b/rookwood/controlplane/worker_relay.py
@@ -27,7 +27,7 @@
         self._pending: dict[str, None] = {}
         self._throttle = Throttle(MIN_INTERVAL, self._send_pending)
 
-    def relay(self, updates: WorkerUpdates) -> None:
+    def relay_updates(self, updates: WorkerUpdates) -> None:
         """Relay the workers in an update, with the next batch or, if one of them drains, at once."""
         self._pending.update((record.id, None) for record in updates.records)
         if any(record.state is WorkerState.DRAINING for record in updates.records):
--- a/tests/test_controlplane_workers.py
+++ b/tests/test_controlplane_workers.py
@@ -70,9 +70,9 @@
     """A test with a worker table whose updates are recorded."""
 
     def setUp(self) -> None:
-        self.gone: list[str] = []
+        self.removed: list[str] = []
         self.published: list[tuple[Update, Audience]] = []
-        self.view = ClusterView(lambda record: None, self.gone.append)
+        self.view = ClusterView(lambda record: None, self.removed.append)
         self.table = WorkerTable(self.view, OWN_IP, HEARTBEAT_INTERVAL, self.publish)
         self.view.message_received(OWN_IP, SETTLED, 0.0)
 
@@ -111,7 +111,7 @@
     def test_a_worker_that_timed_out_is_removed_and_may_come_back(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
         self.table.expire(LONG_GAP)
-        self.assertEqual([WORKER.id], self.gone)
+        self.assertEqual([WORKER.id], self.removed)
         gone = WorkerGone(WORKER.id, deleted=False)
         expected = [(gone, Audience.CONTROL_MACHINES), (gone, Audience.DISPATCHERS)]
         self.assertEqual(expected, self.published[-2:])
@@ -122,23 +122,23 @@
     def test_one_missed_heartbeat_is_no_timeout(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
         self.table.expire(2 * HEARTBEAT_INTERVAL)
-        self.assertEqual([], self.gone)
+        self.assertEqual([], self.removed)
 
     def test_a_worker_that_another_machine_reports_stays(self) -> None:
         self.view.link_opened(PEER)
         self.table.record_heartbeat(WORKER, 0.0)
         self.view.message_received(PEER, WorkerUpdates((WORKER,), complete=True), 0.0)
         self.table.expire(LONG_GAP)
-        self.assertEqual([], self.gone)
+        self.assertEqual([], self.removed)
         expected = (WorkerGone(WORKER.id, deleted=False), Audience.CONTROL_MACHINES)
         self.assertEqual(expected, self.published[-1], "dispatchers keep it, as the other machine reports it")
 
-    def test_a_deleted_worker_is_published_once_and_stays_deleted(self) -> None:
+    def test_a_deregistration_is_published_once_and_is_final(self) -> None:
         self.table.record_heartbeat(WORKER, 0.0)
         self.table.deregister(WORKER.id, 0.1)
         self.table.deregister(WORKER.id, 0.1)
         self.table.record_heartbeat(replace(WORKER, sequence=99), 0.1)
-        self.assertEqual([WORKER.id], self.gone)
+        self.assertEqual([WORKER.id], self.removed)
         self.assertEqual(2, len(self.published))
         self.assertEqual((WorkerGone(WORKER.id, deleted=True), Audience.ALL), self.published[-1])
         self.assertEqual((), self.table.all_workers().records)
--- a/tests/test_worker_presence.py
+++ b/tests/test_worker_presence.py
@@ -137,7 +137,7 @@
     async def test_a_deregistration_reaches_a_machine_without_a_link_to_the_one_that_received_it(
         self,
     ) -> None:
-        """The machines of the majority that know of it relay it."""
+        """The machines that received it from there relay it."""
         first, _, third = self.machines
         dispatcher = Dispatcher()
         first.table.record_heartbeat(WORKER, self.now)
--- a/tests/test_worker_relay.py
+++ b/tests/test_worker_relay.py
@@ -28,7 +28,7 @@
         """Receive records of workers from another control machine."""
         for record in records:
             self.registry.merge(record)
-        self.relay.relay(WorkerUpdates(records, complete=False))
+        self.relay.relay_updates(WorkerUpdates(records, complete=False))
 
     async def test_changes_within_the_interval_are_sent_in_one_message_with_the_newest_state(self) -> None:
         newer = replace(FIRST, sequence=6, slots=9)
@@ -57,7 +57,7 @@
         self.assertEqual(WorkerUpdates((SECOND,), complete=False), await within(self.sent.get()))
 
     async def test_nothing_is_sent_for_an_empty_list(self) -> None:
-        self.relay.relay(WorkerUpdates((), complete=True))
+        self.relay.relay_updates(WorkerUpdates((), complete=True))
         self.relay.flush()
         self.assertTrue(self.sent.empty())
 
