--- a/rookwood/dataplane/__init__.py
+++ b/rookwood/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: serves clients and routes each request to a worker that holds its weights."""
+"""The data plane: serves clients and sends each request to a worker that holds its weights."""
--- a/rookwood/dataplane/answers.py
+++ b/rookwood/dataplane/answers.py
@@ -1,4 +1,4 @@
-"""What a request comes to: the dispatcher's own refusals, a worker's whole answer, or a broken stream."""
+"""The state of a request on its way to a response, and the responses that the dispatcher builds itself."""
 
 from __future__ import annotations
 
@@ -15,103 +15,104 @@
 from rookwood.dataplane.upstream import Complete, Rejected
 from rookwood.httpclient.outcomes import Broken, NotSent
 
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
-RETRY_SOON = 0.3
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0
+DEFAULT_RETRY_AFTER = 0.3  # seconds
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
-    """An answer of the dispatcher's own."""
+class ErrorResponse:
+    """A 4xx or 5xx response that the dispatcher itself sends; no worker produced it."""
 
     status: int
     reason: str
     retry_after: float | None = None
 
-    def response(self) -> web.Response:
-        """The answer to send."""
+    def build(self) -> web.Response:
+        """Build the HTTP response."""
         response = web.Response(status=self.status, text=self.reason)
-        response[REFUSAL_KEY] = self
+        response[ERROR_RESPONSE_KEY] = self
         if self.retry_after is not None:
             response.headers[names.RETRY_AFTER] = f"{self.retry_after:.2f}"
         return response
 
 
-REFUSAL_KEY = web.ResponseKey("refusal", Refusal)  # marks the dispatcher's own answers
-OUTCOME_KEY = web.ResponseKey("outcome", RequestOutcome)  # marks answers that are not whole
+ERROR_RESPONSE_KEY = web.ResponseKey("refusal", ErrorResponse)  # marks the dispatcher's own responses
+OUTCOME_KEY = web.ResponseKey("outcome", RequestOutcome)  # marks incomplete responses
 
 
 @dataclass(frozen=True, slots=True)
 class Rerouted:
-    """A configuration that came into force while the request waited routes it otherwise; nothing was sent."""
+    """A new configuration gives the waiting request another route; it was sent to no worker."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """The stream reached its end."""
+    """The worker's stream ended after a whole event."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamBroke:
-    """The stream broke off after the event named."""
+    """The worker's stream broke off, or the dispatcher gave it up."""
 
-    why: str
+    reason: str
 
 
 class RequestProgress:
-    """What has happened to one request so far."""
+    """The state that one request carries from attempt to attempt."""
 
     def __init__(self, arrived: float) -> None:
         self.trace = RequestTrace(arrived)
         self.routed: RoutedRequest | None = None
-        self.broken: str = ""  # why the last attempt broke off
-        self.sends = 0
+        self.loss_reason: str = ""  # why the last attempt broke off; empty if it did not
+        self.attempts = 0
         self.connection_failures = 0
-        self.first_try = False  # of the client, by the time that it has left
+        self.is_first_try = False  # judged by the time left that the client states
         self.may_have_run = False
-        self.excluded: set[str] = set()
+        self.excluded_workers: set[str] = set()
         self.response: web.StreamResponse | None = None
-        self.last_event: bytes | None = None
-        self.passed_without_id = False  # then the stream can't be taken up elsewhere
-        self.last_answer: Complete | None = None
-        self.repeat_granted = False
+        self.last_event_id: bytes | None = None
+        self.forwarded_without_id = False  # an event had no id, so no other worker can resume the stream
+        self.last_response: Complete | None = None
+        self.retry_granted = False
 
 
-def refusal_for(
+def error_after_attempt(
     request: RoutedRequest, progress: RequestProgress, outcome: NotSent | Rejected | Broken
-) -> Refusal:
-    """The answer after the last attempt."""
+) -> ErrorResponse:
+    """The error response after the last attempt failed."""
     if progress.may_have_run and not request.repeatable:
         status = 504 if isinstance(outcome, Broken) and outcome.why == "deadline" else 502
-        return Refusal(status, "the worker's answer was lost")
+        return ErrorResponse(status, "the worker's answer was lost")
     if isinstance(outcome, Broken):
         status = 504 if outcome.why == "deadline" else 502
-        return Refusal(status, "the worker's answer was lost")
-    return Refusal(503, "workers are full or gone", RETRY_SOON)
+        return ErrorResponse(status, "the worker's answer was lost")
+    return ErrorResponse(503, "workers are full or gone", DEFAULT_RETRY_AFTER)
 
 
 def complete_response(outcome: Complete) -> web.Response:
-    """A worker's whole answer, unchanged."""
+    """Copy a worker's complete response."""
     return web.Response(status=outcome.status, headers=outcome.headers, body=outcome.body)
 
 
-def end_incomplete(client: web.BaseRequest) -> None:
-    """End the client's connection in the middle of an answer so that the answer doesn't look complete.
+def close_incomplete_response(client: web.BaseRequest) -> None:
+    """Close the client's connection in the middle of a response so that the response does not look complete.
 
-    Without chunks (HTTP/1.0) an orderly close would be its end, so that the connection is reset.
+    A chunked response without its last chunk is visibly incomplete. HTTP/1.0 has no chunks, and an orderly
+    close would mark the end of the body, so the connection is reset instead.
     """
     transport = client.transport
     if transport is None:
         return
     connection = transport.get_extra_info("socket")
     if client.version < HttpVersion11 and connection is not None:
-        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         transport.abort()
     else:
         transport.close()
 
 
 async def read_body(request: web.BaseRequest, limit: int) -> bytes | None:
-    """The whole body; None if it is larger than the limit."""
+    """Read the whole body; None if it is larger than `limit` bytes."""
     if not request.body_exists:
         return b""
     chunks: list[bytes] = []
--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt for a request: sent to a worker, its answer or stream passed on, what it tells learned."""
+"""Sends one attempt of a request to a worker, forwards the response and records the worker's state."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     OUTCOME_KEY,
     RequestProgress,
     StreamEnded,
+    close_incomplete_response,
     complete_response,
-    end_incomplete,
 )
 from rookwood.dataplane.attempt_limits import AttemptLimits
 from rookwood.dataplane.clock import now
@@ -25,8 +25,8 @@
 from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
 from rookwood.dataplane.requests import RoutedRequest
 from rookwood.dataplane.router import Router, uncached_tokens
-from rookwood.dataplane.silence import SilenceWatch
-from rookwood.dataplane.stream_relay import SILENT, copy_events
+from rookwood.dataplane.silence import WorkerWatch
+from rookwood.dataplane.stream_relay import UNRESPONSIVE, copy_events
 from rookwood.dataplane.upstream import (
     MISDIRECTED,
     Complete,
@@ -43,18 +43,18 @@
 from rookwood.modelplacement.types import Outcome
 
 FIRST_SERVER_ERROR = 500
-QUIET_BACKLOG = 0.01  # seconds; a prompt sent with less before it tells the worker's reading speed
+NEGLIGIBLE_BACKLOG = 0.01  # seconds; prompts behind a longer backlog are no samples of the prefill speed
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptSender:
-    """Sends requests to chosen workers."""
+    """Sends attempts to workers that the caller has chosen."""
 
     _router: Router
     _pool: WorkerPool
     _demand: DemandMeter
     _client: UpstreamClient
-    _repeats: RepeatRules
+    _retry_rules: RepeatRules
     _limits: AttemptLimits
     _counts: RequestCounts
     _mechanisms: Mechanisms
@@ -63,86 +63,89 @@
     async def send(
         self, client: web.BaseRequest, request: RoutedRequest, worker: WorkerRecord, progress: RequestProgress
     ) -> web.StreamResponse | NotSent | Rejected | Broken:
-        """Send the request once; a response means that the request is answered."""
+        """Send the request to the worker once.
+
+        A `web.StreamResponse` ends the request; any other outcome leaves it to the caller to retry.
+        """
         traffic = self._pool.get(worker.id)
         began = now()
-        quiet = traffic.backlog.remaining(began) < QUIET_BACKLOG
+        had_no_backlog = traffic.backlog.remaining(began) < NEGLIGIBLE_BACKLOG
         tokens = uncached_tokens(traffic.backlog, request)
-        progress.trace.send(traffic.describe(worker.id, began), began)
-        notice = self._router.note_sent(request, worker, began)
+        progress.trace.record_attempt(traffic.describe(worker.id, began), began)
+        notice = self._router.record_sent_prompt(request, worker, began)
         if notice is not None:
             self._on_work(notice)
         traffic.in_flight += 1
-        progress.excluded.add(worker.id)
-        progress.sends += 1
+        progress.excluded_workers.add(worker.id)
+        progress.attempts += 1
         self._counts.attempts += 1
         result = Outcome.FAILED
         try:
-            upstream_request = self._upstream_request(request, worker, traffic, progress)
+            upstream_request = self._build_upstream_request(request, worker, traffic, progress)
             sending = self._client.send(worker.address, upstream_request, request.deadline)
-            outcome = await self._await_head(request, progress, traffic, sending)
-            self._learn(request, worker, outcome)
+            outcome = await self._await_response_head(request, progress, traffic, sending)
+            self._update_traffic(request, worker, outcome)
             result = placement_outcome(request, outcome, now())
-            answered = now()
-            progress.trace.answer(answered)
-            progress.broken = outcome.why if isinstance(outcome, Broken) else ""
+            outcome_at = now()
+            progress.trace.record_outcome(outcome_at)
+            progress.loss_reason = outcome.why if isinstance(outcome, Broken) else ""
             if isinstance(outcome, Streaming):
-                if quiet and request.key is not None:
-                    self._router.observe_reading(request.key.model, tokens, now() - began)
-                relayed = await self._relay(client, request, worker, outcome, progress)
-                self._limits.durations.observe(request, answered - began, now() - answered, now())
+                if had_no_backlog and request.key is not None:
+                    self._router.observe_prefill(request.key.model, tokens, now() - began)
+                relayed = await self._relay_stream(client, request, worker, outcome, progress)
+                self._limits.durations.observe(request, outcome_at - began, now() - outcome_at, now())
                 return relayed
             if isinstance(outcome, Complete):
-                self._limits.durations.observe(request, answered - began, 0.0, answered)
-                return self._finish_complete(request, outcome, progress)
+                self._limits.durations.observe(request, outcome_at - began, 0.0, outcome_at)
+                return self._accept_complete(request, outcome, progress)
             return outcome
         finally:
             traffic.in_flight -= 1
             ended = now()
             if result in (Outcome.OK, Outcome.LATE):
-                traffic.answered = ended
+                traffic.last_completed_at = ended
             if request.key is not None:
-                self._demand.used(request.key, ended - began, ended)
+                self._demand.record_slot_use(request.key, ended - began, ended)
                 self._router.tables.record(request.key, worker.id, ended - began, result, ended)
 
-    async def _await_head(
+    async def _await_response_head(
         self,
         request: RoutedRequest,
         progress: RequestProgress,
         traffic: WorkerTraffic,
         sending: Coroutine[Any, Any, UpstreamOutcome],
     ) -> UpstreamOutcome:
-        """Wait for the head; leaves a worker that fell silent if the request may go elsewhere."""
-        outcome: UpstreamOutcome = Broken(SILENT)
-        async with self._watch(request, progress, traffic):
+        """Wait for the response head; give up an unresponsive worker if the request may be retried."""
+        outcome: UpstreamOutcome = Broken(UNRESPONSIVE)
+        async with self._watch_worker(request, progress, traffic):
             outcome = await sending
-            traffic.heard = now()
+            traffic.last_received_at = now()
         self._pool.idle_limit = self._client.idle_limit
         return outcome
 
-    def _watch(
+    def _watch_worker(
         self, request: RoutedRequest, progress: RequestProgress, traffic: WorkerTraffic
-    ) -> SilenceWatch:
-        leaves = self._mechanisms.has(Mechanism.LEAVE_SILENT)
+    ) -> WorkerWatch:
+        leaves_unresponsive = self._mechanisms.has(Mechanism.LEAVE_SILENT)
 
         def should_leave(since: float) -> bool:
-            silent = leaves and traffic.silent(now(), since)
-            return silent and self._repeats.may_move(request, progress, now())
+            unresponsive = leaves_unresponsive and traffic.is_unresponsive(now(), since)
+            return unresponsive and self._retry_rules.may_leave_worker(request, progress, now())
 
-        return SilenceWatch(should_leave)
+        return WorkerWatch(should_leave)
 
-    def _finish_complete(
+    def _accept_complete(
         self, request: RoutedRequest, outcome: Complete, progress: RequestProgress
     ) -> web.StreamResponse | Broken:
-        """A whole answer, unless it can't follow what the client has, or may yet go better elsewhere."""
+        """Turn a complete response into the client's, unless a stream has begun or a retry may do better."""
         if progress.response is not None:
-            return Broken("no stream in place of the rest of one")
+            return Broken("complete response in place of the rest of a stream")
         if outcome.status >= FIRST_SERVER_ERROR and request.repeatable:
-            progress.last_answer = outcome
+            progress.last_response = outcome
             return Broken(f"status {outcome.status}")
         return complete_response(outcome)
 
-    def _upstream_request(
+    def _build_upstream_request(
         self,
         request: RoutedRequest,
         worker: WorkerRecord,
@@ -152,26 +155,26 @@
         sent_at = now()
         prefill = self._router.prefill_seconds(traffic, request)
         urgency = choose_urgency(request, worker, traffic, prefill, sent_at, self._mechanisms)
-        return build_upstream_request(request, worker, urgency, progress.last_event, sent_at)
+        return build_upstream_request(request, worker, urgency, progress.last_event_id, sent_at)
 
-    def _learn(self, request: RoutedRequest, worker: WorkerRecord, outcome: UpstreamOutcome) -> None:
-        """Note what an outcome tells of the worker."""
+    def _update_traffic(self, request: RoutedRequest, worker: WorkerRecord, outcome: UpstreamOutcome) -> None:
+        """Record what an outcome shows about the worker: its load, missing weights, success or failure."""
         traffic = self._pool.get(worker.id)
-        learned_at = now()
+        received_at = now()
         if isinstance(outcome, Complete | Streaming):
-            traffic.succeeded()
+            traffic.record_success()
             load = read_load(outcome.headers)
             if load is not None and self._mechanisms.has(Mechanism.TOLD_LOAD):
-                traffic.tell_load(load.running, load.waiting, load.slots, learned_at)
+                traffic.record_load(load.running, load.waiting, load.slots, received_at)
         elif isinstance(outcome, Rejected):
             if outcome.status == MISDIRECTED and request.key is not None:
-                traffic.lacks(request.key.model, request.key.adapter, learned_at)
+                traffic.record_missing_weights(request.key.model, request.key.adapter, received_at)
             else:
-                traffic.failed(learned_at)
+                traffic.record_failure(received_at)
         elif isinstance(outcome, NotSent) or outcome.why != "deadline":
-            traffic.failed(learned_at)
+            traffic.record_failure(received_at)
 
-    async def _relay(
+    async def _relay_stream(
         self,
         client: web.BaseRequest,
         request: RoutedRequest,
@@ -179,33 +182,37 @@
         stream: Streaming,
         progress: RequestProgress,
     ) -> web.StreamResponse | Broken:
-        """Pass a stream on, event by event."""
+        """Forward a stream event by event; Broken if a retry may resume it."""
         if progress.response is None:
             progress.response = web.StreamResponse(status=stream.status, headers=stream.headers)
-            if self._limits.closing.known:
+            if self._limits.closing.is_known:
                 progress.response.force_close()
             await progress.response.prepare(client)
         try:
             traffic = self._pool.get(worker.id)
-            watch = self._watch(request, progress, traffic)
+            watch = self._watch_worker(request, progress, traffic)
             ended = await copy_events(stream, progress, progress.response, traffic, watch, request.deadline)
-        except ConnectionResetError:  # the client has left; errors of the worker's side are values
+        except ConnectionResetError:  # only the client's side raises it; a worker's errors are return values
             progress.response[OUTCOME_KEY] = RequestOutcome.ABANDONED
-            end_incomplete(client)
+            close_incomplete_response(client)
             return progress.response
         finally:
             stream.answer.close()
         if isinstance(ended, StreamEnded):
             await progress.response.write_eof()
             return progress.response
-        progress.broken = ended.why
-        if ended.why != "deadline":
-            self._pool.get(worker.id).failed(now())
-        return Broken(ended.why)
+        progress.loss_reason = ended.reason
+        if ended.reason != "deadline":
+            self._pool.get(worker.id).record_failure(now())
+        return Broken(ended.reason)
 
 
 def placement_outcome(request: RoutedRequest, outcome: UpstreamOutcome, now: float) -> Outcome:
-    """What an attempt's outcome tells the placement table; lateness is judged by the first streamed byte."""
+    """Map an attempt's outcome to one for the placement table.
+
+    A response is late if it comes after the route's target time: a stream by its head, any other response by
+    the end of its body.
+    """
     if isinstance(outcome, Rejected):
         return Outcome.FULL
     if isinstance(outcome, Complete | Streaming):
--- a/rookwood/dataplane/client_server.py
+++ b/rookwood/dataplane/client_server.py
@@ -1,6 +1,6 @@
-"""The HTTP server for clients, with what an orderly end of the process needs to know of each connection.
+"""The HTTP server for clients, which can close its idle connections during a shutdown.
 
-All uses of private attributes of aiohttp's connection handler are in this module.
+This is the only module that uses private attributes of aiohttp's connection handler.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class ClientConnection(web.RequestHandler):
-    """A client's connection that tells whether it can be closed without losing a request."""
+    """A client's connection that knows whether it can be closed without losing a request."""
 
     __slots__ = ("_head_begun", "_idle_since")
 
@@ -23,40 +23,40 @@
         self._idle_since = asyncio.get_running_loop().time()
 
     def data_received(self, data: bytes) -> None:
-        """Note whether the bytes so far end within the head of a request."""
+        """Receive bytes, and record whether they end within the head of a request."""
         super().data_received(data)
         self._idle_since = asyncio.get_running_loop().time()
-        self._head_begun = self._awaits_request
+        self._head_begun = self._is_awaiting_request
 
     @property
-    def _awaits_request(self) -> bool:
-        """Whether no request is being answered, and none has been read."""
+    def _is_awaiting_request(self) -> bool:
+        """Whether the handler waits for a request: none is being handled, and none is queued."""
         return self._waiter is not None and not self._waiter.done() and not self._messages
 
-    def idle_for(self, now: float) -> float | None:
-        """Seconds since bytes last came; None while a request is being read or answered."""
-        if self._head_begun or not self._awaits_request:
+    def idle_seconds(self, now: float) -> float | None:
+        """Seconds since the last bytes came; None while a request is being read or handled."""
+        if self._head_begun or not self._is_awaiting_request:
             return None
         return now - self._idle_since
 
 
 class ClientServer(web.Server):
-    """Serves clients and closes their idle connections when the process is about to end."""
+    """Serves clients; their idle connections can be closed before the process ends."""
 
     def __init__(self, handler: Handler, **options: Any) -> None:
         super().__init__(handler, handler_cancellation=True)  # type: ignore[arg-type]
         self._options = options
 
     def __call__(self) -> ClientConnection:
-        """Handle one more connection."""
+        """Create the handler of a new connection."""
         return ClientConnection(self, **self._options)
 
-    def close_idle(self, least: float) -> None:
-        """Close the connections on which nothing came for `least` seconds and no request waits."""
+    def close_idle(self, min_idle: float) -> None:
+        """Close the connections that have been idle for at least `min_idle` seconds."""
         now = asyncio.get_running_loop().time()
         for connection in self.connections:
             if not isinstance(connection, ClientConnection):
                 continue
-            idle = connection.idle_for(now)
-            if idle is not None and idle >= least:
+            idle = connection.idle_seconds(now)
+            if idle is not None and idle >= min_idle:
                 connection.force_close()
--- a/rookwood/dataplane/clock.py
+++ b/rookwood/dataplane/clock.py
@@ -4,5 +4,5 @@
 
 
 def now() -> float:
-    """Return the loop's time in seconds; it never goes back."""
+    """The event loop's monotonic time in seconds."""
     return asyncio.get_running_loop().time()
--- a/rookwood/dataplane/control_links.py
+++ b/rookwood/dataplane/control_links.py
@@ -1,12 +1,14 @@
-"""Which control machines a dispatcher is linked to: one feeds it, and takes what it reports.
+"""The links of a dispatcher to control machines: it subscribes to one feed and sends its reports there.
 
-The others are not heard. Each machine passes on what the others tell, so a second feed would bring
-everything a second time. The feeding machine is left for another one when its link ends, when it is silent,
-when it is out of touch with the primary, or when it does not answer. A better one is tried on a second link
-before the first is closed (`ParentChoice`), and taken once it says that it has run for a while and is in
-touch: one that has just started may not know yet what the others told before.
+Each control machine relays what the others send, so a second feed would deliver everything twice. The
+dispatcher leaves its feeding machine for another one when the link ends, when the machine is unresponsive,
+when it has lost contact with the primary, or when it does not answer a fetch request in time. A better
+machine is tried on a second link before the first one is closed (`ParentChoice`). It is chosen once its
+status says that it is settled and in contact with the primary: a machine that has just started may not know
+yet what the others sent before.
 
-Until the first configuration is confirmed, the primary is listened to as well: it alone can confirm.
+Until the first configuration is confirmed, the dispatcher also keeps a link to the primary, which alone can
+confirm it.
 """
 
 from __future__ import annotations
@@ -30,12 +32,12 @@
 
 TICK_INTERVAL = 0.25  # seconds
 TIMING = ParentTiming(pause_limit=2 * TICK_INTERVAL)
-OUT_OF_TOUCH_LIMIT = 0.6  # seconds beyond the lease; a successor of a lost primary is known by then
+OUT_OF_TOUCH_LIMIT = 0.6  # seconds after the lease lapsed; by then a lost primary's successor is known
 TIER_EDGE = "edge"
 
 
 class ControlLinks:
-    """Keeps the links; the handler is told of them and of what they bring."""
+    """Opens and closes the links, and passes their events and messages to the handler."""
 
     def __init__(
         self,
@@ -51,125 +53,137 @@
         self._seeds = seeds
         hello = Hello(settings.ip, TIER_EDGE, settings.zone, RELEASE)
         self.links = LinkSet(settings.feed_port, hello, self, settings.ip, position, stalled)
-        self._choice: ParentChoice | None = None
-        self._roots: tuple[ControlMachine, ...] = ()
+        self._parent_choice: ParentChoice | None = None
+        self._control_machines: tuple[ControlMachine, ...] = ()
         self._releases: dict[str, int] = {}
-        self._out_of_touch_since: float | None = None
+        self._out_of_contact_since: float | None = None
         self._closed = False
 
     @property
     def feeding(self) -> str | None:
-        """The machine that feeds this dispatcher."""
-        return self._choice.current if self._choice is not None else None
+        """The address of the machine whose feed this dispatcher subscribes to."""
+        return self._parent_choice.current if self._parent_choice is not None else None
 
     @property
-    def hears_all(self) -> bool:
-        """Whether the feeding machine is of a release that passes nothing on: then all are subscribed to."""
+    def subscribes_to_all(self) -> bool:
+        """Whether to subscribe to all machines: the feeding machine's release does not relay messages."""
         feeding = self.feeding
         return feeding is not None and self._releases.get(feeding, RELEASE) < RELEASE_WITH_ONE_FEED
 
     def tick(self, now: float, confirmed: bool, primary: str | None, members: Iterable[str]) -> None:
-        """Do what is due; `primary` and `members` are the control machines that linked ones name."""
-        candidates = self._ranked()
+        """Choose the feeding machine and update the links.
+
+        `primary` and `members` are the control machines that the linked ones name.
+        """
+        candidates = self._rank_machines()
         if self._closed or not candidates:
             return
-        if self._choice is None:
-            self._choice = ParentChoice(candidates, now, TIMING)
-        self._choice.set_parents(candidates, now)
-        self._leave_if_out_of_touch(now)
-        before = self._choice.current
-        self._choice.tick(now)
-        if self._choice.current != before:
-            self._out_of_touch_since = None
-        self._want(confirmed, primary, members)
+        if self._parent_choice is None:
+            self._parent_choice = ParentChoice(candidates, now, TIMING)
+        self._parent_choice.set_parents(candidates, now)
+        self._leave_if_out_of_contact(now)
+        previous = self._parent_choice.current
+        self._parent_choice.tick(now)
+        if self._parent_choice.current != previous:
+            self._out_of_contact_since = None
+        self._update_links(confirmed, primary, members)
 
     def overdue(self, peer: str, now: float) -> None:
-        """A machine did not answer a request for the configuration in time."""
-        if self._choice is not None:
-            self._choice.suspected(peer, now)
+        """A machine did not answer a fetch request in time."""
+        if self._parent_choice is not None:
+            self._parent_choice.suspected(peer, now)
 
     def brings_notices(self, peer: str) -> bool:
-        """Whether the work notices of a machine count: each reaches a dispatcher once."""
-        return peer == self.feeding or self.hears_all
+        """Whether to use the work notices from a machine, so that each notice is counted once."""
+        return peer == self.feeding or self.subscribes_to_all
 
     def connection(self, peer: str | None) -> Connection | None:
-        """The open link to a peer, if there is one."""
+        """The open link to a peer, or None."""
         return self.links.connection(peer) if peer is not None else None
 
     def reporting(self, primary: str | None) -> Connection | None:
-        """The link for reports: to the machine that passes them on, or to the primary itself."""
-        return self.connection(primary if self.hears_all else self.feeding)
+        """The link for reports: to the feeding machine, or to the primary if that one relays nothing."""
+        return self.connection(primary if self.subscribes_to_all else self.feeding)
 
     def close(self) -> None:
-        """Close all links for good."""
+        """Close all links; no link is opened after this."""
         self._closed = True
         self.links.close()
 
-    # Called by the links
+    # The LinkHandler methods, called by the links.
 
     def linked(self, peer: str, connection: Connection) -> None:
-        """A link is open."""
+        """A link was opened."""
         self._handler.linked(peer, connection)
 
     def received(self, peer: str, message: Message) -> None:
-        """A message came."""
+        """A message was received over a link."""
         self._handler.received(peer, message)
 
     def unlinked(self, peer: str) -> None:
         """A link ended."""
         self._handler.unlinked(peer)
 
-    # Called by the handler, which knows the time
+    # Called by the handler, which passes the time in.
 
     def heard(self, peer: str, message: Message, now: float) -> None:
-        """Note that a machine is there, and what it tells of itself and of others."""
-        if self._choice is None:
+        """Record a message as a sign of life of its sender, with the sender's release, contact and peers."""
+        if self._parent_choice is None:
             return
-        if peer == self._choice.current or is_sound(message):
-            self._choice.heard(peer, now)
+        if peer == self._parent_choice.current or is_settled_and_in_contact(message):
+            self._parent_choice.heard(peer, now)
         if isinstance(message, Status):
             self._releases[peer] = message.release
-            if peer == self._choice.current and message.roots:
-                self._roots = message.roots
-        elif isinstance(message, HeartbeatAnswer) and peer == self._choice.current:
-            self._note_touch(message.fresh, now)
+            if peer == self._parent_choice.current and message.roots:
+                self._control_machines = message.roots
+        elif isinstance(message, HeartbeatAnswer) and peer == self._parent_choice.current:
+            self._record_contact(message.fresh, now)
 
     def ended(self, peer: str, now: float) -> None:
-        """A link ended: if it was the feed, another machine is subscribed to at the next tick."""
+        """A link ended; if it was the feed, the next tick subscribes to another machine."""
         self._releases.pop(peer, None)
-        if self._choice is not None and peer in (self._choice.current, self._choice.trial):
-            self._choice.failed(peer, now)
+        if self._parent_choice is not None and peer in (
+            self._parent_choice.current,
+            self._parent_choice.trial,
+        ):
+            self._parent_choice.failed(peer, now)
 
-    def _note_touch(self, fresh: bool, now: float) -> None:
+    def _record_contact(self, fresh: bool, now: float) -> None:
         if fresh:
-            self._out_of_touch_since = None
-        elif self._out_of_touch_since is None:
-            self._out_of_touch_since = now
-
-    def _leave_if_out_of_touch(self, now: float) -> None:
-        since = self._out_of_touch_since
-        if since is not None and now - since > OUT_OF_TOUCH_LIMIT and self._choice is not None:
-            self._choice.suspected(self._choice.current, now)
-            self._out_of_touch_since = None
-
-    def _ranked(self) -> list[str]:
-        """The control machines in the order in which this dispatcher prefers them: its own zone's first."""
-        zones = {machine.ip: machine.zone for machine in self._roots}
+            self._out_of_contact_since = None
+        elif self._out_of_contact_since is None:
+            self._out_of_contact_since = now
+
+    def _leave_if_out_of_contact(self, now: float) -> None:
+        since = self._out_of_contact_since
+        if since is not None and now - since > OUT_OF_TOUCH_LIMIT and self._parent_choice is not None:
+            self._parent_choice.suspected(self._parent_choice.current, now)
+            self._out_of_contact_since = None
+
+    def _rank_machines(self) -> list[str]:
+        """The control machines in this dispatcher's order of preference.
+
+        Machines of its own zone come first, then the others that the feeding machine named, then seeds that
+        it did not name.
+        """
+        zones = {machine.ip: machine.zone for machine in self._control_machines}
         key = f"feed {self._identity}"
-        told = sorted(zones, key=lambda ip: (zones[ip] != self._zone, -weight(key, ip)))
+        named = sorted(zones, key=lambda ip: (zones[ip] != self._zone, -weight(key, ip)))
         seeds = sorted((ip for ip in set(self._seeds()) if ip not in zones), key=lambda ip: -weight(key, ip))
-        return [*told, *seeds]
-
-    def _want(self, confirmed: bool, primary: str | None, members: Iterable[str]) -> None:
-        assert self._choice is not None
-        subscribed = {self._choice.current} | ({self._choice.trial} if self._choice.trial else set())
-        if self.hears_all:
+        return [*named, *seeds]
+
+    def _update_links(self, confirmed: bool, primary: str | None, members: Iterable[str]) -> None:
+        assert self._parent_choice is not None
+        subscribed = {self._parent_choice.current} | (
+            {self._parent_choice.trial} if self._parent_choice.trial else set()
+        )
+        if self.subscribes_to_all:
             self.links.want(subscribed | set(self._seeds()) | set(members))
             return
-        listened = {primary} if primary and not confirmed else set()
-        self.links.want(subscribed, listened)
+        unsubscribed = {primary} if primary and not confirmed else set()
+        self.links.want(subscribed, unsubscribed)
 
 
-def is_sound(message: Message) -> bool:
-    """Whether a machine tells that it knows what the others know."""
+def is_settled_and_in_contact(message: Message) -> bool:
+    """Whether a machine's status says that it has what the others have sent, and is in contact."""
     return isinstance(message, Status) and message.settled and message.fresh
--- a/rookwood/dataplane/headers.py
+++ b/rookwood/dataplane/headers.py
@@ -1,4 +1,4 @@
-"""Header names of the protocol, and which headers are passed along."""
+"""The protocol's header names, and the choice of headers that the dispatcher forwards."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 def end_to_end(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """The headers without those that concern a single connection only."""
+    """The headers without the hop-by-hop ones, which concern a single connection only."""
     connection = ",".join(headers.getall("Connection", []))
-    named = {name.strip().lower() for name in connection.split(",")}
-    passed: CIMultiDict[str] = CIMultiDict()
+    connection_options = {name.strip().lower() for name in connection.split(",")}
+    forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
         lowered = name.lower()
-        if lowered not in _HOP_BY_HOP and lowered not in named:
-            passed.add(name, value)
-    return passed
+        if lowered not in _HOP_BY_HOP and lowered not in connection_options:
+            forwarded.add(name, value)
+    return forwarded
--- a/rookwood/dataplane/metrics.py
+++ b/rookwood/dataplane/metrics.py
@@ -1,4 +1,4 @@
-"""The figures that a dispatcher tells."""
+"""The metrics of a dispatcher."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class DataPlaneMetrics:
-    """Reads the parts of a dispatcher when it is scraped."""
+    """Collects the metrics from a dispatcher's parts at each scrape."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._clients = clients
 
     def families(self) -> Iterator[Metric]:
-        """All figures."""
+        """All metric families."""
         configuration = self._router.configuration
         version = 0 if configuration is None else configuration.version
         yield from configuration_families(version, self._progress)
@@ -56,22 +56,22 @@
         yield from traffic_families({FEED_CHANNEL: FEED_TRAFFIC})
         yield from request_families(self._proxy.counts)
         yield gauge("requests_in_flight", "Requests being handled.", self._proxy.in_flight)
-        yield gauge("requests_waiting", "Requests that wait for weights.", self._demand.waiting)
+        yield gauge("requests_waiting", "Requests that wait for weights.", self._demand.waiting_count)
         yield gauge("client_connections", "Open client connections.", len(self._clients.connections))
         yield gauge("workers_known", "Workers in the view.", sum(1 for _ in self._view.registry))
         yield from invariant_families(INVARIANTS)
 
 
 def request_families(counts: RequestCounts) -> Iterator[Metric]:
-    """Requests by outcome, own refusals by cause, and attempts at workers."""
+    """Requests by outcome, the dispatcher's error responses by cause, and attempts at workers."""
     ended = (
-        Sample({"outcome": end.outcome.value, "status": end.status_class}, end.count)
-        for end in counts.ended()
+        Sample({"outcome": requests.outcome.value, "status": requests.status_class}, requests.count)
+        for requests in counts.ended_requests()
     )
-    refusals = (
+    error_responses = (
         Sample({"status": str(cause.status), "reason": cause.reason}, count)
-        for cause, count in counts.refusals.items()
+        for cause, count in counts.error_responses.items()
     )
     yield counters("requests", "Ended requests by outcome.", ("outcome", "status"), ended)
-    yield counters("refusals", "Own refusals by cause.", ("status", "reason"), refusals)
+    yield counters("refusals", "Own refusals by cause.", ("status", "reason"), error_responses)
     yield counter("attempts", "Attempts at workers.", counts.attempts)
--- a/rookwood/dataplane/pool.py
+++ b/rookwood/dataplane/pool.py
@@ -1,80 +1,83 @@
-"""What this dispatcher observes of each worker: its own requests there, the load told, recent failures."""
+"""What this dispatcher knows of each worker: its own requests there, the reported load, recent failures."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from rookwood.dataplane.backlog import WorkerBacklog
-from rookwood.dataplane.request_trace import ChosenWorker
+from rookwood.dataplane.backlog import PrefillBacklog
+from rookwood.dataplane.request_trace import AttemptedWorker
 
-LOAD_LIFETIME = 1.5  # seconds for which a load that a worker told counts
-SILENCE_LIMIT = 1.2  # seconds without a byte from a worker that has requests of this dispatcher
-FIRST_PENALTY = 0.4
-LAST_PENALTY = 4.0
-MISSING_LIFETIME = 1.0
+REPORTED_LOAD_LIFETIME = 1.5  # seconds for which a worker's reported load is used
+UNRESPONSIVE_LIMIT = 1.2  # seconds without a byte from a worker that has a request of this dispatcher
+MIN_PENALTY = 0.4  # seconds for which a worker is avoided after its first failure
+MAX_PENALTY = 4.0  # seconds
+MISSING_WEIGHTS_LIFETIME = 1.0  # seconds for which a worker's 421 response is remembered
 
 
 @dataclass(slots=True)
 class WorkerTraffic:
-    """One worker as this dispatcher sees it; times in seconds."""
+    """One worker as this dispatcher sees it; times in seconds of the event loop's clock."""
 
-    in_flight: int = 0
-    running: int = 0
+    in_flight: int = 0  # requests of this dispatcher
+    running: int = 0  # by the reported load, as are `waiting` and `slots`
     waiting: int = 0
     slots: int = 0
-    load_told: float = -1e9
-    heard: float = -1e9
-    answered: float = -1e9  # the last answer was whole, and its connection is kept
-    penalty: float = 0.0
+    load_reported_at: float = -1e9
+    last_received_at: float = -1e9
+    last_completed_at: float = -1e9  # end of the last successful attempt, whose connection is kept
+    penalty: float = 0.0  # seconds for which the worker is avoided after the last failure
     avoided_until: float = -1e9
-    missing: dict[tuple[str, str], float] = field(default_factory=dict)
-    backlog: WorkerBacklog = field(default_factory=WorkerBacklog)
+    missing_until: dict[tuple[str, str], float] = field(default_factory=dict)  # (model, adapter) -> time
+    backlog: PrefillBacklog = field(default_factory=PrefillBacklog)
 
-    def describe(self, worker: str, now: float) -> ChosenWorker:
-        """What is known of the worker, for the log of losses."""
-        return ChosenWorker(
+    def describe(self, worker: str, now: float) -> AttemptedWorker:
+        """The worker's state for the loss log."""
+        return AttemptedWorker(
             worker, self.in_flight, self.running, self.waiting, round(self.backlog.remaining(now), 3)
         )
 
-    def tell_load(self, running: int, waiting: int, slots: int, now: float) -> None:
-        """The worker told its load."""
+    def record_load(self, running: int, waiting: int, slots: int, now: float) -> None:
+        """Record the load that the worker reported."""
         self.running, self.waiting, self.slots = running, waiting, slots
-        self.load_told = now
+        self.load_reported_at = now
 
-    def silent(self, now: float, since: float) -> bool:
-        """Whether nothing came from the worker for a while, though a request waits there since `since`."""
-        return now - max(self.heard, since) > SILENCE_LIMIT
+    def is_unresponsive(self, now: float, since: float) -> bool:
+        """Whether no byte came from the worker for too long; a request has waited there since `since`."""
+        return now - max(self.last_received_at, since) > UNRESPONSIVE_LIMIT
 
-    def is_connected(self, now: float, idle_limit: float) -> bool:
-        """Whether a kept connection is likely to be free."""
-        return self.in_flight == 0 and now - self.answered < idle_limit
+    def has_idle_connection(self, now: float, idle_limit: float) -> bool:
+        """Whether the worker probably has an idle connection that is still open."""
+        return self.in_flight == 0 and now - self.last_completed_at < idle_limit
 
     def load(self, now: float) -> int:
-        """Requests there: this dispatcher's own, or the worker's recent count if that is higher."""
-        if now - self.load_told > LOAD_LIFETIME:
+        """Requests at the worker: this dispatcher's own, or the reported number if recent and higher."""
+        if now - self.load_reported_at > REPORTED_LOAD_LIFETIME:
             return self.in_flight
         return max(self.in_flight, self.running + self.waiting)
 
-    def failed(self, now: float) -> None:
-        """A connection or request failed there; avoid the worker for a while, longer each time."""
+    def record_failure(self, now: float) -> None:
+        """A connection or request failed: avoid the worker, for twice as long after each failure.
+
+        Failures while the worker is avoided do not count.
+        """
         if now < self.avoided_until:
             return
-        self.answered = -1e9
-        self.penalty = min(LAST_PENALTY, self.penalty * 2 or FIRST_PENALTY)
+        self.last_completed_at = -1e9
+        self.penalty = min(MAX_PENALTY, self.penalty * 2 or MIN_PENALTY)
         self.avoided_until = now + self.penalty
 
-    def succeeded(self) -> None:
-        """A request went well there."""
+    def record_success(self) -> None:
+        """A request succeeded: no longer avoid the worker."""
         self.penalty = 0.0
         self.avoided_until = -1e9
 
-    def lacks(self, model: str, adapter: str, now: float) -> None:
-        """The worker said that it does not hold these weights."""
-        self.missing[model, adapter] = now + MISSING_LIFETIME
+    def record_missing_weights(self, model: str, adapter: str, now: float) -> None:
+        """The worker answered that it does not hold these weights."""
+        self.missing_until[model, adapter] = now + MISSING_WEIGHTS_LIFETIME
 
-    def known_to_lack(self, model: str, adapter: str, now: float) -> bool:
-        """Whether the worker said so a moment ago."""
-        return self.missing.get((model, adapter), -1e9) > now
+    def is_missing_weights(self, model: str, adapter: str, now: float) -> bool:
+        """Whether the worker recently answered that it does not hold these weights."""
+        return self.missing_until.get((model, adapter), -1e9) > now
 
 
 class WorkerPool:
@@ -82,15 +85,15 @@
 
     def __init__(self) -> None:
         self._traffic: dict[str, WorkerTraffic] = {}
-        self.idle_limit = 0.0  # seconds for which an idle connection is used again; as its keeper tells
+        self.idle_limit = 0.0  # seconds for which an idle connection is reused; set from the HTTP client
 
     def get(self, worker: str) -> WorkerTraffic:
-        """The worker's traffic; made at first use."""
+        """The worker's traffic, created at first use."""
         traffic = self._traffic.get(worker)
         if traffic is None:
             traffic = self._traffic[worker] = WorkerTraffic()
         return traffic
 
-    def forget(self, worker: str) -> None:
-        """The worker is gone."""
+    def remove(self, worker: str) -> None:
+        """Drop a worker that is gone."""
         self._traffic.pop(worker, None)
--- a/rookwood/dataplane/program.py
+++ b/rookwood/dataplane/program.py
@@ -1,4 +1,4 @@
-"""The data plane's process: serves clients, follows the control plane's feeds, reports demand."""
+"""The process of a dispatcher: serves clients, subscribes to the control plane's feed and reports demand."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from rookwood.cluster.settings import NodeSettings, SettingsFile, settings_path
 from rookwood.cluster.tasks import cancel_tasks, repeat, run_until
 from rookwood.cluster.view import ClusterView
-from rookwood.dataplane.attempt_limits import WAIT_SHARE, AttemptLimits
+from rookwood.dataplane.attempt_limits import MAX_WAIT_SHARE, AttemptLimits
 from rookwood.dataplane.budget import RetryBudget
-from rookwood.dataplane.client_listener import ClientListener, turn_loop
+from rookwood.dataplane.client_listener import ClientListener, run_loop_turns
 from rookwood.dataplane.client_server import ClientServer
 from rookwood.dataplane.closing import INGRESS_NOTICE
 from rookwood.dataplane.control_links import TICK_INTERVAL, ControlLinks
@@ -39,47 +39,47 @@
 
 logger = logging.getLogger("rookwood")
 
-HOUSEKEEPING_INTERVAL = 1.0
-HEADER_LIMIT = 64 * 1024
-CLIENT_KEEPALIVE = 60.0
-CLOSING_MARGIN = 0.3  # seconds before the process is killed at which whatever is under way ends
-EXIT_MARGIN = 0.15  # seconds before the process is killed at which unread answers are given up
-FIRST_REQUEST_LIMIT = 0.4  # seconds for which a new connection's first request is waited for
-SHUTDOWN_LIMIT = 0.1  # seconds that the library gives to connections which are still open then
-DRAIN_POLL = 0.05
-TIMER_MARGIN = 0.005  # seconds by which timers go off later than the moment that they wait for
+HOUSEKEEPING_INTERVAL = 1.0  # seconds
+HEADER_LIMIT = 64 * 1024  # bytes
+CLIENT_KEEPALIVE = 60.0  # seconds for which an idle client connection is kept
+CLOSING_MARGIN = 0.3  # seconds before the process is killed at which requests in flight are ended
+EXIT_MARGIN = 0.15  # seconds before the process is killed at which unsent response bytes are given up
+FIRST_REQUEST_LIMIT = 0.4  # seconds for which the first request of a new connection is awaited
+SHUTDOWN_TIMEOUT = 0.1  # seconds that aiohttp grants the connections which are still open at the end
+DRAIN_POLL_INTERVAL = 0.05  # seconds
+TIMER_MARGIN = 0.005  # seconds added to a timer, so that the awaited time has surely passed when it fires
 
 
 class DataPlane:
-    """Wires the parts of a dispatcher together."""
+    """Connects the parts of a dispatcher, and handles the events of its links to control machines."""
 
     def __init__(self, settings: NodeSettings, options: Options | None = None) -> None:
         self._settings = settings
         self._options = options or Options()
-        self._file = SettingsFile(settings_path(), settings)
+        self._settings_file = SettingsFile(settings_path(), settings)
         self._stopping = asyncio.Event()
         self._pool = WorkerPool()
         self._mechanisms = self._options.mechanisms
         self._router = Router(settings.ip, settings.zone, self._pool, self._mechanisms)
-        self._demand = DemandMeter(self._weights_wanted)
+        self._demand = DemandMeter(self._report_waiting_demand)
         bounds = settings.bounds
         self._budget = RetryBudget(bounds.retry_ratio, bounds.retry_window, bounds.retry_slack)
         self._view = ClusterView(self._router.worker_changed, self._router.worker_gone)
         self._follower = ConfigurationFollower(
             settings.ip, self._router.configure, self._router.change_configuration
         )
-        self._wakeup: asyncio.TimerHandle | None = None
+        self._fetch_timer: asyncio.TimerHandle | None = None
         self._links: ControlLinks | None = None
-        self._greeted: Connection | None = None
+        self._last_report_connection: Connection | None = None
         self._proxy: Proxy | None = None
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish what is under way."""
+        """Serve until SIGTERM, then drain."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, self._keep_house)
+        loop.add_signal_handler(signal.SIGHUP, self._run_housekeeping)
         lag = LoopLag()
-        limits = AttemptLimits(WAIT_SHARE if self._mechanisms.has(Mechanism.WAIT_SHARE) else 1.0, lag)
+        limits = AttemptLimits(MAX_WAIT_SHARE if self._mechanisms.has(Mechanism.WAIT_SHARE) else 1.0, lag)
         client = UpstreamClient(self._settings.descriptors, self._mechanisms.has(Mechanism.KEEP_ALIVE))
         self._proxy = Proxy(
             self._router,
@@ -87,8 +87,8 @@
             self._demand,
             self._budget,
             client,
-            self._tell_work,
-            self._is_level,
+            self._report_work,
+            self._is_up_to_date,
             LossLog(self._options.log_losses),
             self._mechanisms,
             limits,
@@ -96,44 +96,44 @@
         self._links = ControlLinks(
             self._settings,
             self,
-            lambda: [seed.ip for seed in self._file.settings.seeds],
+            lambda: [seed.ip for seed in self._settings_file.settings.seeds],
             lambda: self._follower.position,
             lambda: lag.total,
         )
-        self._keep_links()
-        self._keep_house()
+        self._tick_links()
+        self._run_housekeeping()
         clients = self._client_server(self._proxy)
-        client_runner = web.ServerRunner(clients, handle_signals=False, shutdown_timeout=SHUTDOWN_LIMIT)
+        client_runner = web.ServerRunner(clients, handle_signals=False, shutdown_timeout=SHUTDOWN_TIMEOUT)
         listener = await self._serve_clients(client_runner)
         runners = [client_runner, await self._serve_readiness()]
         metrics = MetricsServer(
-            self._settings.ip, partial(self._load_metrics, self._proxy, self._links.links, clients), lag=lag
+            self._settings.ip, partial(self._metric_sources, self._proxy, self._links.links, clients), lag=lag
         )
         await metrics.start()
-        keepers = [
-            asyncio.create_task(repeat(HOUSEKEEPING_INTERVAL, self._keep_house)),
-            asyncio.create_task(repeat(TICK_INTERVAL, self._keep_links)),
+        background_tasks = [
+            asyncio.create_task(repeat(HOUSEKEEPING_INTERVAL, self._run_housekeeping)),
+            asyncio.create_task(repeat(TICK_INTERVAL, self._tick_links)),
         ]
         logger.info("data plane started")
-        await run_until(self._stopping, keepers)
-        await self._finish(self._proxy, clients, listener)
-        await cancel_tasks(keepers)
+        await run_until(self._stopping, background_tasks)
+        await self._drain(self._proxy, clients, listener)
+        await cancel_tasks(background_tasks)
         await metrics.stop()
         self._links.close()
-        if self._wakeup is not None:
-            self._wakeup.cancel()
+        if self._fetch_timer is not None:
+            self._fetch_timer.cancel()
         for runner in runners:
             await runner.cleanup()
         await client.close()
 
-    def _load_metrics(self, proxy: Proxy, links: LinkSet, clients: ClientServer) -> list[FamilySource]:
-        """What is told at a scrape; imported no sooner, see `MetricsServer`."""
+    def _metric_sources(self, proxy: Proxy, links: LinkSet, clients: ClientServer) -> list[FamilySource]:
+        """The metric families; their module is imported at the first scrape, see `MetricsServer`."""
         from rookwood.dataplane.metrics import DataPlaneMetrics
 
-        figures = DataPlaneMetrics(
+        metrics = DataPlaneMetrics(
             self._router, self._follower.progress, self._view, links, proxy, self._demand, clients
         )
-        return [figures.families]
+        return [metrics.families]
 
     @staticmethod
     def _client_server(proxy: Proxy) -> ClientServer:
@@ -154,143 +154,143 @@
 
     async def _serve_readiness(self) -> web.ServerRunner:
         server = web.Server(self._answer_readiness, access_log=None)
-        runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=SHUTDOWN_LIMIT)
+        runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=SHUTDOWN_TIMEOUT)
         await runner.setup()
         address = self._settings.listen["readyz"]
         await web.TCPSite(runner, address.ip, address.port).start()
         return runner
 
     async def _answer_readiness(self, request: web.BaseRequest) -> web.Response:
-        return web.Response(status=200 if self._ready() else 503)
+        return web.Response(status=200 if self._is_ready() else 503)
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         configured = self._router.configuration is not None and self._router.has_workers()
         return configured and not self._stopping.is_set()
 
-    async def _finish(self, proxy: Proxy, clients: ClientServer, listener: ClientListener) -> None:
-        """Serve until the platform noticed, then let what is under way end; answers are flushed."""
+    async def _drain(self, proxy: Proxy, clients: ClientServer, listener: ClientListener) -> None:
+        """Serve until the platform has noticed the shutdown, then finish requests and flush responses."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         killed_at = began + self._settings.bounds.grace
         proxy.drain(killed_at - CLOSING_MARGIN)
         logger.info("data plane drains", extra={"in_flight": proxy.in_flight})
         await asyncio.sleep(min(INGRESS_NOTICE, self._settings.bounds.grace - CLOSING_MARGIN))
-        await self._await_clients(clients, killed_at - CLOSING_MARGIN - FIRST_REQUEST_LIMIT)
+        await self._close_idle_clients(clients, killed_at - CLOSING_MARGIN - FIRST_REQUEST_LIMIT)
         await listener.stop()
-        await self._await_clients(clients, killed_at - EXIT_MARGIN)
+        await self._close_idle_clients(clients, killed_at - EXIT_MARGIN)
         logger.info("data plane ends", extra={"connections": len(clients.connections)})
 
     @staticmethod
-    async def _await_clients(clients: ClientServer, until: float) -> None:
-        """Close connections as they become idle, until none is left; each answer ends its own."""
+    async def _close_idle_clients(clients: ClientServer, until: float) -> None:
+        """Close idle connections until none is left; a response closes the connection that it was sent on."""
         while clients.connections and asyncio.get_running_loop().time() < until:
-            await turn_loop()
+            await run_loop_turns()
             clients.close_idle(FIRST_REQUEST_LIMIT)
-            await asyncio.sleep(DRAIN_POLL)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
 
-    def _keep_house(self) -> None:
-        """Periodic work; also done at SIGHUP, which tells of a changed settings file."""
-        self._file.refresh()
+    def _run_housekeeping(self) -> None:
+        """Periodic work; SIGHUP, sent after a change of the settings file, runs it at once."""
+        self._settings_file.refresh()
         now = asyncio.get_running_loop().time()
         self._view.drop_silent(now)
         self._follower.progress.check(self._settings.bounds.apply)
-        self._budget.dispatchers = self._view.dispatchers()
+        self._budget.dispatcher_count = self._view.dispatchers()
         self._router.step_tables(now)
         self._report_demand(now)
 
-    def _keep_links(self) -> None:
-        """See which control machine feeds this dispatcher, and whether it is to be another one."""
+    def _tick_links(self) -> None:
+        """Choose the control machine that feeds this dispatcher, and update the links."""
         if self._links is not None:
             now = asyncio.get_running_loop().time()
             self._links.tick(now, self._follower.confirmed, self._view.primary(), self._view.members())
 
     def _report_demand(self, now: float) -> None:
-        """Tell of all demand."""
-        reports = self._demand.reports(now)
-        if reports:
-            wanted = self._router.tables.wanted()
-            self._report(DemandReport(self._settings.ip, reports, wanted, complete=True))
-
-    def _weights_wanted(self, key: ServiceKey) -> None:
-        """The first request waits for weights: tell of it at once."""
+        """Report the demand for all keys."""
+        demands = self._demand.all_demand(now)
+        if demands:
+            wanted = self._router.tables.wanted_weights()
+            self._report(DemandReport(self._settings.ip, demands, wanted, complete=True))
+
+    def _report_waiting_demand(self, key: ServiceKey) -> None:
+        """Report a key for which a first request waits, without delay."""
         now = asyncio.get_running_loop().time()
-        waiting = (self._demand.report(key, now),)
+        waiting = (self._demand.demand_for(key, now),)
         self._report(DemandReport(self._settings.ip, waiting, (), complete=False))
 
-    def _tell_work(self, notice: WorkNotice) -> None:
+    def _report_work(self, notice: WorkNotice) -> None:
         self._report(WorkNotices((notice,)))
 
     def _report(self, message: DemandReport | WorkNotices) -> None:
-        """Send a message to whoever passes it on to the primary, or to the primary."""
+        """Send a message to the feeding machine, which relays it to the primary, or to the primary itself."""
         connection = self._links.reporting(self._view.primary()) if self._links is not None else None
         if connection is not None:
             connection.send(message)
 
-    def _greet_listener(self, now: float) -> None:
-        """Whoever takes the reports from now on knows of no demand: requests may be waiting already."""
+    def _report_to_new_connection(self, now: float) -> None:
+        """Report all demand over a new report connection: its peer knows of no requests that wait already."""
         connection = self._links.reporting(self._view.primary()) if self._links is not None else None
-        if connection is not None and connection is not self._greeted:
-            self._greeted = connection
+        if connection is not None and connection is not self._last_report_connection:
+            self._last_report_connection = connection
             self._report_demand(now)
 
     def linked(self, peer: str, connection: Connection) -> None:
-        """A feed is open."""
+        """A link to a control machine was opened."""
         self._view.linked(peer)
 
     def unlinked(self, peer: str) -> None:
-        """A feed ended."""
+        """A link to a control machine ended."""
         now = asyncio.get_running_loop().time()
         self._view.unlinked(peer, now)
         self._follower.unlinked(peer)
         if self._links is not None:
             self._links.ended(peer, now)
-            self._keep_links()
-        self._ask_for_configuration()
+            self._tick_links()
+        self._fetch_configuration()
 
     def received(self, peer: str, message: Message) -> None:
-        """A feed brought a message."""
+        """A message arrived over a link."""
         now = asyncio.get_running_loop().time()
         if self._links is not None:
             self._links.heard(peer, message, now)
         if isinstance(message, WorkNotices):
-            self._take_notices(peer, message, now)
+            self._record_notices(peer, message, now)
             return
         self._view.received(peer, message, now)
         self._follower.received(peer, message, now)
         if isinstance(message, Status):
-            self._keep_links()
-        self._greet_listener(now)
-        self._ask_for_configuration()
+            self._tick_links()
+        self._report_to_new_connection(now)
+        self._fetch_configuration()
 
-    def _take_notices(self, peer: str, message: WorkNotices, now: float) -> None:
+    def _record_notices(self, peer: str, message: WorkNotices, now: float) -> None:
         if self._links is not None and self._links.brings_notices(peer):
             for notice in message.notices:
                 self._router.note_told(notice, now)
 
-    def _ask_for_configuration(self) -> None:
-        """Send the request that is due, and come back when the next one may be."""
+    def _fetch_configuration(self) -> None:
+        """Send the fetch request that is due, and set a timer for the next one."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        self._note_answer_under_way(now)
-        overdue = self._follower.overdue(now)
-        if overdue is not None and self._links is not None:
-            self._links.overdue(overdue, now)
+        self._extend_response_timeout(now)
+        late_peer = self._follower.overdue(now)
+        if late_peer is not None and self._links is not None:
+            self._links.overdue(late_peer, now)
         request = self._follower.next_request(now)
         if request is not None:
             self._send_to(request.peer, request.message)
-        if self._wakeup is not None:
-            self._wakeup.cancel()
+        if self._fetch_timer is not None:
+            self._fetch_timer.cancel()
         due = self._follower.next_wakeup(now)
-        self._wakeup = loop.call_at(due + TIMER_MARGIN, self._ask_for_configuration) if due else None
+        self._fetch_timer = loop.call_at(due + TIMER_MARGIN, self._fetch_configuration) if due else None
 
-    def _note_answer_under_way(self, now: float) -> None:
-        """A large answer over a thin link is no reason to ask another machine for the same."""
+    def _extend_response_timeout(self, now: float) -> None:
+        """Restart the timeout while a response arrives, since a large one may be slow on a thin link."""
         peer = self._follower.asked
         connection = self._links.connection(peer) if self._links and peer else None
         if peer is not None and connection is not None and connection.is_receiving(now, ANSWER_LIMIT):
             self._follower.answering(peer, now)
 
-    def _is_level(self) -> bool:
+    def _is_up_to_date(self) -> bool:
         return self._follower.is_level(asyncio.get_running_loop().time())
 
     def _send_to(self, peer: str, message: Message) -> None:
--- a/rookwood/dataplane/proxy.py
+++ b/rookwood/dataplane/proxy.py
@@ -1,4 +1,4 @@
-"""Handles one client request from its head to the end of its answer."""
+"""Handles a client request from its head to the end of its response."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 from rookwood.cluster.messages import WorkNotice
 from rookwood.dataplane.answers import (
+    DEFAULT_RETRY_AFTER,
+    ERROR_RESPONSE_KEY,
     OUTCOME_KEY,
-    REFUSAL_KEY,
-    RETRY_SOON,
-    Refusal,
+    ErrorResponse,
     RequestProgress,
     Rerouted,
+    close_incomplete_response,
     complete_response,
-    end_incomplete,
+    error_after_attempt,
     read_body,
-    refusal_for,
 )
 from rookwood.dataplane.attempt_limits import AttemptLimits
 from rookwood.dataplane.attempts import AttemptSender
@@ -39,12 +39,12 @@
 
 logger = logging.getLogger("rookwood")
 
-DEFAULT_BODY_LIMIT = 4 * 1024 * 1024
-RETRY_ELSEWHERE = 0.1  # seconds; this process ends, other dispatchers serve on
+DEFAULT_BODY_LIMIT = 4 * 1024 * 1024  # bytes
+SHUTDOWN_RETRY_AFTER = 0.1  # seconds; soon, since other dispatchers go on serving
 
 
 class Proxy:
-    """Forwards requests to workers."""
+    """Routes client requests and forwards them to workers, with retries."""
 
     def __init__(
         self,
@@ -59,157 +59,169 @@
         mechanisms: Mechanisms = ALL_MECHANISMS,
         limits: AttemptLimits | None = None,
     ) -> None:
-        self._losses = losses or LossLog(enabled=False)
+        self._loss_log = losses or LossLog(enabled=False)
         self._router = router
         self._demand = demand
         self._budget = budget
         self.in_flight = 0
         self.counts = RequestCounts()
         self._limits = limits or AttemptLimits()
-        self._repeats = RepeatRules(router, budget)
+        self._retry_rules = RepeatRules(router, budget)
         self._matcher = RouteMatcher(router, is_level)
         self._search = WorkerSearch(router, self._matcher, demand, self._limits, mechanisms)
         self._sender = AttemptSender(
-            router, pool, demand, client, self._repeats, self._limits, self.counts, mechanisms, on_work
+            router, pool, demand, client, self._retry_rules, self._limits, self.counts, mechanisms, on_work
         )
 
     @property
     def draining(self) -> bool:
         """Whether the process is about to end."""
-        return self._limits.closing.known
+        return self._limits.closing.is_known
 
     def drain(self, closes_at: float) -> None:
-        """Let connections end after their next answer, and whatever is under way at `closes_at`.
+        """Close each connection after its next response, and end the requests in flight at `closes_at`.
 
-        What can't be expected to end by then is refused from now on.
+        From now on, requests that are not expected to end by then are rejected.
         """
         self._limits.closing.set(closes_at, now())
-        self._router.notify()
+        self._router.notify_change()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request and record how it ended."""
         self.in_flight += 1
         progress = RequestProgress(now())
         try:
             response = await self._handle(request, progress)
             if self.draining:
                 response.force_close()
-            self._count_answer(response, progress)
+            self._record_response(response, progress)
             return response
         except (asyncio.CancelledError, OSError, web.RequestPayloadError):
-            self._count_end(RequestOutcome.ABANDONED, progress)
+            self._record_end_without_response(RequestOutcome.ABANDONED, progress)
             raise
         except Exception:
-            self._count_end(RequestOutcome.FAILED, progress)
+            self._record_end_without_response(RequestOutcome.FAILED, progress)
             raise
         finally:
             self.in_flight -= 1
 
-    def _count_answer(self, response: web.StreamResponse, progress: RequestProgress) -> None:
-        refusal = response.get(REFUSAL_KEY)
-        if refusal is not None:
-            self.counts.refuse(refusal.status, refusal.reason)
-            self._note_loss(RequestOutcome.REFUSED, progress, refusal.reason)
+    def _record_response(self, response: web.StreamResponse, progress: RequestProgress) -> None:
+        error_response = response.get(ERROR_RESPONSE_KEY)
+        if error_response is not None:
+            self.counts.refuse(error_response.status, error_response.reason)
+            self._log_loss(RequestOutcome.REFUSED, progress, error_response.reason)
         else:
             outcome = response.get(OUTCOME_KEY, RequestOutcome.ANSWERED)
             self.counts.end(outcome, response.status)
-            self._note_loss(outcome, progress, progress.broken)
+            self._log_loss(outcome, progress, progress.loss_reason)
 
-    def _count_end(self, outcome: RequestOutcome, progress: RequestProgress) -> None:
+    def _record_end_without_response(self, outcome: RequestOutcome, progress: RequestProgress) -> None:
         self.counts.end(outcome)
-        self._note_loss(outcome, progress, progress.broken)
+        self._log_loss(outcome, progress, progress.loss_reason)
 
-    def _note_loss(self, outcome: RequestOutcome, progress: RequestProgress, why: str) -> None:
-        self._losses.ended(progress.routed, progress.trace, outcome, why, now())
+    def _log_loss(self, outcome: RequestOutcome, progress: RequestProgress, reason: str) -> None:
+        self._loss_log.record_end(progress.routed, progress.trace, outcome, reason, now())
 
     async def _handle(self, request: web.BaseRequest, progress: RequestProgress) -> web.StreamResponse:
-        """Answer a request, at the latest when the process ends."""
+        """Respond to a request, at the latest at the closing time of the process."""
         scope = asyncio.timeout(None)
         try:
             async with scope:
                 with self._limits.closing.register(scope):
-                    return await self._route(request, progress)
+                    return await self._route_and_forward(request, progress)
         except TimeoutError:
             if not scope.expired():
                 raise
-        return self._end_unfinished(request, progress)
+        return self._end_at_shutdown(request, progress)
 
-    def _end_unfinished(self, client: web.BaseRequest, progress: RequestProgress) -> web.StreamResponse:
-        """The process ends before the request does."""
+    def _end_at_shutdown(self, client: web.BaseRequest, progress: RequestProgress) -> web.StreamResponse:
+        """The response to a request that is still in flight at the closing time."""
         if progress.response is not None:
-            return self._cut(client, progress.response)
-        if progress.sends:
-            return Refusal(502, "the dispatcher ends before the worker's answer").response()
-        return Refusal(503, "the dispatcher ends", RETRY_ELSEWHERE).response()
+            return self._cut_response(client, progress.response)
+        if progress.attempts:
+            return ErrorResponse(502, "the dispatcher ends before the worker's answer").build()
+        return ErrorResponse(503, "the dispatcher ends", SHUTDOWN_RETRY_AFTER).build()
 
-    async def _route(self, request: web.BaseRequest, progress: RequestProgress) -> web.StreamResponse:
+    async def _route_and_forward(
+        self, request: web.BaseRequest, progress: RequestProgress
+    ) -> web.StreamResponse:
         arrived = now()
         configuration = await self._matcher.await_configuration(request, arrived)
         if configuration is None:
-            return Refusal(503, "no configuration yet", RETRY_SOON).response()
+            return ErrorResponse(503, "no configuration yet", DEFAULT_RETRY_AFTER).build()
         body = await read_body(request, configuration.limits.body_bytes or DEFAULT_BODY_LIMIT)
         if body is None:
-            return Refusal(413, "body too large").response()
+            return ErrorResponse(413, "body too large").build()
         routed = await self._matcher.match(request, body, arrived)
-        if isinstance(routed, Refusal):
-            return routed.response()
+        if isinstance(routed, ErrorResponse):
+            return routed.build()
         progress.routed = routed
-        self._search.observe(routed, progress)
-        progress.trace.routed = now()
-        self._count(routed)
-        answer = await self._forward(request, routed, progress)
-        while isinstance(answer, Rerouted):
+        self._search.record_first_try(routed, progress)
+        progress.trace.routed_at = now()
+        self._record_demand(routed)
+        response = await self._forward(request, routed, progress)
+        while isinstance(response, Rerouted):
             rerouted = await self._matcher.match(request, body, arrived)
-            if isinstance(rerouted, Refusal):
-                return rerouted.response()
+            if isinstance(rerouted, ErrorResponse):
+                return rerouted.build()
             if (rerouted.service, rerouted.key) != (routed.service, routed.key):
-                self._count(rerouted)
+                self._record_demand(rerouted)
             routed = progress.routed = rerouted
-            answer = await self._forward(request, routed, progress)
-        return answer
+            response = await self._forward(request, routed, progress)
+        return response
 
-    def _count(self, request: RoutedRequest) -> None:
-        """Count a request for its service, and for the weights that it needs."""
-        self._budget.request(request.service, request.arrived)
+    def _record_demand(self, request: RoutedRequest) -> None:
+        """Count a request for its service's retry budget, and as demand for its weights."""
+        self._budget.record_request(request.service, request.arrived)
         if request.key is not None:
-            self._demand.request(request.key, request.arrived)
+            self._demand.record_request(request.key, request.arrived)
 
     async def _forward(
         self, client: web.BaseRequest, request: RoutedRequest, progress: RequestProgress
     ) -> web.StreamResponse | Rerouted:
         while True:
-            worker = await self._search.find(client, request, progress)
+            found = await self._search.find(client, request, progress)
             if self._matcher.is_rerouted(client, request, progress):
                 return Rerouted()
-            if progress.response is None and not self._limits.ends_in_time(request, now()):
-                worker = Refusal(503, "the dispatcher ends", RETRY_ELSEWHERE)
-            if isinstance(worker, Refusal):
-                return self._give_up(client, request, progress, worker)
-            outcome = await self._sender.send(client, request, worker, progress)
+            if progress.response is None and not self._limits.can_end_in_time(request, now()):
+                found = ErrorResponse(503, "the dispatcher ends", SHUTDOWN_RETRY_AFTER)
+            if isinstance(found, ErrorResponse):
+                return self._give_up(client, request, progress, found)
+            outcome = await self._sender.send(client, request, found, progress)
             if isinstance(outcome, web.StreamResponse):
                 return outcome
-            if not self._repeats.may_repeat(request, progress, outcome, now()):
-                return self._give_up(client, request, progress, refusal_for(request, progress, outcome))
+            if not self._retry_rules.may_repeat(request, progress, outcome, now()):
+                error = error_after_attempt(request, progress, outcome)
+                return self._give_up(client, request, progress, error)
 
     def _give_up(
-        self, client: web.BaseRequest, request: RoutedRequest, progress: RequestProgress, refusal: Refusal
+        self,
+        client: web.BaseRequest,
+        request: RoutedRequest,
+        progress: RequestProgress,
+        error: ErrorResponse,
     ) -> web.StreamResponse:
-        """The final answer: a refusal, or the end of a stream that can't be finished."""
+        """The final response without a further attempt.
+
+        The client gets the end of a stream that cannot be finished, else the last response that a retry was
+        to improve on, else `error`. A request that may have run and must not run twice gets no 503, because
+        that status promises that it has not run.
+        """
         if progress.response is not None:
-            return self._cut(client, progress.response)
-        if progress.last_answer is not None:
-            return complete_response(progress.last_answer)
-        if progress.may_have_run and not request.repeatable and refusal.status == 503:
-            refusal = Refusal(502, "the worker's answer was lost")
+            return self._cut_response(client, progress.response)
+        if progress.last_response is not None:
+            return complete_response(progress.last_response)
+        if progress.may_have_run and not request.repeatable and error.status == 503:
+            error = ErrorResponse(502, "the worker's answer was lost")
         logger.info(
             "request given up",
-            extra={"request": request.id, "status": refusal.status, "reason": refusal.reason},
+            extra={"request": request.id, "status": error.status, "reason": error.reason},
         )
-        return refusal.response()
+        return error.build()
 
     @staticmethod
-    def _cut(client: web.BaseRequest, response: web.StreamResponse) -> web.StreamResponse:
-        """End an answer that can't be finished so that it doesn't look whole."""
+    def _cut_response(client: web.BaseRequest, response: web.StreamResponse) -> web.StreamResponse:
+        """End a response that cannot be finished so that it does not look complete."""
         response[OUTCOME_KEY] = RequestOutcome.CUT
-        end_incomplete(client)
+        close_incomplete_response(client)
         return response
--- a/rookwood/dataplane/repeats.py
+++ b/rookwood/dataplane/repeats.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent once more, to another worker."""
+"""Rules for retries: whether a request may be sent to another worker after an attempt."""
 
 from __future__ import annotations
 
@@ -9,29 +9,36 @@
 from rookwood.dataplane.upstream import Rejected
 from rookwood.httpclient.outcomes import Broken, NotSent
 
-MINIMUM_ATTEMPT = 0.02  # seconds that must be left for an attempt to be worth sending
-MAXIMUM_CONNECTION_FAILURES = 3
+MIN_ATTEMPT_TIME = 0.02  # seconds to the deadline below which an attempt is not worth sending
+MAX_CONNECTION_FAILURES = 3
 
 
 class RepeatRules:
-    """Decides about repeats; each that reaches a worker again is taken from the retry budget."""
+    """Decides whether a request may be retried.
+
+    A retry after an attempt that reached a worker counts against the retry budget; after a failed connection
+    it does not.
+    """
 
     def __init__(self, router: Router, budget: RetryBudget) -> None:
         self._router = router
         self._budget = budget
 
-    def may_move(self, request: RoutedRequest, progress: RequestProgress, now: float) -> bool:
-        """Whether a request at a silent worker may go to another one; takes the repeat from the budget."""
-        if not request.repeatable or progress.passed_without_id:
+    def may_leave_worker(self, request: RoutedRequest, progress: RequestProgress, now: float) -> bool:
+        """Whether a request may leave an unresponsive worker for another one.
+
+        If so, the retry is counted against the budget here, and `may_repeat` will grant it.
+        """
+        if not request.repeatable or progress.forwarded_without_id:
             return False
-        if progress.sends >= request.route.tries:
+        if progress.attempts >= request.route.tries:
             return False
-        if request.deadline - now < MINIMUM_ATTEMPT:
+        if request.deadline - now < MIN_ATTEMPT_TIME:
             return False
-        if self._router.choose(request, progress.excluded, now) is None:
+        if self._router.find_worker(request, progress.excluded_workers, now) is None:
             return False
-        progress.repeat_granted = self._budget.take(request.service, now)
-        return progress.repeat_granted
+        progress.retry_granted = self._budget.try_spend(request.service, now)
+        return progress.retry_granted
 
     def may_repeat(
         self,
@@ -40,21 +47,25 @@
         outcome: NotSent | Rejected | Broken,
         now: float,
     ) -> bool:
-        """Whether another worker may be tried after this outcome."""
-        if request.deadline - now < MINIMUM_ATTEMPT:
+        """Whether another attempt may follow this outcome.
+
+        A request that may have run is retried only if it is repeatable. A worker that could not be reached
+        does not count as an attempt.
+        """
+        if request.deadline - now < MIN_ATTEMPT_TIME:
             progress.may_have_run = progress.may_have_run or isinstance(outcome, Broken)
             return False
         if isinstance(outcome, NotSent):
-            progress.sends -= 1
+            progress.attempts -= 1
             progress.connection_failures += 1
-            return progress.connection_failures < MAXIMUM_CONNECTION_FAILURES
+            return progress.connection_failures < MAX_CONNECTION_FAILURES
         if isinstance(outcome, Broken):
             progress.may_have_run = True
-            if not request.repeatable or progress.passed_without_id:
+            if not request.repeatable or progress.forwarded_without_id:
                 return False
-        if progress.repeat_granted:
-            progress.repeat_granted = False
+        if progress.retry_granted:
+            progress.retry_granted = False
             return True
-        if progress.sends >= request.route.tries:
+        if progress.attempts >= request.route.tries:
             return False
-        return self._budget.take(request.service, now)
+        return self._budget.try_spend(request.service, now)
--- a/rookwood/dataplane/request_counts.py
+++ b/rookwood/dataplane/request_counts.py
@@ -1,4 +1,4 @@
-"""Counts of client requests: how they ended, and why this dispatcher refused some itself; no I/O."""
+"""Counts of client requests by outcome, and of the dispatcher's error responses by cause; performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-STATUS_CLASS = 100
-NO_ANSWER = 0
+STATUS_CLASS_SIZE = 100
+NO_RESPONSE = 0
 
 
 class RequestOutcome(StrEnum):
     """How a request ended."""
 
-    ANSWERED = "answered"  # a worker's answer was passed on
-    REFUSED = "refused"  # an answer of the dispatcher's own
-    CUT = "cut"  # a stream that could not be finished
-    ABANDONED = "abandoned"  # the client left, or the process ended, before the answer did
-    FAILED = "failed"  # a defect
+    ANSWERED = "answered"  # a worker's response was forwarded completely
+    REFUSED = "refused"  # the dispatcher sent an error response of its own
+    CUT = "cut"  # a stream could not be finished
+    ABANDONED = "abandoned"  # the client left, or the process ended, before the end of the response
+    FAILED = "failed"  # an unexpected exception, which is a defect of the dispatcher
 
 
 @dataclass(frozen=True, slots=True)
 class EndedRequests:
-    """How many requests ended in one way, with the class of the answer's status, such as `2xx`.
+    """The number of requests with one outcome and one class of response status, such as `2xx`.
 
-    The class is empty where there was no answer.
+    The class is empty if there was no response.
     """
 
     outcome: RequestOutcome
@@ -34,8 +34,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RefusalCause:
-    """Status and reason of an answer of the dispatcher's own."""
+class ErrorResponseCause:
+    """The status and reason of an error response of the dispatcher."""
 
     status: int
     reason: str
@@ -46,20 +46,20 @@
 
     def __init__(self) -> None:
         self._by_status: dict[str, Counter[int]] = {outcome.value: Counter() for outcome in RequestOutcome}
-        self.refusals: Counter[RefusalCause] = Counter()
+        self.error_responses: Counter[ErrorResponseCause] = Counter()
         self.attempts = 0
 
-    def end(self, outcome: RequestOutcome, status: int = NO_ANSWER) -> None:
-        """A request ended, with this status if it was answered."""
+    def end(self, outcome: RequestOutcome, status: int = NO_RESPONSE) -> None:
+        """Count a request that ended, with the status of its response if it had one."""
         self._by_status[outcome.value][status] += 1
 
     def refuse(self, status: int, reason: str) -> None:
-        """A request was given an answer of the dispatcher's own."""
-        self.refusals[RefusalCause(status, reason)] += 1
+        """Count a request that got an error response from the dispatcher."""
+        self.error_responses[ErrorResponseCause(status, reason)] += 1
         self.end(RequestOutcome.REFUSED, status)
 
-    def ended(self) -> Iterator[EndedRequests]:
-        """All requests that ended, by outcome and class of status."""
+    def ended_requests(self) -> Iterator[EndedRequests]:
+        """The counts of ended requests by outcome and status class."""
         for outcome in RequestOutcome:
             classes: Counter[str] = Counter()
             for status, count in self._by_status[outcome.value].items():
@@ -69,5 +69,5 @@
 
 
 def status_class(status: int) -> str:
-    """The class of a status, such as `2xx`; empty for no answer."""
-    return "" if status == NO_ANSWER else f"{status // STATUS_CLASS}xx"
+    """The class of a status, such as `2xx`; empty for no response."""
+    return "" if status == NO_RESPONSE else f"{status // STATUS_CLASS_SIZE}xx"
--- a/rookwood/dataplane/requests.py
+++ b/rookwood/dataplane/requests.py
@@ -1,4 +1,4 @@
-"""A client's request after its head was read: what routing needs to know of it."""
+"""A client's request with the values that routing reads from its headers."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt; `identity` stands for the weights, this part and all parts before it."""
+    """A part of a prompt; `prefix_id` is a hash of the weights, this part and all parts before it.
 
-    identity: int
+    A worker that has prefilled a part with the same id has the whole prefix in its cache.
+    """
+
+    prefix_id: int
     tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """A request with its route, service and weights. Times are in seconds of the steady clock."""
+    """A request with its route, service and weights. Times are in seconds of the event loop's clock."""
 
     id: str
     method: str
@@ -38,16 +41,16 @@
     body: bytes
     arrived: float
     deadline: float
-    told_left: float | None = None  # seconds; what the client told, also beyond the route's limit
+    stated_time_left: float | None = None  # seconds in X-Time-Left, even if longer than the route's timeout
 
     @property
     def repeatable(self) -> bool:
-        """Whether the request may run more than once."""
+        """Whether the request may run more than once, as its route says."""
         return self.route.repeatable
 
 
-def read_parts(weights: str, text: str) -> tuple[PromptPart, ...]:
-    """Read X-Prompt-Prefix for the weights in X-Model; parts that can't be read end the list."""
+def read_prompt_parts(weights: str, text: str) -> tuple[PromptPart, ...]:
+    """Read X-Prompt-Prefix for the weights in X-Model, up to the first malformed part."""
     parts: list[PromptPart] = []
     chain = weights
     for item in text.split(","):
@@ -60,7 +63,7 @@
     return tuple(parts)
 
 
-def read_key(service: str, text: str | None) -> ServiceKey | None:
+def read_weights_key(service: str, text: str | None) -> ServiceKey | None:
     """Read X-Model: a model, or model/adapter."""
     if not text:
         return None
@@ -69,7 +72,7 @@
 
 
 def read_time_left(text: str | None) -> float | None:
-    """Read X-Time-Left, in seconds."""
+    """Read X-Time-Left, which is in milliseconds, as seconds; None if missing or malformed."""
     try:
         return max(0.0, float(text) / MILLISECONDS) if text else None
     except ValueError:
@@ -79,21 +82,21 @@
 def build_request(
     request: web.BaseRequest, route: Route, body: bytes, service: str, arrived: float
 ) -> RoutedRequest:
-    """Combine a client's request with its route."""
+    """Combine a client's request with its route, and set its deadline."""
     headers = request.headers
     limit = route.timeout_ms / MILLISECONDS
-    left = read_time_left(headers.get(names.TIME_LEFT))
+    time_left = read_time_left(headers.get(names.TIME_LEFT))
     return RoutedRequest(
         id=headers.get(names.REQUEST_ID, ""),
         method=request.method,
         target=request.raw_path,
         route=route,
         service=service,
-        key=read_key(service, headers.get(names.MODEL)),
-        parts=read_parts(headers.get(names.MODEL, ""), headers.get(names.PROMPT_PREFIX, "")),
+        key=read_weights_key(service, headers.get(names.MODEL)),
+        parts=read_prompt_parts(headers.get(names.MODEL, ""), headers.get(names.PROMPT_PREFIX, "")),
         headers=names.end_to_end(headers),
         body=body,
         arrived=arrived,
-        deadline=arrived + (limit if left is None else min(limit, left)),
-        told_left=left,
+        deadline=arrived + (limit if time_left is None else min(limit, time_left)),
+        stated_time_left=time_left,
     )
--- a/rookwood/dataplane/route_matching.py
+++ b/rookwood/dataplane/route_matching.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request by the configuration in force, and tells when another one takes its place."""
+"""Finds the route of a request in the configuration in force, also after a change of the configuration."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from rookwood.clusterconfig.document import Configuration
 from rookwood.dataplane import headers as names
-from rookwood.dataplane.answers import RETRY_SOON, Refusal, RequestProgress
-from rookwood.dataplane.attempt_limits import WAIT_SHARE
+from rookwood.dataplane.answers import DEFAULT_RETRY_AFTER, ErrorResponse, RequestProgress
+from rookwood.dataplane.attempt_limits import MAX_WAIT_SHARE
 from rookwood.dataplane.clock import now
 from rookwood.dataplane.requests import RoutedRequest, build_request, read_time_left
 from rookwood.dataplane.router import Router
@@ -22,42 +22,44 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteMatcher:
-    """Routes requests; `_is_level` tells whether this process knows to have the newest configuration."""
+    """Routes requests; `_is_up_to_date` says whether this process surely has the newest configuration."""
 
     _router: Router
-    _is_level: Callable[[], bool]
+    _is_up_to_date: Callable[[], bool]
     _splitter: RouteSplitter = field(default_factory=RouteSplitter)
 
-    async def match(self, request: web.BaseRequest, body: bytes, arrived: float) -> RoutedRequest | Refusal:
+    async def match(
+        self, request: web.BaseRequest, body: bytes, arrived: float
+    ) -> RoutedRequest | ErrorResponse:
         """Route a request by the configuration in force.
 
-        That there is no route is certain only where this process knows to have the newest configuration.
-        One that is behind waits for it a little.
+        A dispatcher answers 404 only if it is up to date. Otherwise it waits for a newer configuration for a
+        while, and then rejects the request.
         """
-        until = now() + ROUTE_PATIENCE
+        wait_deadline = now() + ROUTE_PATIENCE
         while (route := self._router.match(request.host, request.path)) is None:
-            if self._is_level():
-                return Refusal(404, "no route")
-            if not await self._router.wait_change(until) and not self._is_level():
-                return Refusal(503, "no route, by a configuration that may be old", RETRY_SOON)
+            if self._is_up_to_date():
+                return ErrorResponse(404, "no route")
+            if not await self._router.wait_change(wait_deadline) and not self._is_up_to_date():
+                return ErrorResponse(503, "no route, by a configuration that may be old", DEFAULT_RETRY_AFTER)
         if not request.headers.get(names.REQUEST_ID):
-            return Refusal(400, f"{names.REQUEST_ID} is missing")
+            return ErrorResponse(400, f"{names.REQUEST_ID} is missing")
         return build_request(request, route, body, self._splitter.choose(route), arrived)
 
     def is_rerouted(self, client: web.BaseRequest, request: RoutedRequest, progress: RequestProgress) -> bool:
-        """Whether a request that was never sent would be routed otherwise now.
+        """Whether a request that was never sent to a worker now has another route.
 
-        Routes that a change leaves alone stay the same objects.
+        Routes are compared by identity: a change keeps the objects of the routes that it does not touch.
         """
-        if progress.sends or progress.may_have_run or progress.response is not None:
+        if progress.attempts or progress.may_have_run or progress.response is not None:
             return False
         return self._router.match(client.host, client.path) is not request.route
 
     async def await_configuration(self, request: web.BaseRequest, arrived: float) -> Configuration | None:
-        """The configuration; a process that just started waits for it a little."""
-        left = read_time_left(request.headers.get(names.TIME_LEFT)) or 0.0
-        until = arrived + min(STARTUP_PATIENCE, WAIT_SHARE * left)
+        """The configuration in force; waits for a while for the first one, and returns None after that."""
+        time_left = read_time_left(request.headers.get(names.TIME_LEFT)) or 0.0
+        wait_deadline = arrived + min(STARTUP_PATIENCE, MAX_WAIT_SHARE * time_left)
         while self._router.configuration is None:
-            if not await self._router.wait_change(until):
+            if not await self._router.wait_change(wait_deadline):
                 return None
         return self._router.configuration
--- a/rookwood/dataplane/router.py
+++ b/rookwood/dataplane/router.py
@@ -1,4 +1,4 @@
-"""Chooses a worker for each request from what the cluster's view and this dispatcher's traffic tell."""
+"""Chooses a worker for each request, by the cluster's view and this dispatcher's own traffic."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from rookwood.clusterconfig.configuration_store import Applied, ApplyOutcome, ConfigurationStore
 from rookwood.clusterconfig.document import Configuration, Model, Route
 from rookwood.clusterconfig.items import ItemChanges
-from rookwood.dataplane.backlog import ReadingSpeed, WorkerBacklog
+from rookwood.dataplane.backlog import PrefillBacklog, PrefillSpeed
 from rookwood.dataplane.demand import ServiceKey
 from rookwood.dataplane.pool import WorkerPool, WorkerTraffic
 from rookwood.dataplane.requests import RoutedRequest
-from rookwood.dataplane.tables import TableKeeper
+from rookwood.dataplane.tables import ServiceTables
 from rookwood.mechanisms import ALL_MECHANISMS, Mechanism, Mechanisms
 from rookwood.modelplacement.selection import Candidate, choose_worker
 from rookwood.modelplacement.types import WeightsKey
 
 logger = logging.getLogger("rookwood")
 
-NO_KEY = WeightsKey("")
+NO_KEY = WeightsKey("")  # for requests that need no weights
 
 
 class Router:
-    """The configuration in force and the workers of each service."""
+    """Holds the configuration in force and the workers of each service, and finds workers for requests."""
 
     def __init__(
         self, identity: str, zone: str, pool: WorkerPool, mechanisms: Mechanisms = ALL_MECHANISMS
@@ -42,50 +42,50 @@
         self._workers: dict[str, dict[str, WorkerRecord]] = defaultdict(dict)
         self._changed = asyncio.Event()
         self._random = random.Random()
-        self.speed = ReadingSpeed()
-        self.tables = TableKeeper()
+        self.prefill_speed = PrefillSpeed()
+        self.tables = ServiceTables()
 
     def configure(self, source: bytes) -> ApplyOutcome:
-        """Put a whole configuration in force; nothing changes where it can't be read."""
+        """Put a full configuration in force; one that cannot be read changes nothing."""
         outcome = self._store.try_replace(source)
         if isinstance(outcome, Applied):
-            self._put_in_force()
+            self._activate_configuration()
         else:
-            logger.error("configuration can't be read", extra={"outcome": repr(outcome)})
+            logger.error("cannot read the configuration", extra={"outcome": repr(outcome)})
         return outcome
 
     def change_configuration(self, changes: ItemChanges, digest: int) -> ApplyOutcome:
-        """Put changes in force that lead to a configuration of this digest; nothing where they don't."""
+        """Apply a delta and put the result in force; one that does not lead to `digest` changes nothing."""
         outcome = self._store.apply(changes, digest)
         if isinstance(outcome, Applied):
-            self._put_in_force()
+            self._activate_configuration()
         else:
-            logger.error("changes don't fit the configuration", extra={"outcome": repr(outcome)})
+            logger.error("cannot apply the delta to the configuration", extra={"outcome": repr(outcome)})
         return outcome
 
-    def _put_in_force(self) -> None:
+    def _activate_configuration(self) -> None:
         self.configuration = self._store.configuration
         self.tables.configure(self.configuration)
-        self.notify()
+        self.notify_change()
 
     def worker_changed(self, record: WorkerRecord) -> None:
-        """A worker is new or changed."""
+        """Add a worker, or update a known one."""
         self._workers[record.service][record.id] = record
-        self.notify()
+        self.notify_change()
 
     def worker_gone(self, worker: str) -> None:
-        """A worker is gone."""
+        """Remove a worker."""
         for workers in self._workers.values():
             workers.pop(worker, None)
-        self._pool.forget(worker)
-        self.notify()
+        self._pool.remove(worker)
+        self.notify_change()
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of a request."""
+        """The route for a host and path, or None."""
         return self._store.index.match(host, path)
 
     def step_tables(self, now: float) -> None:
-        """Step the placement tables when it is time."""
+        """Step the placement tables if a step is due."""
         self.tables.step(self._workers, now)
 
     def has_workers(self) -> bool:
@@ -93,7 +93,7 @@
         return any(self._workers.values())
 
     async def wait_change(self, deadline: float) -> bool:
-        """Wait until workers or configuration change; False at the deadline."""
+        """Wait until the workers or the configuration change; returns False at the deadline."""
         event = self._changed
         try:
             async with asyncio.timeout_at(deadline):
@@ -102,19 +102,19 @@
             return False
         return True
 
-    def holders_exist(self, key: ServiceKey | None, service: str) -> bool:
-        """Whether some worker is known to hold the weights."""
+    def has_holder(self, key: ServiceKey | None, service: str) -> bool:
+        """Whether a worker of the service is known to hold the weights and does not drain."""
         return any(self._serves(record, key) for record in self._workers[service].values())
 
     def model(self, key: ServiceKey) -> Model | None:
-        """The model of a key by the configuration in force."""
+        """The model of a key in the configuration in force, or None."""
         service = self.configuration.services.get(key.service) if self.configuration else None
         engine = service.engine if service else None
         return engine.models.get(key.model) if engine else None
 
-    def choose(self, request: RoutedRequest, excluded: set[str], now: float) -> WorkerRecord | None:
-        """A worker that holds the request's weights, or None."""
-        records = self._eligible(request, excluded, now)
+    def find_worker(self, request: RoutedRequest, excluded: set[str], now: float) -> WorkerRecord | None:
+        """A worker that holds the request's weights, other than those in `excluded`, or None."""
+        records = self._eligible_workers(request, excluded, now)
         if not records:
             return None
         candidates = [self._candidate(record, request, now) for record in records]
@@ -128,23 +128,23 @@
             return ()
         return self.tables.fractions(request.key)
 
-    def _eligible(self, request: RoutedRequest, excluded: set[str], now: float) -> list[WorkerRecord]:
+    def _eligible_workers(self, request: RoutedRequest, excluded: set[str], now: float) -> list[WorkerRecord]:
         records = []
         for record in self._workers[request.service].values():
             if record.id in excluded or not self._serves(record, request.key):
                 continue
-            if request.key and self._lacks(record, request.key, now):
+            if request.key and self._is_missing_weights(record, request.key, now):
                 continue
             records.append(record)
         if not self._mechanisms.has(Mechanism.AVOID_FAILED):
             return records
-        trusted = [record for record in records if self._pool.get(record.id).avoided_until <= now]
-        return trusted or records
+        without_failures = [record for record in records if self._pool.get(record.id).avoided_until <= now]
+        return without_failures or records
 
-    def _lacks(self, record: WorkerRecord, key: ServiceKey, now: float) -> bool:
+    def _is_missing_weights(self, record: WorkerRecord, key: ServiceKey, now: float) -> bool:
         if not self._mechanisms.has(Mechanism.LACKING_WEIGHTS):
             return False
-        return self._pool.get(record.id).known_to_lack(key.model, key.adapter, now)
+        return self._pool.get(record.id).is_missing_weights(key.model, key.adapter, now)
 
     @staticmethod
     def _serves(record: WorkerRecord, key: ServiceKey | None) -> bool:
@@ -154,69 +154,74 @@
 
     def _candidate(self, record: WorkerRecord, request: RoutedRequest, now: float) -> Candidate:
         traffic = self._pool.get(record.id)
-        fresh = traffic.load(now) > traffic.in_flight
-        compares_reading = self._mechanisms.has(Mechanism.READING_COSTS)
+        uses_report = traffic.load(now) > traffic.in_flight
+        compares_prefill = self._mechanisms.has(Mechanism.READING_COSTS)
         prefers_connected = self._mechanisms.has(Mechanism.PREFER_CONNECTED)
         return Candidate(
             worker=record.id,
             in_flight=traffic.in_flight,
-            running=traffic.running if fresh else 0,
-            waiting=traffic.waiting if fresh else 0,
+            running=traffic.running if uses_report else 0,
+            waiting=traffic.waiting if uses_report else 0,
             slots=record.slots,
             same_zone=record.zone == self._zone,
             backlog=traffic.backlog.remaining(now),
             prefill=self.prefill_seconds(traffic, request),
-            utilisation=traffic.backlog.utilisation(now) if compares_reading else 0.0,
-            streams=traffic.backlog.streams(now) if compares_reading else 0.0,
-            connected=prefers_connected and traffic.is_connected(now, self._pool.idle_limit),
+            utilisation=traffic.backlog.utilisation(now) if compares_prefill else 0.0,
+            streams=traffic.backlog.streams(now) if compares_prefill else 0.0,
+            connected=prefers_connected and traffic.has_idle_connection(now, self._pool.idle_limit),
         )
 
     def prefill_seconds(self, traffic: WorkerTraffic, request: RoutedRequest) -> float:
-        """How long the worker would read the request's prompt."""
+        """Seconds that the worker needs for the prefill of the request's prompt."""
         if request.key is None or not request.parts:
             return 0.0
-        tokens = self._tokens_to_read(traffic, request)
-        return tokens * self.speed.seconds_per_token(request.key.model)
+        tokens = self._prefill_tokens(traffic, request)
+        return tokens * self.prefill_speed.seconds_per_token(request.key.model)
 
-    def _tokens_to_read(self, traffic: WorkerTraffic, request: RoutedRequest) -> int:
+    def _prefill_tokens(self, traffic: WorkerTraffic, request: RoutedRequest) -> int:
         if self._mechanisms.has(Mechanism.CACHED_PREFIXES):
             return uncached_tokens(traffic.backlog, request)
         return sum(part.tokens for part in request.parts)
 
-    def observe_reading(self, model: str, tokens: int, seconds: float) -> None:
-        """Learn the reading speed from a prompt that a worker with nothing before it began to answer."""
+    def observe_prefill(self, model: str, tokens: int, seconds: float) -> None:
+        """Add a sample of the prefill speed: the time to the first token at a worker without a backlog."""
         if self._mechanisms.has(Mechanism.READING_SPEED):
-            self.speed.observe(model, tokens, seconds)
+            self.prefill_speed.observe(model, tokens, seconds)
 
-    def note_sent(self, request: RoutedRequest, record: WorkerRecord, now: float) -> WorkNotice | None:
-        """Count a prompt as sent to a worker; returns what to tell the other dispatchers."""
+    def record_sent_prompt(
+        self, request: RoutedRequest, record: WorkerRecord, now: float
+    ) -> WorkNotice | None:
+        """Add a prompt to the worker's backlog; returns the notice for the other dispatchers, if any."""
         if request.key is None or not request.parts:
             return None
         traffic = self._pool.get(record.id)
         seconds = self.prefill_seconds(traffic, request)
-        parts = tuple(part.identity for part in request.parts)
-        traffic.backlog.add(seconds, parts, now)
+        parts = tuple(part.prefix_id for part in request.parts)
+        traffic.backlog.add_prompt(seconds, parts, now)
         if not self._mechanisms.has(Mechanism.SHARED_BACKLOG):
             return None
         return WorkNotice(self._identity, record.id, seconds, parts)
 
     def note_told(self, notice: WorkNotice, now: float) -> None:
-        """A dispatcher sent a prompt to a worker; its own notices come back to it and are left out."""
+        """Add the prompt of another dispatcher to a worker's backlog.
+
+        The notices that this dispatcher sent come back to it and are ignored.
+        """
         if notice.origin == self._identity:
             return
-        self._pool.get(notice.worker).backlog.add(notice.seconds, notice.parts, now)
+        self._pool.get(notice.worker).backlog.add_prompt(notice.seconds, notice.parts, now)
 
-    def notify(self) -> None:
-        """Wake those that wait for a change."""
+    def notify_change(self) -> None:
+        """Wake all requests that wait for a change of the workers or the configuration."""
         self._changed.set()
         self._changed = asyncio.Event()
 
 
-def uncached_tokens(backlog: WorkerBacklog, request: RoutedRequest) -> int:
-    """Prompt tokens that the worker has to read, as far as dispatchers told what it has read before."""
+def uncached_tokens(backlog: PrefillBacklog, request: RoutedRequest) -> int:
+    """The prompt tokens that the worker has to prefill: those after its longest cached prefix."""
     uncached = sum(part.tokens for part in request.parts)
     for part in request.parts:
-        if part.identity not in backlog.parts:
+        if part.prefix_id not in backlog.cached_parts:
             break
         uncached -= part.tokens
     return uncached
--- a/rookwood/dataplane/silence.py
+++ b/rookwood/dataplane/silence.py
@@ -1,4 +1,4 @@
-"""Leaves a wait for a worker that fell silent, when the request may go elsewhere."""
+"""Ends the wait for an unresponsive worker when the request may be retried."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 from collections.abc import Callable
 from types import TracebackType
 
-CHECK_INTERVAL = 0.4  # seconds between two looks
+CHECK_INTERVAL = 0.4  # seconds
 
 
-class SilenceWatch:
-    """Ends the enclosed wait once `should_leave` says so; `left` tells whether it did.
+class WorkerWatch:
+    """A context manager that ends the enclosed wait once `should_leave` returns True.
 
-    `should_leave` is asked at intervals, with the time at which the wait began or was last renewed.
+    `should_leave` is called at intervals, with the time at which the wait began or was last renewed.
+    `has_left` says whether the watch ended the wait.
     """
 
     def __init__(self, should_leave: Callable[[float], bool]) -> None:
         self._should_leave = should_leave
         self._scope = asyncio.timeout(None)
         self._timer: asyncio.TimerHandle | None = None
-        self._since = 0.0
-        self.left = False
+        self._renewed_at = 0.0
+        self.has_left = False
 
-    async def __aenter__(self) -> SilenceWatch:
+    async def __aenter__(self) -> WorkerWatch:
         await self._scope.__aenter__()
         self.renew()
         self._schedule()
@@ -43,15 +44,15 @@
         return False
 
     def renew(self) -> None:
-        """Something arrived."""
-        self._since = asyncio.get_running_loop().time()
+        """Restart the wait: bytes arrived from the worker."""
+        self._renewed_at = asyncio.get_running_loop().time()
 
     def _schedule(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL, self._check)
 
     def _check(self) -> None:
-        if not self._should_leave(self._since):
+        if not self._should_leave(self._renewed_at):
             self._schedule()
             return
-        self.left = True
+        self.has_left = True
         self._scope.reschedule(asyncio.get_running_loop().time())
--- a/rookwood/dataplane/splitting.py
+++ b/rookwood/dataplane/splitting.py
@@ -1,4 +1,4 @@
-"""Spreads the requests of split routes over their services, evenly also within a short span."""
+"""Distributes the requests of split routes over their services by weight, evenly even in a short time."""
 
 from __future__ import annotations
 
@@ -8,19 +8,22 @@
 
 from rookwood.clusterconfig.document import Route
 
-GOLDEN_STEP = (5**0.5 - 1) / 2  # multiples of it fill the unit interval more evenly than draws do
-ROUTES_REMEMBERED = 4096
+GOLDEN_STEP = (5**0.5 - 1) / 2  # its multiples modulo 1 fill the unit interval more evenly than random draws
+MAX_ROUTES = 4096  # routes whose last point is remembered
 
 
 def service_at(route: Route, point: float) -> str:
-    """The service of a split route at a point in [0, 1): each has a part as long as its weight."""
+    """The service of a split route at a point in [0, 1).
+
+    The services divide the interval into parts that are proportional to their weights.
+    """
     total = sum(share.weight for share in route.shares)
-    left = point * total
+    remaining = point * total
     for share in route.shares:
         if share.weight <= 0:
             continue
-        left -= share.weight
-        if left < 0:
+        remaining -= share.weight
+        if remaining < 0:
             return share.service
     return max(route.shares, key=lambda share: share.weight).service
 
@@ -28,19 +31,20 @@
 class RouteSplitter:
     """Chooses the service of each request of a split route.
 
-    Each route has a sequence of points of its own. It begins at a random one, so that dispatchers, and the
-    lives of one, don't begin with the same service, and goes on when the weights change.
+    Each route has its own low-discrepancy sequence of points. The sequence begins at a random point, so that
+    several dispatchers, or one after each restart, do not all begin with the same service. It continues when
+    the weights change.
     """
 
     def __init__(self, random: Random | None = None) -> None:
         self._random = random or Random()
-        self._points: LRUCache[str, float] = LRUCache(ROUTES_REMEMBERED)
+        self._points: LRUCache[str, float] = LRUCache(MAX_ROUTES)
 
     def choose(self, route: Route) -> str:
-        """The service of the next request."""
+        """The service for the route's next request."""
         if len(route.shares) == 1:
             return route.shares[0].service
-        before = self._points.get(route.name)
-        point = self._random.random() if before is None else (before + GOLDEN_STEP) % 1.0
+        previous = self._points.get(route.name)
+        point = self._random.random() if previous is None else (previous + GOLDEN_STEP) % 1.0
         self._points[route.name] = point
         return service_at(route, point)
--- a/rookwood/dataplane/stream_relay.py
+++ b/rookwood/dataplane/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes a worker's stream on to the client, event by event."""
+"""Forwards a worker's event stream to the client, event by event."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from aiohttp import web
 
 from rookwood.dataplane.answers import RequestProgress, StreamBroke, StreamEnded
-from rookwood.dataplane.events import Event, EventSplitter, OversizedEventError, is_repeated
+from rookwood.dataplane.events import Event, EventSplitter, OversizedEventError, is_already_forwarded
 from rookwood.dataplane.pool import WorkerTraffic
-from rookwood.dataplane.silence import SilenceWatch
+from rookwood.dataplane.silence import WorkerWatch
 from rookwood.dataplane.upstream import Streaming
 from rookwood.httpclient.outcomes import Broken
 
-SILENT = "silence"
+UNRESPONSIVE = "silence"
 
 
 async def copy_events(
@@ -21,26 +21,27 @@
     progress: RequestProgress,
     response: web.StreamResponse,
     traffic: WorkerTraffic,
-    watch: SilenceWatch,
+    watch: WorkerWatch,
     deadline: float,
 ) -> StreamEnded | StreamBroke:
-    """Copy until the stream ends or breaks, `watch` leaves it, or the deadline of the loop's clock comes.
+    """Copy events until the stream ends or breaks, `watch` ends the wait, or the deadline passes.
 
-    Raises ConnectionResetError where the client has left.
+    The deadline is a time of the event loop's clock. Only complete events are forwarded, and none that the
+    client already has. Raises ConnectionResetError if the client has left.
     """
     splitter = EventSplitter()
     loop = asyncio.get_running_loop()
-    ended: StreamEnded | StreamBroke = StreamBroke(SILENT)
+    ended: StreamEnded | StreamBroke = StreamBroke(UNRESPONSIVE)
     try:
         async with asyncio.timeout_at(deadline), watch:
             while data := await stream.answer.read_some():
                 if isinstance(data, Broken):
                     return StreamBroke(data.why)
                 watch.renew()
-                traffic.heard = loop.time()
-                progress.trace.event(loop.time())
-                await _pass_events(splitter.feed(data), progress, response)
-            ended = StreamBroke("partial event") if splitter.partial else StreamEnded()
+                traffic.last_received_at = loop.time()
+                progress.trace.record_stream_data(loop.time())
+                await _forward_events(splitter.feed(data), progress, response)
+            ended = StreamBroke("partial event") if splitter.has_partial_event else StreamEnded()
     except TimeoutError:
         return StreamBroke("deadline")
     except OversizedEventError:
@@ -48,12 +49,14 @@
     return ended
 
 
-async def _pass_events(events: list[Event], progress: RequestProgress, response: web.StreamResponse) -> None:
+async def _forward_events(
+    events: list[Event], progress: RequestProgress, response: web.StreamResponse
+) -> None:
     for event in events:
-        if is_repeated(event, progress.last_event):
+        if is_already_forwarded(event, progress.last_event_id):
             continue
         if event.id is not None:
-            progress.last_event = event.id
-        elif progress.last_event is None:
-            progress.passed_without_id = True
+            progress.last_event_id = event.id
+        elif progress.last_event_id is None:
+            progress.forwarded_without_id = True
         await response.write(event.raw)
--- a/rookwood/dataplane/tables.py
+++ b/rookwood/dataplane/tables.py
@@ -1,4 +1,4 @@
-"""The placement tables of this dispatcher, one for each service with weights."""
+"""The placement tables of this dispatcher: one for each service whose workers serve models."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 @dataclass(slots=True)
 class ServiceTable:
-    """The table of one service, with the engine that it was made for."""
+    """The table of one service, with the engine of the configuration that it was created for."""
 
     engine: Engine
     table: PlacementTable
 
 
-class TableKeeper:
-    """Feeds the tables with this dispatcher's demand and steps them."""
+class ServiceTables:
+    """Keeps one placement table for each service, records this dispatcher's demand in them and steps them."""
 
     def __init__(self) -> None:
         self._tables: dict[str, ServiceTable] = {}
-        self._started: dict[str, float] = {}
-        self._stepped = 0.0
+        self._first_seen_at: dict[str, float] = {}
+        self._stepped_at = 0.0
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a configuration; tables of unchanged engines go on."""
+        """Apply a configuration: a service whose engine is unchanged keeps its table."""
         tables: dict[str, ServiceTable] = {}
         for name, service in configuration.services.items():
             if service.engine is None:
@@ -46,12 +46,12 @@
         self._tables = tables
 
     def fractions(self, key: ServiceKey) -> Fractions:
-        """The workers of a key with their fractions."""
+        """The fractions of a key's requests by worker; empty for an unknown service."""
         known = self._tables.get(key.service)
         return known.table.fractions(WeightsKey(key.model, key.adapter)) if known else ()
 
     def record(self, key: ServiceKey, worker: str, seconds: float, outcome: Outcome, now: float) -> None:
-        """A request occupied a slot of a worker and ended so."""
+        """Record a request that occupied a worker's slot for `seconds`, and its outcome."""
         known = self._tables.get(key.service)
         if known is None:
             return
@@ -60,19 +60,19 @@
         known.table.record_outcome(worker, weights, outcome, now)
 
     def step(self, workers: Mapping[str, Mapping[str, WorkerRecord]], now: float) -> bool:
-        """Step all tables if it is time; returns whether it was."""
-        if now - self._stepped < STEP_INTERVAL:
+        """Step all tables if a step is due; returns whether it was."""
+        if now - self._stepped_at < STEP_INTERVAL:
             return False
-        self._stepped = now
+        self._stepped_at = now
         present = {worker for records in workers.values() for worker in records}
-        self._started = {worker: self._started.get(worker, now) for worker in present}
+        self._first_seen_at = {worker: self._first_seen_at.get(worker, now) for worker in present}
         for name, known in self._tables.items():
             records = workers.get(name, {}).values()
             known.table.step(now, self._describe(known.engine, records))
         return True
 
-    def wanted(self) -> tuple[WantedWeights, ...]:
-        """Which weights the tables want on which workers."""
+    def wanted_weights(self) -> tuple[WantedWeights, ...]:
+        """The weights that the tables assign to each worker."""
         wanted = []
         for name, known in self._tables.items():
             for worker, keys in known.table.wanted().items():
@@ -81,6 +81,7 @@
         return tuple(wanted)
 
     def _describe(self, engine: Engine, records: Iterable[WorkerRecord]) -> list[WorkerWeights]:
+        """The workers as the tables need them; the values that no table reads are 0 or False."""
         return [
             WorkerWeights(
                 worker=record.id,
@@ -94,7 +95,7 @@
                 active=0,
                 queued=0,
                 draining=record.state is WorkerState.DRAINING,
-                started=self._started[record.id],
+                started=self._first_seen_at[record.id],
             )
             for record in records
         ]
--- a/rookwood/dataplane/upstream.py
+++ b/rookwood/dataplane/upstream.py
@@ -1,4 +1,4 @@
-"""One attempt at a worker. What comes of it is a value; nothing here repeats anything."""
+"""Sends one attempt to a worker. Every outcome is a return value; nothing here retries."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from rookwood.httpclient.client import Answer, HttpClient
 from rookwood.httpclient.outcomes import Broken, NotSent
 
-CONNECT_LIMIT = 0.6
-IDLE_CONNECTION = 4.0  # seconds for which a kept connection is used again where workers tell no limit
-IDLE_MARGIN = 1.5  # seconds that a request may take to a worker which closes a connection at its limit
-LEAST_IDLE = 0.5  # seconds for which connections are kept however short the limit is
+CONNECT_LIMIT = 0.6  # seconds
+DEFAULT_IDLE_LIMIT = 4.0  # seconds for which an idle connection is reused if workers state no limit
+IDLE_MARGIN = 1.5  # seconds that a request may take to reach a worker before its idle limit is over
+MIN_IDLE_LIMIT = 0.5  # seconds for which an idle connection is reused, however short the limit is
 IDLE_PARAMETER = re.compile(r"\btimeout=(\d{1,6})\b")
 OK_STATUSES = range(200, 300)
 MISDIRECTED = 421
-PROMISES = frozenset({408, 421, 429, 503})  # to a client these say that the request has not run
+PROMISES = frozenset({408, 421, 429, 503})  # tell a client that its request has not run
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The worker said that it did not run the request."""
+    """The worker answered that it did not run the request."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: CIMultiDict[str]
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Streaming:
-    """The head of an event stream; its events are still to be read."""
+    """The head of an event stream, whose events are still to be read."""
 
     status: int
     headers: CIMultiDict[str]
@@ -64,24 +64,24 @@
 
 
 class UpstreamClient:
-    """HTTP connections to workers."""
+    """Sends requests to workers over pooled HTTP connections."""
 
     def __init__(self, descriptors: int, heeds_keep_alive: bool = True) -> None:
-        self._heeds_keep_alive = heeds_keep_alive
+        self._uses_keep_alive = heeds_keep_alive
         self._http = HttpClient(
             connections=max(64, descriptors // 3),
-            idle_limit=IDLE_CONNECTION,
+            idle_limit=DEFAULT_IDLE_LIMIT,
             connect_limit=CONNECT_LIMIT,
         )
-        self._told_idle = math.inf  # seconds; the shortest that any worker told
-        self.idle_limit = IDLE_CONNECTION  # seconds for which a kept connection is used again
+        self._shortest_idle_limit = math.inf  # seconds; the shortest that any worker stated
+        self.idle_limit = DEFAULT_IDLE_LIMIT  # seconds for which an idle connection is reused
 
     async def close(self) -> None:
         """Close all connections."""
         await self._http.close()
 
     async def send(self, address: str, request: UpstreamRequest, deadline: float) -> UpstreamOutcome:
-        """Send a request and read the answer, or the head of a stream, until the deadline."""
+        """Send a request and read its response, or the head of a stream, until the deadline."""
         try:
             async with asyncio.timeout_at(deadline):
                 return await self._send(address, request)
@@ -93,67 +93,67 @@
         answer = await self._http.send(request.method, url, request.headers, request.body)
         if isinstance(answer, NotSent | Broken):
             return answer
-        return await self._receive(answer, request)
-
-    def _learn_idle(self, keep_alive: str) -> None:
-        """Keep idle connections for as long as the workers do: each new one costs them a handshake."""
-        told = read_idle_limit(keep_alive) if self._heeds_keep_alive else None
-        if told is not None and told < self._told_idle:
-            self._told_idle = told
-            self.idle_limit = max(LEAST_IDLE, told - IDLE_MARGIN)
+        return await self._receive_response(answer, request)
+
+    def _update_idle_limit(self, keep_alive: str) -> None:
+        """Reuse idle connections for as long as workers keep them: a new one costs them a handshake."""
+        stated = read_idle_limit(keep_alive) if self._uses_keep_alive else None
+        if stated is not None and stated < self._shortest_idle_limit:
+            self._shortest_idle_limit = stated
+            self.idle_limit = max(MIN_IDLE_LIMIT, stated - IDLE_MARGIN)
             self._http.limit_idle(self.idle_limit)
 
-    async def _receive(self, answer: Answer, request: UpstreamRequest) -> UpstreamOutcome:
+    async def _receive_response(self, answer: Answer, request: UpstreamRequest) -> UpstreamOutcome:
         flaw = find_flaw(answer, request)
         if flaw is not None:
             answer.discard()
             return Broken(flaw)
-        self._learn_idle(answer.headers.get(names.KEEP_ALIVE, ""))
-        passed = names.end_to_end(answer.headers)
+        self._update_idle_limit(answer.headers.get(names.KEEP_ALIVE, ""))
+        forwarded_headers = names.end_to_end(answer.headers)
         if answer.status in OK_STATUSES and answer.content_type == "text/event-stream":
-            return Streaming(answer.status, passed, answer)
+            return Streaming(answer.status, forwarded_headers, answer)
         body = await answer.read_all()
         if isinstance(body, Broken):
             return body
         if answer.status == MISDIRECTED or names.NOT_RUN in answer.headers:
             return Rejected(answer.status)
         if answer.status in PROMISES:
-            return Broken(f"status {answer.status} of a request that may have run")
-        return Complete(answer.status, passed, body)
+            return Broken(f"status {answer.status} for a request that may have run")
+        return Complete(answer.status, forwarded_headers, body)
 
 
 def read_idle_limit(text: str) -> float | None:
-    """Read Keep-Alive: the seconds after which the worker closes an idle connection."""
-    found = IDLE_PARAMETER.search(text)
-    return float(found.group(1)) if found else None
+    """Read the timeout of Keep-Alive: the seconds after which the worker closes an idle connection."""
+    match = IDLE_PARAMETER.search(text)
+    return float(match.group(1)) if match else None
 
 
 def find_flaw(answer: Answer, request: UpstreamRequest) -> str | None:
-    """Why an answer can't be the worker's true answer to this request, if so."""
+    """Why a response cannot be the worker's own response to this request; None if it can."""
     if answer.headers.getall(names.REQUEST_ID, []) != [request.request_id]:
-        return "answer to another request"
+        return "response to another request"
     if answer.status in OK_STATUSES:
         if len(answer.headers.getall(names.SEAL, [])) != 1:
-            return "not one seal"
+            return "missing or repeated seal"
         if "Content-Encoding" in answer.headers:
             return "encoded body"
     return None
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLoad:
-    """The load that a worker adds to its answers."""
+class ReportedLoad:
+    """The load that a worker reports with its responses, in X-Load."""
 
     running: int
     waiting: int
     slots: int
 
 
-def read_load(headers: CIMultiDict[str]) -> ToldLoad | None:
-    """Read the load header, if there is a sound one."""
+def read_load(headers: CIMultiDict[str]) -> ReportedLoad | None:
+    """Read X-Load; None if it is missing or malformed."""
     parts = headers.get(names.LOAD, "").split(",")
     try:
         running, waiting, slots = (int(part) for part in parts)
     except ValueError:
         return None
-    return ToldLoad(running, waiting, slots)
+    return ReportedLoad(running, waiting, slots)
--- a/rookwood/dataplane/upstream_requests.py
+++ b/rookwood/dataplane/upstream_requests.py
@@ -1,4 +1,4 @@
-"""The request that a worker is sent for a client's: the client's own, with what the system adds."""
+"""Builds the request to a worker: the client's request with the headers that the dispatcher sets."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from rookwood.mechanisms import Mechanism, Mechanisms
 
 MILLISECONDS = 1000.0
-SHORT_READ = 0.05  # seconds; a prompt that is read faster hardly delays others
-SHORT_URGENCY = 1
-RANK_OFFSET = 2
-LAST_RANK = 7
-ROOM_SHARE = 0.6
+SHORT_PREFILL = 0.05  # seconds; a shorter prefill hardly delays other requests
+SHORT_URGENCY = 1  # urgency of a request with a short prefill; lower values go first
+RANK_OFFSET = 2  # urgency of a route with rank 0
+LAST_RANK = 7  # routes of a higher rank are treated alike
+SPARE_LOAD_SHARE = 0.6  # of a worker's slots; below this load it has room
 
 
 def build_upstream_request(
     request: RoutedRequest, worker: WorkerRecord, urgency: int, last_event: bytes | None, now: float
 ) -> UpstreamRequest:
-    """The request for one worker; `last_event` is the last one passed on, where a stream is taken up."""
+    """Build the request for one worker; `last_event` is the last event id if a stream is resumed."""
     headers = request.headers.copy()
     left = max(1.0, (request.deadline - now) * MILLISECONDS)
     headers[names.TIME_LEFT] = str(int(left))
@@ -39,13 +39,13 @@
     now: float,
     mechanisms: Mechanisms,
 ) -> int:
-    """The request's place in the worker's order of admission, 0 first.
+    """The request's urgency in the worker's queue; lower values are admitted first.
 
-    The route's rank decides, but a prompt that is read in a moment (`prefill`, in seconds) goes first while
-    there is room: it delays the others by next to nothing and would otherwise wait for all of them.
+    It follows from the route's rank. A request with a short prefill (`prefill` is in seconds) goes first
+    while the worker has room: it hardly delays the others, and would otherwise wait for all of them.
     """
-    has_room = traffic.load(now) < ROOM_SHARE * worker.slots
-    if has_room and prefill < SHORT_READ and mechanisms.has(Mechanism.SHORT_FIRST):
+    has_room = traffic.load(now) < SPARE_LOAD_SHARE * worker.slots
+    if has_room and prefill < SHORT_PREFILL and mechanisms.has(Mechanism.SHORT_FIRST):
         return SHORT_URGENCY
     ranked = mechanisms.has(Mechanism.ROUTE_RANK)
     rank = max(0, min(LAST_RANK, request.route.priority)) if ranked else 0
--- a/rookwood/dataplane/worker_search.py
+++ b/rookwood/dataplane/worker_search.py
@@ -1,4 +1,4 @@
-"""Finds the worker for a request's next attempt: one that serves now, or one that is waited for."""
+"""Finds the worker for a request's next attempt, and waits for one if none holds the weights."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from aiohttp import web
 
 from rookwood.cluster.workers import WorkerRecord
-from rookwood.dataplane.answers import RETRY_SOON, Refusal, RequestProgress
+from rookwood.dataplane.answers import DEFAULT_RETRY_AFTER, ErrorResponse, RequestProgress
 from rookwood.dataplane.attempt_limits import AttemptLimits
 from rookwood.dataplane.clock import now
 from rookwood.dataplane.demand import DemandMeter
-from rookwood.dataplane.repeats import MINIMUM_ATTEMPT
+from rookwood.dataplane.repeats import MIN_ATTEMPT_TIME
 from rookwood.dataplane.requests import RoutedRequest
 from rookwood.dataplane.return_times import ReturnTimes
 from rookwood.dataplane.route_matching import RouteMatcher
@@ -22,33 +22,35 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSearch:
-    """Chooses a worker, waits for one, or tells why there is none."""
+    """Chooses a worker, waits for one, or returns the error response for a request without one."""
 
     _router: Router
     _matcher: RouteMatcher
     _demand: DemandMeter
     _limits: AttemptLimits
     _mechanisms: Mechanisms
-    _returns: ReturnTimes = field(default_factory=ReturnTimes)
+    _return_times: ReturnTimes = field(default_factory=ReturnTimes)
 
-    def observe(self, request: RoutedRequest, progress: RequestProgress) -> None:
-        """Note from the time that a client tells whether this is its first try."""
-        if request.told_left is not None:
-            progress.first_try = self._returns.observe(request.route, request.told_left)
+    def record_first_try(self, request: RoutedRequest, progress: RequestProgress) -> None:
+        """Record whether this is the client's first try, judged by the time left that it states."""
+        if request.stated_time_left is not None:
+            progress.is_first_try = self._return_times.is_first_try(request.route, request.stated_time_left)
 
     async def find(
         self, client: web.BaseRequest, request: RoutedRequest, progress: RequestProgress
-    ) -> WorkerRecord | Refusal:
-        """A worker for the next attempt; waits for weights to be loaded, within limits."""
+    ) -> WorkerRecord | ErrorResponse:
+        """A worker for the next attempt; waits for a load of the weights for a limited time."""
         began = now()
-        worker = self._router.choose(request, progress.excluded, began)
-        if worker is not None and request.deadline - began > MINIMUM_ATTEMPT:
+        worker = self._router.find_worker(request, progress.excluded_workers, began)
+        if worker is not None and request.deadline - began > MIN_ATTEMPT_TIME:
             return worker
-        if began >= self._limits.wait_limit(request, began) or not self._worth_waiting(request, progress):
-            return Refusal(503, "no worker", RETRY_SOON)
-        coming = self._find_return(request, progress, began)
-        if coming is not None:
-            return Refusal(503, "weights are not loaded yet", coming)
+        if began >= self._limits.wait_deadline(request, began) or not self._is_worth_waiting(
+            request, progress
+        ):
+            return ErrorResponse(503, "no worker", DEFAULT_RETRY_AFTER)
+        return_time = self._find_return_time(request, progress, began)
+        if return_time is not None:
+            return ErrorResponse(503, "weights are not loaded yet", return_time)
         progress.trace.begin_wait(began)
         if request.key is None:
             found = await self._await_worker(client, request, progress)
@@ -59,43 +61,46 @@
             finally:
                 self._demand.end_wait(request.key, began)
         progress.trace.end_wait(now())
-        return found or Refusal(503, "no worker with the weights", RETRY_SOON)
+        return found or ErrorResponse(503, "no worker with the weights", DEFAULT_RETRY_AFTER)
 
-    def _find_return(
-        self, request: RoutedRequest, progress: RequestProgress, asked_at: float
+    def _find_return_time(
+        self, request: RoutedRequest, progress: RequestProgress, began: float
     ) -> float | None:
-        """When to come back for a model that nobody holds, where that is better than to wait here.
+        """Seconds after which the client should return for a model that no worker holds.
 
-        The client counts among those that wait until it is back, so that the model is loaded meanwhile.
+        None if the request should wait here. Otherwise the client counts as waiting until it returns, so that
+        the model is loaded meanwhile.
         """
         key = request.key
-        if key is None or request.told_left is None or not progress.first_try:
+        if key is None or request.stated_time_left is None or not progress.is_first_try:
             return None
         if not self._mechanisms.has(Mechanism.RETURN_TIMES):
             return None
-        if progress.sends or self._router.holders_exist(replace(key, adapter=""), request.service):
+        if progress.attempts or self._router.has_holder(replace(key, adapter=""), request.service):
             return None
         model = self._router.model(key)
         if model is None:
             return None
-        under_way = self._demand.oldest_wait(key, asked_at)
-        back = self._returns.find(request.route, model, under_way, request.told_left)
-        if back is not None:
-            self._demand.begin_wait(key, asked_at)
-            asyncio.get_running_loop().call_later(back, self._demand.end_wait, key, asked_at)
-        return back
+        oldest_wait = self._demand.oldest_wait_seconds(key, began)
+        return_time = self._return_times.find_return_time(
+            request.route, model, oldest_wait, request.stated_time_left
+        )
+        if return_time is not None:
+            self._demand.begin_wait(key, began)
+            asyncio.get_running_loop().call_later(return_time, self._demand.end_wait, key, began)
+        return return_time
 
-    def _worth_waiting(self, request: RoutedRequest, progress: RequestProgress) -> bool:
-        """Weights are loaded on demand; other workers appear only while a system starts."""
-        return request.key is not None or not progress.excluded
+    def _is_worth_waiting(self, request: RoutedRequest, progress: RequestProgress) -> bool:
+        """Whether a worker may appear: weights are loaded on demand, other workers only come at startup."""
+        return request.key is not None or not progress.excluded_workers
 
     async def _await_worker(
         self, client: web.BaseRequest, request: RoutedRequest, progress: RequestProgress
     ) -> WorkerRecord | None:
-        while await self._router.wait_change(self._limits.wait_limit(request, now())):
+        while await self._router.wait_change(self._limits.wait_deadline(request, now())):
             if self._matcher.is_rerouted(client, request, progress):
                 return None
-            worker = self._router.choose(request, progress.excluded, now())
+            worker = self._router.find_worker(request, progress.excluded_workers, now())
             if worker is not None:
                 return worker
         return None
--- a/rookwood_dataplane.py
+++ b/rookwood_dataplane.py
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Run until SIGTERM; 2 if the settings can't be used."""
+    """Run until SIGTERM. Returns the exit code: 2 if the options or the settings cannot be used."""
     leave_out_tls()
     import asyncio
 
--- a/tests/test_dataplane_counts.py
+++ b/tests/test_dataplane_counts.py
@@ -11,7 +11,7 @@
 from rookwood.cluster import connection as connection_module
 from rookwood.cluster.frames import encode_frame
 from rookwood.cluster.messages import FetchConfiguration, Status
-from rookwood.dataplane.request_counts import EndedRequests, RefusalCause, RequestOutcome
+from rookwood.dataplane.request_counts import EndedRequests, ErrorResponseCause, RequestOutcome
 from rookwood.metrics.traffic import PEER_CORE, PEER_EDGE, Direction, MessageTraffic, Volume
 from tests.fake_worker import answering, held_back, streaming, streaming_until_broken, within
 from tests.test_cluster_feed import HELLO, STATUS, FeedCase, LinkRecorder
@@ -31,7 +31,7 @@
 
     def ended(self) -> list[EndedRequests]:
         """All requests that ended."""
-        return list(self.dispatcher.proxy.counts.ended())
+        return list(self.dispatcher.proxy.counts.ended_requests())
 
     async def test_answers_count_by_status_whoever_they_are_from(self) -> None:
         await self.start_worker(answering(), answering(b"failed", 500))
@@ -45,7 +45,9 @@
             EndedRequests(RequestOutcome.REFUSED, "4xx", 1),
         ]
         self.assertEqual(self.ended(), expected)
-        self.assertEqual(self.dispatcher.proxy.counts.refusals, {RefusalCause(404, "no route"): 1})
+        self.assertEqual(
+            self.dispatcher.proxy.counts.error_responses, {ErrorResponseCause(404, "no route"): 1}
+        )
         self.assertEqual(self.dispatcher.proxy.counts.attempts, 2)
 
     async def test_whole_and_cut_streams_are_told_apart(self) -> None:
--- a/tests/test_dataplane_end.py
+++ b/tests/test_dataplane_end.py
@@ -18,7 +18,7 @@
 from rookwood.cluster.settings import Bounds, NodeSettings
 from rookwood.clusterconfig.document import Route, RouteKind
 from rookwood.dataplane import closing, durations, program
-from rookwood.dataplane.client_listener import ClientListener, turn_loop
+from rookwood.dataplane.client_listener import ClientListener, run_loop_turns
 from rookwood.dataplane.client_server import ClientConnection, ClientServer
 from rookwood.dataplane.closing import ClosingTime
 from rookwood.dataplane.durations import DurationEstimate, DurationMeter
@@ -42,7 +42,12 @@
 
 GRACE = 4.0
 NOTICE = 0.5
-MARGINS = {"CLOSING_MARGIN": 1.5, "EXIT_MARGIN": 1.2, "FIRST_REQUEST_LIMIT": 0.05, "DRAIN_POLL": 0.01}
+MARGINS = {
+    "CLOSING_MARGIN": 1.5,
+    "EXIT_MARGIN": 1.2,
+    "FIRST_REQUEST_LIMIT": 0.05,
+    "DRAIN_POLL_INTERVAL": 0.01,
+}
 STREAM_TIME = 0.4
 EVENTS = 4
 MOMENTS = 60
@@ -327,7 +332,7 @@
         self.check(play, worker)
         served = [one.sent_at - play.began for one in play.new if one.status == 200]
         self.assertTrue(served)
-        self.assertGreater(max(served), GRACE / 2 - closing.STALL_SAFETY * self.lag.longest)
+        self.assertGreater(max(served), GRACE / 2 - closing.STALL_SAFETY_FACTOR * self.lag.longest)
         held = Exchanged("held", play.began, await within(holding.rest()))
         self.assertEqual((503, True), (held.status, held.whole))
         self.assertEqual([], worker.requests_of("held"))
@@ -424,7 +429,7 @@
         await within(worker.request_came.wait())
         self.stop()
         await within(self.listener_closed())
-        await moment(asyncio.get_running_loop().time() + 4 * program.SHUTDOWN_LIMIT)
+        await moment(asyncio.get_running_loop().time() + 4 * program.SHUTDOWN_TIMEOUT)
         release.set()
         answer = Exchanged("late", 0.0, await within(client.rest()))
         self.assertEqual((200, True), (answer.status, answer.whole))
@@ -475,16 +480,16 @@
 
     def test_the_reserve_follows_the_longest_stall(self) -> None:
         self.assertEqual(closing.STALL_RESERVE, ClosingTime.stall_reserve(0.0))
-        self.assertEqual(closing.STALL_SAFETY * 0.5, ClosingTime.stall_reserve(0.5))
+        self.assertEqual(closing.STALL_SAFETY_FACTOR * 0.5, ClosingTime.stall_reserve(0.5))
 
     async def test_only_what_ends_in_time_is_allowed(self) -> None:
         closing_time = ClosingTime()
-        self.assertTrue(closing_time.allows(1e9, 0.0))
+        self.assertTrue(closing_time.allows_duration(1e9, 0.0))
         closing_time.set(10.0, 2.0)
-        self.assertTrue(closing_time.allows(4.0, 6.0))
-        self.assertFalse(closing_time.allows(4.1, 6.0))
-        self.assertTrue(closing_time.unnoticed(2.0 + closing.INGRESS_NOTICE - 0.1))
-        self.assertFalse(closing_time.unnoticed(2.0 + closing.INGRESS_NOTICE + 0.1))
+        self.assertTrue(closing_time.allows_duration(4.0, 6.0))
+        self.assertFalse(closing_time.allows_duration(4.1, 6.0))
+        self.assertTrue(closing_time.arrived_before_notice(2.0 + closing.INGRESS_NOTICE - 0.1))
+        self.assertFalse(closing_time.arrived_before_notice(2.0 + closing.INGRESS_NOTICE + 0.1))
 
 
 ROUTE = Route("r", SITE, STREAM, RouteKind.STREAM, 15_000, 500, 1, (), 1, True, False, 0)
@@ -500,14 +505,14 @@
 class DurationTests(unittest.TestCase):
     def test_an_unknown_kind_may_take_all_its_time(self) -> None:
         meter = DurationMeter()
-        self.assertEqual(15.0, meter.likely(routed(), 0.0))
-        self.assertEqual(5.0, meter.upper(routed(), 10.0))
+        self.assertEqual(15.0, meter.likely_bound(routed(), 0.0))
+        self.assertEqual(5.0, meter.upper_bound(routed(), 10.0))
 
     def test_the_answers_tokens_scale_the_expectation(self) -> None:
         meter = DurationMeter()
         for _ in range(20):
             meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
-        short, long = meter.likely(routed(), 0.0), meter.likely(routed(tokens="100,100"), 0.0)
+        short, long = meter.likely_bound(routed(), 0.0), meter.likely_bound(routed(tokens="100,100"), 0.0)
         self.assertAlmostEqual(1.1, short, delta=0.1)
         self.assertAlmostEqual(2.1, long, delta=0.1)
 
@@ -515,24 +520,24 @@
         meter = DurationMeter()
         for _ in range(20):
             meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
-        self.assertLess(meter.upper(routed(route="other"), 0.0), 2.0 * durations.SAFETY)
+        self.assertLess(meter.upper_bound(routed(route="other"), 0.0), 2.0 * durations.SAFETY_FACTOR)
 
     def test_too_few_samples_give_no_upper_bound(self) -> None:
         meter = DurationMeter()
-        for _ in range(durations.ENOUGH_SAMPLES - 1):
+        for _ in range(durations.MIN_SAMPLES - 1):
             meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
-        self.assertEqual(15.0, meter.upper(routed(), 0.0))
+        self.assertEqual(15.0, meter.upper_bound(routed(), 0.0))
         meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
-        self.assertLess(meter.upper(routed(), 0.0), 15.0)
+        self.assertLess(meter.upper_bound(routed(), 0.0), 15.0)
 
     def test_the_longest_counts_for_the_upper_bound_and_is_forgotten(self) -> None:
         estimate = DurationEstimate()
         estimate.observe(9.0, 0.0)
         for _ in range(60):
             estimate.observe(1.0, 0.0)
-        self.assertGreater(estimate.upper(0.0), 8.5)
-        self.assertLess(estimate.likely(), 2.0)
-        self.assertLess(estimate.upper(200.0), 2.0)
+        self.assertGreater(estimate.upper_bound(0.0), 8.5)
+        self.assertLess(estimate.likely_bound(), 2.0)
+        self.assertLess(estimate.upper_bound(200.0), 2.0)
 
 
 class ClientServerTests(unittest.IsolatedAsyncioTestCase):
@@ -556,7 +561,7 @@
         client = Client(*await asyncio.open_connection(HOST, self.runner.addresses[0][1]))
         while not self.server.connections:
             await asyncio.sleep(0)
-        await turn_loop()
+        await run_loop_turns()
         return client
 
     async def test_a_connection_without_a_request_is_closed(self) -> None:
@@ -571,8 +576,8 @@
         client = await self.connect()
         whole = request_bytes("/", "id")
         client.write(whole[:20])
-        await turn_loop()
-        await turn_loop()
+        await run_loop_turns()
+        await run_loop_turns()
         self.server.close_idle(0.0)
         client.write(whole[20:])
         self.assertIn(b"200", await within(client.reader.readline()))
@@ -585,7 +590,7 @@
         self.release.set()
         self.assertIn(b"200", await within(client.reader.readline()))
         self.assertIn(b"ok", await within(client.reader.readuntil(b"ok")))
-        await turn_loop()
+        await run_loop_turns()
         self.server.close_idle(0.0)
         self.assertEqual(b"", await within(client.rest()))
 
--- a/tests/test_dataplane_parts.py
+++ b/tests/test_dataplane_parts.py
@@ -11,12 +11,12 @@
 from rookwood.clusterconfig.document import Route, RouteKind, ServiceShare
 from rookwood.dataplane.budget import RetryBudget
 from rookwood.dataplane.demand import DemandMeter, ServiceKey
-from rookwood.dataplane.events import MAXIMUM_EVENT, Event, EventSplitter, OversizedEventError
+from rookwood.dataplane.events import MAX_EVENT_SIZE, Event, EventSplitter, OversizedEventError
 from rookwood.dataplane.headers import end_to_end
 from rookwood.dataplane.pool import WorkerTraffic
-from rookwood.dataplane.requests import read_key, read_parts, read_time_left
+from rookwood.dataplane.requests import read_prompt_parts, read_time_left, read_weights_key
 from rookwood.dataplane.splitting import RouteSplitter, service_at
-from rookwood.dataplane.upstream import ToldLoad, read_load
+from rookwood.dataplane.upstream import ReportedLoad, read_load
 
 STREAM = (
     b"id: 1\ndata: one\n\n"
@@ -59,38 +59,38 @@
     def test_an_event_comes_with_its_last_byte_and_not_before(self) -> None:
         splitter = EventSplitter()
         self.assertEqual([], splitter.feed(b"id: 1\ndata: one\n"))
-        self.assertTrue(splitter.partial)
+        self.assertTrue(splitter.has_partial_event)
         self.assertEqual([Event(b"id: 1\ndata: one\n\n", b"1")], splitter.feed(b"\n"))
-        self.assertFalse(splitter.partial)
+        self.assertFalse(splitter.has_partial_event)
 
     def test_a_rest_after_whole_events_is_partial(self) -> None:
         splitter = EventSplitter()
         splitter.feed(b"id: 1\n\nid: 2")
-        self.assertTrue(splitter.partial)
+        self.assertTrue(splitter.has_partial_event)
 
     def test_an_event_that_never_ends_is_refused(self) -> None:
         splitter = EventSplitter()
         with self.assertRaises(OversizedEventError):
-            splitter.feed(b"data: " + bytes(MAXIMUM_EVENT))
+            splitter.feed(b"data: " + bytes(MAX_EVENT_SIZE))
 
 
 class RetryBudgetTests(unittest.TestCase):
     def take_all(self, budget: RetryBudget, service: str, now: float) -> int:
         """Take repeats until one is denied."""
         taken = 0
-        while budget.take(service, now):
+        while budget.try_spend(service, now):
             taken += 1
         return taken
 
     def test_a_budget_of_nothing_allows_nothing(self) -> None:
         budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
-        budget.request(SERVICE, 0.0)
-        self.assertFalse(budget.take(SERVICE, 0.0))
+        budget.record_request(SERVICE, 0.0)
+        self.assertFalse(budget.try_spend(SERVICE, 0.0))
 
     def test_repeats_stay_within_the_share_of_requests_and_the_allowance(self) -> None:
         budget = RetryBudget(ratio=0.2, window=10.0, slack=10.0)
         for _ in range(100):
-            budget.request(SERVICE, 0.0)
+            budget.record_request(SERVICE, 0.0)
         taken = self.take_all(budget, SERVICE, 1.0)
         self.assertGreater(taken, 0)
         self.assertLessEqual(taken, 0.2 * 100 + 10.0)
@@ -99,15 +99,15 @@
         budget = RetryBudget(ratio=0.2, window=10.0, slack=10.0)
         self.take_all(budget, SERVICE, 0.0)
         for _ in range(100):
-            budget.request(SERVICE, 1.0)
-        self.assertTrue(budget.take(SERVICE, 1.0))
+            budget.record_request(SERVICE, 1.0)
+        self.assertTrue(budget.try_spend(SERVICE, 1.0))
 
     def test_the_allowance_is_shared_by_all_dispatchers(self) -> None:
         slack, dispatchers = 100.0, 5
         total = 0
         for _ in range(dispatchers):
             budget = RetryBudget(ratio=0.0, window=10.0, slack=slack)
-            budget.dispatchers = dispatchers
+            budget.dispatcher_count = dispatchers
             total += self.take_all(budget, SERVICE, 0.0)
         self.assertGreater(total, 0)
         self.assertLessEqual(total, slack)
@@ -120,14 +120,14 @@
     def test_repeats_come_back_when_the_window_has_passed(self) -> None:
         budget = RetryBudget(ratio=0.0, window=10.0, slack=10.0)
         first = self.take_all(budget, SERVICE, 0.0)
-        self.assertFalse(budget.take(SERVICE, 9.9))
+        self.assertFalse(budget.try_spend(SERVICE, 9.9))
         self.assertEqual(first, self.take_all(budget, SERVICE, 10.1))
 
     def test_old_requests_no_longer_count(self) -> None:
         budget = RetryBudget(ratio=0.5, window=10.0, slack=0.0)
         for _ in range(100):
-            budget.request(SERVICE, 0.0)
-        self.assertFalse(budget.take(SERVICE, 10.1))
+            budget.record_request(SERVICE, 0.0)
+        self.assertFalse(budget.try_spend(SERVICE, 10.1))
 
     def test_no_window_holds_more_repeats_than_its_requests_allow(self) -> None:
         ratio, window, slack = 0.2, 2.0, 6.0
@@ -138,8 +138,8 @@
             now = step * 0.01
             if step % 300 < 150:  # a burst, then a pause
                 requests.append(now)
-                budget.request(SERVICE, now)
-            while budget.take(SERVICE, now):
+                budget.record_request(SERVICE, now)
+            while budget.try_spend(SERVICE, now):
                 repeats.append(now)
         for end in repeats:
             count = sum(end - window < time <= end for time in repeats)
@@ -244,24 +244,26 @@
         self.assertIsNone(read_time_left("soon"))
 
     def test_model_and_adapter_are_read(self) -> None:
-        self.assertEqual(KEY, read_key(SERVICE, "small/a1"))
-        self.assertEqual(ServiceKey(SERVICE, "small", ""), read_key(SERVICE, "small"))
-        self.assertIsNone(read_key(SERVICE, None))
+        self.assertEqual(KEY, read_weights_key(SERVICE, "small/a1"))
+        self.assertEqual(ServiceKey(SERVICE, "small", ""), read_weights_key(SERVICE, "small"))
+        self.assertIsNone(read_weights_key(SERVICE, None))
 
     def test_prompt_parts_are_told_apart_by_what_goes_before(self) -> None:
-        first = read_parts("small", "5c1e07a2:800,91bd3f06:410")
-        second = read_parts("small", "e4402b7d:800,91bd3f06:410")
+        first = read_prompt_parts("small", "5c1e07a2:800,91bd3f06:410")
+        second = read_prompt_parts("small", "e4402b7d:800,91bd3f06:410")
         self.assertEqual([800, 410], [part.tokens for part in first])
-        self.assertNotEqual(first[1].identity, second[1].identity)
-        self.assertEqual(first[:1], read_parts("small", "5c1e07a2:800,broken,91bd3f06:410"))
+        self.assertNotEqual(first[1].prefix_id, second[1].prefix_id)
+        self.assertEqual(first[:1], read_prompt_parts("small", "5c1e07a2:800,broken,91bd3f06:410"))
 
     def test_prompt_parts_belong_to_their_weights(self) -> None:
         text = "5c1e07a2:800"
-        self.assertNotEqual(read_parts("small", text)[0].identity, read_parts("small/a1", text)[0].identity)
-        self.assertEqual(read_parts("small", text), read_parts("small", text))
+        self.assertNotEqual(
+            read_prompt_parts("small", text)[0].prefix_id, read_prompt_parts("small/a1", text)[0].prefix_id
+        )
+        self.assertEqual(read_prompt_parts("small", text), read_prompt_parts("small", text))
 
     def test_told_load_is_read_where_it_is_sound(self) -> None:
-        self.assertEqual(ToldLoad(3, 0, 8), read_load(CIMultiDict({"X-Load": "3,0,8"})))
+        self.assertEqual(ReportedLoad(3, 0, 8), read_load(CIMultiDict({"X-Load": "3,0,8"})))
         for text in ("", "3,0", "3,0,8,1", "a,b,c"):
             self.assertIsNone(read_load(CIMultiDict({"X-Load": text})))
 
@@ -281,65 +283,65 @@
         self.assertEqual([KEY, KEY], self.wanted)
 
     def test_waiting_requests_are_reported_with_the_oldest_wait(self) -> None:
-        self.meter.request(KEY, 1.0)
+        self.meter.record_request(KEY, 1.0)
         self.meter.begin_wait(KEY, 1.0)
         self.meter.begin_wait(KEY, 2.0)
-        (demand,) = self.meter.reports(3.5)
+        (demand,) = self.meter.all_demand(3.5)
         self.assertEqual((SERVICE, "small", "a1"), (demand.service, demand.model, demand.adapter))
         self.assertEqual((2, 2.5), (demand.waiting, demand.oldest_wait))
 
     def test_the_rate_follows_the_requests_and_fades(self) -> None:
         for step in range(1000):
-            self.meter.request(KEY, step * 0.1)
-        steady = self.meter.report(KEY, 100.0).rate
+            self.meter.record_request(KEY, step * 0.1)
+        steady = self.meter.demand_for(KEY, 100.0).rate
         self.assertAlmostEqual(10.0, steady, delta=1.0)
-        self.assertLess(self.meter.report(KEY, 110.0).rate, steady / 2)
+        self.assertLess(self.meter.demand_for(KEY, 110.0).rate, steady / 2)
 
     def test_a_key_that_nobody_asks_for_is_no_longer_reported(self) -> None:
-        self.meter.request(KEY, 0.0)
-        self.assertEqual((), self.meter.reports(1000.0))
+        self.meter.record_request(KEY, 0.0)
+        self.assertEqual((), self.meter.all_demand(1000.0))
 
 
 class WorkerTrafficTests(unittest.TestCase):
     def test_a_told_load_counts_for_a_while(self) -> None:
         traffic = WorkerTraffic(in_flight=1)
-        traffic.tell_load(3, 2, 8, 10.0)
+        traffic.record_load(3, 2, 8, 10.0)
         self.assertEqual(5, traffic.load(10.1))
         self.assertEqual(1, traffic.load(60.0))
 
     def test_own_requests_count_where_they_are_more(self) -> None:
         traffic = WorkerTraffic(in_flight=9)
-        traffic.tell_load(1, 0, 8, 10.0)
+        traffic.record_load(1, 0, 8, 10.0)
         self.assertEqual(9, traffic.load(10.0))
 
     def test_repeated_failures_are_avoided_longer_each_time(self) -> None:
         traffic = WorkerTraffic()
-        traffic.failed(0.0)
+        traffic.record_failure(0.0)
         first = traffic.avoided_until
         self.assertGreater(first, 0.0)
-        traffic.failed(first)
+        traffic.record_failure(first)
         self.assertGreater(traffic.avoided_until - first, first)
-        traffic.succeeded()
+        traffic.record_success()
         self.assertLess(traffic.avoided_until, 0.0)
 
     def test_a_kept_connection_is_free_for_a_while_after_a_whole_answer(self) -> None:
         traffic = WorkerTraffic()
-        self.assertFalse(traffic.is_connected(100.0, 8.5))
-        traffic.answered = 100.0
-        self.assertTrue(traffic.is_connected(108.0, 8.5))
-        self.assertFalse(traffic.is_connected(109.0, 8.5))
+        self.assertFalse(traffic.has_idle_connection(100.0, 8.5))
+        traffic.last_completed_at = 100.0
+        self.assertTrue(traffic.has_idle_connection(108.0, 8.5))
+        self.assertFalse(traffic.has_idle_connection(109.0, 8.5))
         traffic.in_flight = 1
-        self.assertFalse(traffic.is_connected(101.0, 8.5))
+        self.assertFalse(traffic.has_idle_connection(101.0, 8.5))
         traffic.in_flight = 0
-        traffic.failed(101.0)
-        self.assertFalse(traffic.is_connected(102.0, 8.5))
+        traffic.record_failure(101.0)
+        self.assertFalse(traffic.has_idle_connection(102.0, 8.5))
 
     def test_missing_weights_are_remembered_for_a_moment(self) -> None:
         traffic = WorkerTraffic()
-        traffic.lacks("small", "a1", 0.0)
-        self.assertTrue(traffic.known_to_lack("small", "a1", 0.1))
-        self.assertFalse(traffic.known_to_lack("small", "", 0.1))
-        self.assertFalse(traffic.known_to_lack("small", "a1", 60.0))
+        traffic.record_missing_weights("small", "a1", 0.0)
+        self.assertTrue(traffic.is_missing_weights("small", "a1", 0.1))
+        self.assertFalse(traffic.is_missing_weights("small", "", 0.1))
+        self.assertFalse(traffic.is_missing_weights("small", "a1", 60.0))
 
 
 if __name__ == "__main__":
--- a/tests/test_dataplane_proxy.py
+++ b/tests/test_dataplane_proxy.py
@@ -343,7 +343,7 @@
         for busy in (False, True):  # what a worker told of its load counts for a while
             for number in range(9):
                 if busy:
-                    traffic.tell_load(8, 0, 8, asyncio.get_running_loop().time())
+                    traffic.record_load(8, 0, 8, asyncio.get_running_loop().time())
                 await self.send(f"/rank-{number}/", f"{busy}-{number}")
             told = [int(request.headers["priority"]) for request in worker.requests]
             worker.requests.clear()
@@ -860,7 +860,7 @@
         self.looks = 0
         self.looked_often = asyncio.Event()
         self.enterContext(mock.patch.object(silence, "CHECK_INTERVAL", SHORT_CHECK))
-        self.enterContext(mock.patch.object(WorkerTraffic, "silent", self.note_look))
+        self.enterContext(mock.patch.object(WorkerTraffic, "is_unresponsive", self.note_look))
 
     def note_look(self, now: float, since: float) -> bool:
         """The worker counts as silent, whenever it is looked at."""
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -54,7 +54,7 @@
         return worker.connections
 
     async def test_a_connection_is_kept_for_as_long_as_the_worker_keeps_it(self) -> None:
-        longer = upstream.IDLE_CONNECTION + 2.0
+        longer = upstream.DEFAULT_IDLE_LIMIT + 2.0
         self.assertEqual(1, await self.connections_after(10, longer))
 
     async def test_a_connection_that_the_worker_may_be_closing_is_not_used(self) -> None:
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -22,61 +22,61 @@
     LossLog,
     LossStage,
     describe_loss,
-    find_lateness,
-    find_stage,
+    find_loss_reason,
+    find_slowest_stage,
 )
 from rookwood.dataplane.request_counts import RequestOutcome
-from rookwood.dataplane.request_trace import ChosenWorker, RequestTrace
+from rookwood.dataplane.request_trace import AttemptedWorker, RequestTrace
 from rookwood.dataplane.requests import RoutedRequest
 
 ROUTE = Route("r", "h", "/p/", RouteKind.STREAM, 15_000, 400, 2, (), 1, False, False, 300)
 REQUEST = RoutedRequest("t1", "POST", "/p/x", ROUTE, "svc", None, (), CIMultiDict(), b"", 10.0, 25.0)
-CHOSEN = ChosenWorker("i-1", 2, 5, 0, 0.25)
+CHOSEN = AttemptedWorker("i-1", 2, 5, 0, 0.25)
 ROOT = Path(__file__).parents[1]
 
 
 def trace(*, waited: float = 0.0, first: float = 0.1, pause: float = 0.0) -> RequestTrace:
     """A request that arrived at 10 s, waited, was sent, and got its events."""
     made = RequestTrace(10.0)
-    made.routed = 10.01
+    made.routed_at = 10.01
     made.begin_wait(10.01)
     made.end_wait(10.01 + waited)
     sent = 10.01 + waited
-    made.send(CHOSEN, sent)
-    made.answer(sent + first)
-    made.event(sent + first)
-    made.event(sent + first + pause)
+    made.record_attempt(CHOSEN, sent)
+    made.record_outcome(sent + first)
+    made.record_stream_data(sent + first)
+    made.record_stream_data(sent + first + pause)
     return made
 
 
 class TraceTests(unittest.TestCase):
     def test_the_stage_is_the_one_that_took_longest(self) -> None:
-        self.assertIs(LossStage.WEIGHTS, find_stage(trace(waited=2.0, first=0.3), 12.4))
-        self.assertIs(LossStage.FIRST_BYTE, find_stage(trace(first=1.5), 11.6))
-        self.assertIs(LossStage.STREAM, find_stage(trace(pause=4.0), 14.2))
-        self.assertIs(LossStage.ROUTE, find_stage(RequestTrace(10.0), 12.0))
+        self.assertIs(LossStage.WEIGHTS, find_slowest_stage(trace(waited=2.0, first=0.3), 12.4))
+        self.assertIs(LossStage.FIRST_BYTE, find_slowest_stage(trace(first=1.5), 11.6))
+        self.assertIs(LossStage.STREAM, find_slowest_stage(trace(pause=4.0), 14.2))
+        self.assertIs(LossStage.ROUTE, find_slowest_stage(RequestTrace(10.0), 12.0))
 
     def test_a_wait_that_has_not_ended_counts(self) -> None:
         waiting = RequestTrace(10.0)
-        waiting.routed = 10.1
+        waiting.routed_at = 10.1
         waiting.begin_wait(10.1)
-        self.assertIs(LossStage.WEIGHTS, find_stage(waiting, 12.4))
+        self.assertIs(LossStage.WEIGHTS, find_slowest_stage(waiting, 12.4))
         loss = describe_loss(REQUEST, waiting, RequestOutcome.ABANDONED, "", 12.4)
         self.assertEqual((2300.0, None, 0), (loss["weights_ms"], loss["worker"], loss["attempts"]))
 
     def test_an_answer_in_time_is_no_loss(self) -> None:
-        self.assertIsNone(find_lateness(REQUEST, trace(first=0.3, pause=0.2), 11.0))
-        self.assertEqual("late", find_lateness(REQUEST, trace(first=0.5), 11.0))
-        self.assertEqual("pause", find_lateness(REQUEST, trace(pause=0.4), 11.0))
+        self.assertIsNone(find_loss_reason(REQUEST, trace(first=0.3, pause=0.2), 11.0))
+        self.assertEqual("late", find_loss_reason(REQUEST, trace(first=0.5), 11.0))
+        self.assertEqual("pause", find_loss_reason(REQUEST, trace(pause=0.4), 11.0))
 
 
 class LossLogTests(unittest.TestCase):
     def test_only_losses_are_written_and_only_where_asked_for(self) -> None:
         with self.assertLogs("rookwood") as logs:
-            LossLog(True).ended(REQUEST, trace(first=0.5), RequestOutcome.ANSWERED, "", 11.0)
-            LossLog(True).ended(REQUEST, trace(first=0.1), RequestOutcome.ANSWERED, "", 11.0)
-            LossLog(False).ended(REQUEST, trace(), RequestOutcome.REFUSED, "full", 11.0)
-            LossLog(True).ended(None, trace(), RequestOutcome.ABANDONED, "", 11.0)
+            LossLog(True).record_end(REQUEST, trace(first=0.5), RequestOutcome.ANSWERED, "", 11.0)
+            LossLog(True).record_end(REQUEST, trace(first=0.1), RequestOutcome.ANSWERED, "", 11.0)
+            LossLog(False).record_end(REQUEST, trace(), RequestOutcome.REFUSED, "full", 11.0)
+            LossLog(True).record_end(None, trace(), RequestOutcome.ABANDONED, "", 11.0)
         (record,) = logs.records
         self.assertEqual((LOSS_MESSAGE, "late"), (record.getMessage(), record.__dict__["why"]))
         self.assertEqual(("i-1", 250.0), (record.__dict__["worker"], record.__dict__["worker_backlog_ms"]))
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -6,7 +6,7 @@
 
 from rookwood.clusterconfig.document import Model, Route, RouteKind
 from rookwood.dataplane.demand import DemandMeter, ServiceKey
-from rookwood.dataplane.return_times import ORDER_TIME, SOONEST, ReturnTimes
+from rookwood.dataplane.return_times import MIN_RETURN_TIME, ORDER_TIME, ReturnTimes
 
 LOAD_S = 2.0
 MODEL = Model("m", 60.0, LOAD_S, 0, 1.0)
@@ -20,34 +20,36 @@
 
 class ReturnTimesTests(unittest.TestCase):
     def test_a_request_that_may_take_as_long_as_the_load_waits(self) -> None:
-        self.assertIsNone(ReturnTimes.find(route(4000), MODEL, 0.0, 10.0))
-        self.assertIsNotNone(ReturnTimes.find(route(400), MODEL, 0.0, 10.0))
+        self.assertIsNone(ReturnTimes.find_return_time(route(4000), MODEL, 0.0, 10.0))
+        self.assertIsNotNone(ReturnTimes.find_return_time(route(400), MODEL, 0.0, 10.0))
 
     def test_a_load_that_is_under_way_is_over_sooner(self) -> None:
-        self.assertEqual(ORDER_TIME + LOAD_S, ReturnTimes.find(route(100), MODEL, 0.0, 15.0))
-        self.assertEqual(ORDER_TIME + LOAD_S - 1.5, ReturnTimes.find(route(100), MODEL, 1.5, 15.0))
-        self.assertEqual(SOONEST, ReturnTimes.find(route(100), MODEL, 9.0, 15.0))
+        self.assertEqual(ORDER_TIME + LOAD_S, ReturnTimes.find_return_time(route(100), MODEL, 0.0, 15.0))
+        self.assertEqual(
+            ORDER_TIME + LOAD_S - 1.5, ReturnTimes.find_return_time(route(100), MODEL, 1.5, 15.0)
+        )
+        self.assertEqual(MIN_RETURN_TIME, ReturnTimes.find_return_time(route(100), MODEL, 9.0, 15.0))
 
     def test_a_client_that_would_not_heed_the_time_waits(self) -> None:
-        self.assertIsNone(ReturnTimes.find(route(400), MODEL, 0.0, 5.0))
+        self.assertIsNone(ReturnTimes.find_return_time(route(400), MODEL, 0.0, 5.0))
 
     def test_who_has_less_time_than_others_of_its_route_has_come_before(self) -> None:
         times = ReturnTimes()
-        self.assertTrue(times.observe(route(400), 15.5))
-        self.assertFalse(times.observe(route(400), 13.0))
-        self.assertTrue(times.observe(route(400), 15.45))
-        self.assertTrue(times.observe(route(400, "other"), 5.0))
-        self.assertTrue(times.observe(route(400), 20.0))
-        self.assertFalse(times.observe(route(400), 15.5))
+        self.assertTrue(times.is_first_try(route(400), 15.5))
+        self.assertFalse(times.is_first_try(route(400), 13.0))
+        self.assertTrue(times.is_first_try(route(400), 15.45))
+        self.assertTrue(times.is_first_try(route(400, "other"), 5.0))
+        self.assertTrue(times.is_first_try(route(400), 20.0))
+        self.assertFalse(times.is_first_try(route(400), 15.5))
 
     def test_the_oldest_wait_for_a_key(self) -> None:
         meter = DemandMeter(lambda key: None)
-        self.assertEqual(0.0, meter.oldest_wait(KEY, 5.0))
+        self.assertEqual(0.0, meter.oldest_wait_seconds(KEY, 5.0))
         meter.begin_wait(KEY, 3.0)
         meter.begin_wait(KEY, 4.0)
-        self.assertEqual(2.0, meter.oldest_wait(KEY, 5.0))
+        self.assertEqual(2.0, meter.oldest_wait_seconds(KEY, 5.0))
         meter.end_wait(KEY, 3.0)
-        self.assertEqual(1.0, meter.oldest_wait(KEY, 5.0))
+        self.assertEqual(1.0, meter.oldest_wait_seconds(KEY, 5.0))
 
 
 if __name__ == "__main__":
