--- a/rookwood/dataplane/answers.py
+++ b/rookwood/dataplane/answers.py
@@ -64,7 +64,7 @@
         self.trace = RequestTrace(arrived)
         self.routed: RoutedRequest | None = None
         self.loss_reason: str = ""  # why the last attempt broke off; empty if it did not
-        self.attempts = 0
+        self.attempts_sent = 0
         self.connection_failures = 0
         self.is_first_try = False  # judged by the time left that the client states
         self.may_have_run = False
--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -77,7 +77,7 @@
             self._on_work(notice)
         traffic.in_flight += 1
         progress.excluded_workers.add(worker.id)
-        progress.attempts += 1
+        progress.attempts_sent += 1
         self._counts.attempts += 1
         result = Outcome.FAILED
         try:
--- a/rookwood/dataplane/durations.py
+++ b/rookwood/dataplane/durations.py
@@ -94,9 +94,9 @@
         """A duration that most attempts do not exceed; the time to the deadline if there are no samples."""
         time_left = max(0.0, request.deadline - now)
         estimates = self._estimates_for(request)
-        if estimates is None:
-            return time_left
-        return min(time_left, estimates.likely_bound(output_tokens(request)))
+        return (
+            time_left if estimates is None else min(time_left, estimates.likely_bound(output_tokens(request)))
+        )
 
     def upper_bound(self, request: RoutedRequest, now: float) -> float:
         """A duration that no attempt should exceed, even at a worker that becomes slower meanwhile.
--- a/rookwood/dataplane/proxy.py
+++ b/rookwood/dataplane/proxy.py
@@ -138,7 +138,7 @@
         """The response to a request that is still in flight at the closing time."""
         if progress.response is not None:
             return self._cut_response(client, progress.response)
-        if progress.attempts:
+        if progress.attempts_sent:
             return ErrorResponse(502, "the dispatcher ends before the worker's answer").build()
         return ErrorResponse(503, "the dispatcher ends", SHUTDOWN_RETRY_AFTER).build()
 
@@ -191,8 +191,9 @@
             if isinstance(outcome, web.StreamResponse):
                 return outcome
             if not self._retry_rules.may_repeat(request, progress, outcome, now()):
-                error = error_after_attempt(request, progress, outcome)
-                return self._give_up(client, request, progress, error)
+                return self._give_up(
+                    client, request, progress, error_after_attempt(request, progress, outcome)
+                )
 
     def _give_up(
         self,
--- a/rookwood/dataplane/repeats.py
+++ b/rookwood/dataplane/repeats.py
@@ -31,7 +31,7 @@
         """
         if not request.repeatable or progress.forwarded_without_id:
             return False
-        if progress.attempts >= request.route.tries:
+        if progress.attempts_sent >= request.route.tries:
             return False
         if request.deadline - now < MIN_ATTEMPT_TIME:
             return False
@@ -56,7 +56,7 @@
             progress.may_have_run = progress.may_have_run or isinstance(outcome, Broken)
             return False
         if isinstance(outcome, NotSent):
-            progress.attempts -= 1
+            progress.attempts_sent -= 1
             progress.connection_failures += 1
             return progress.connection_failures < MAX_CONNECTION_FAILURES
         if isinstance(outcome, Broken):
@@ -66,6 +66,6 @@
         if progress.retry_granted:
             progress.retry_granted = False
             return True
-        if progress.attempts >= request.route.tries:
+        if progress.attempts_sent >= request.route.tries:
             return False
         return self._budget.try_spend(request.service, now)
--- a/rookwood/dataplane/return_times.py
+++ b/rookwood/dataplane/return_times.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._longest_time_left: dict[str, float] = {}
 
-    def is_first_try(self, route: Route, time_left: float) -> bool:
+    def looks_like_first_try(self, route: Route, time_left: float) -> bool:
         """Whether a request with `time_left` seconds looks like a first try; also remembers the longest."""
         longest = max(time_left, self._longest_time_left.get(route.name, 0.0))
         self._longest_time_left[route.name] = longest
--- a/rookwood/dataplane/route_matching.py
+++ b/rookwood/dataplane/route_matching.py
@@ -51,7 +51,7 @@
 
         Routes are compared by identity: a change keeps the objects of the routes that it does not touch.
         """
-        if progress.attempts or progress.may_have_run or progress.response is not None:
+        if progress.attempts_sent or progress.may_have_run or progress.response is not None:
             return False
         return self._router.match(client.host, client.path) is not request.route
 
--- a/rookwood/dataplane/tables.py
+++ b/rookwood/dataplane/tables.py
@@ -75,7 +75,7 @@
         """The weights that the tables assign to each worker."""
         wanted = []
         for name, known in self._tables.items():
-            for worker, keys in known.table.wanted().items():
+            for worker, keys in known.table.wanted_weights().items():
                 pairs = sorted((key.model, key.adapter) for key in keys)
                 wanted += [WantedWeights(name, worker, model, adapter) for model, adapter in pairs]
         return tuple(wanted)
--- a/rookwood/dataplane/upstream.py
+++ b/rookwood/dataplane/upstream.py
@@ -118,7 +118,7 @@
         if answer.status == MISDIRECTED or names.NOT_RUN in answer.headers:
             return Rejected(answer.status)
         if answer.status in PROMISES:
-            return Broken(f"status {answer.status} for a request that may have run")
+            return Broken(f"status {answer.status} of a request that may have run")
         return Complete(answer.status, forwarded_headers, body)
 
 
--- a/rookwood/dataplane/worker_search.py
+++ b/rookwood/dataplane/worker_search.py
@@ -34,7 +34,9 @@
     def record_first_try(self, request: RoutedRequest, progress: RequestProgress) -> None:
         """Record whether this is the client's first try, judged by the time left that it states."""
         if request.stated_time_left is not None:
-            progress.is_first_try = self._return_times.is_first_try(request.route, request.stated_time_left)
+            progress.is_first_try = self._return_times.looks_like_first_try(
+                request.route, request.stated_time_left
+            )
 
     async def find(
         self, client: web.BaseRequest, request: RoutedRequest, progress: RequestProgress
@@ -76,7 +78,7 @@
             return None
         if not self._mechanisms.has(Mechanism.RETURN_TIMES):
             return None
-        if progress.attempts or self._router.has_holder(replace(key, adapter=""), request.service):
+        if progress.attempts_sent or self._router.has_holder(replace(key, adapter=""), request.service):
             return None
         model = self._router.model(key)
         if model is None:
--- a/rookwood/modelplacement/bucket.py
+++ b/rookwood/modelplacement/bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket that paces loads from the weight store."""
+"""A token bucket; it paces the loads from the weight store."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """At most `burst + rate * t` tokens are taken in any span of t seconds. It starts empty."""
+    """Yields at most `burst + rate * t` tokens in any t seconds. It is empty at first."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate = rate
@@ -13,7 +13,7 @@
         self._filled_at: float | None = None
 
     def available(self, now: float) -> float:
-        """Tokens that can be taken now."""
+        """The number of tokens that can be taken now. The first call starts to fill the bucket."""
         if self._filled_at is None:
             self._filled_at = now
         elapsed = max(0.0, now - self._filled_at)
@@ -22,17 +22,17 @@
         return self._tokens
 
     def take(self, now: float) -> bool:
-        """Take one token; False when there is none."""
+        """Take one token; returns False if there is none."""
         if self.available(now) < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def empty(self, now: float) -> None:
-        """Drop all tokens."""
+    def clear(self, now: float) -> None:
+        """Discard all tokens."""
         self._tokens = 0.0
         self._filled_at = now
 
-    def give_back(self) -> None:
-        """Return the token of a load that surely did not begin."""
+    def return_token(self) -> None:
+        """Put one token back, for a load that surely did not begin."""
         self._tokens = min(self.burst, self._tokens + 1.0)
--- a/rookwood/modelplacement/hashing.py
+++ b/rookwood/modelplacement/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that are the same in every process, for orders and choices that dispatchers must share."""
+"""Hashes that are equal in every process, so that all dispatchers derive the same orders and choices."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def stable_hash(text: str) -> int:
-    """A 64-bit hash of a text."""
+    """A 64-bit hash of a text that does not depend on the process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=HASH_BITS // 8).digest(), "big")
 
 
 def hashed_index(text: str, length: int) -> int:
-    """An index below `length`; neighbouring lengths give neighbouring indexes."""
+    """An index below `length`; a small change of `length` changes the index by little."""
     return stable_hash(text) * length >> HASH_BITS
--- a/rookwood/modelplacement/orders.py
+++ b/rookwood/modelplacement/orders.py
@@ -1,9 +1,10 @@
-"""Orders given to workers whose effect no report has shown yet.
+"""Pending load orders, whose effect no report of their worker has shown yet.
 
-An order is settled by a report with a newer sequence, or by one of an equal sequence received a second
-after the order was decided: it was not taken then. Until that time its worker gets no other order, and what
-it would place counts as held. A worker refuses an order whose `if_sequence` has passed, so a settled one
-cannot act later.
+A worker counts the orders that it accepts, and reports the count as its sequence. An order is settled by a
+report with a newer sequence, or by one with an equal sequence received long enough after the order, which
+means that it was not accepted. Until then its worker gets no other order, and the weights that it would load
+count as resident. A worker rejects an order whose `if_sequence` is not its sequence, so a settled order
+cannot take effect later.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
 
-EQUAL_SEQUENCE_S = 1.0  # a report this much later that shows no new order tells that it was not taken
-EQUAL_SEQUENCE_PATIENT_S = 3.0  # the same for an order that was taken, or whose answer is still awaited
-ADAPTER_ORDER_S = 0.1  # an adapter is loaded by then, so the next order need not wait for a report
-LOAD_MARGIN_S = 0.1  # a load should be over so long after its `load_s`
-MISSING_S = 30.0  # a worker without reports for so long is gone
-REFUSED_PAUSE_S = 0.2  # after a refusal the report is out of date; wait for a better one
+UNKNOWN_OUTCOME_PAUSE_S = 1.0  # an equal sequence reported this much later means that it was not accepted
+KNOWN_OUTCOME_PAUSE_S = 3.0  # the same for an order that was accepted, or whose response is awaited
+ADAPTER_LOAD_S = 0.1  # an adapter is loaded after this time, so the next order need not wait for a report
+LOAD_MARGIN_S = 0.1  # a model's load should have ended this long after its `load_s`
+MISSING_WORKER_S = 30.0  # a worker without a report for this long is gone
+REJECTED_PAUSE_S = 0.2  # a rejection means that the known report is outdated; wait for a newer one
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """An order to a worker to load (`place`) or to unload weights."""
+    """An order to a worker to load (`is_load`) or to unload weights."""
 
     worker: str
     place: bool
@@ -33,14 +34,14 @@
 
     @property
     def loads_model(self) -> bool:
-        """Whether the order reads from the weight store."""
+        """Whether the order loads a model, which reads from the weight store."""
         return self.place and not self.key.adapter
 
 
 class _Stage(Enum):
-    SENT = auto()
-    TAKEN = auto()
-    UNKNOWN = auto()
+    SENT = auto()  # no response yet
+    ACCEPTED = auto()
+    UNKNOWN = auto()  # the response was lost
 
 
 @dataclass(slots=True)
@@ -51,73 +52,78 @@
 
 
 @dataclass(slots=True)
-class Holdings:
-    """What a worker holds when every pending place has been taken and no pending evict has."""
+class ProjectedWorker:
+    """A worker as it would be if every pending load had taken effect, and no pending unload.
 
-    weights: WorkerWeights
-    models: dict[str, set[str]]
-    leaving: set[WeightsKey]  # a pending evict concerns these
+    This is the most that the worker may hold, so an order that fits here does not exceed its memory.
+    """
+
+    weights: WorkerWeights  # the newest report
+    models: dict[str, set[str]]  # model -> its adapters, pending loads included
+    unloading: set[WeightsKey]  # weights with a pending unload
     used_mb: float
     adapter_count: int
-    next_sequence: int | None  # for the next order; None: the worker can take none now
-    changed: bool = False  # orders since the report count in
+    next_sequence: int | None  # sequence for the next order; None: the worker can take no order now
+    has_new_orders: bool = False  # includes orders that the report does not show
 
     @property
     def free_mb(self) -> float:
-        """Memory left for weights."""
+        """Megabytes that are free for weights."""
         return self.weights.size_mb - self.used_mb
 
     @property
     def free_adapter_slots(self) -> int:
-        """Places left for adapters."""
+        """The number of free adapter slots."""
         return self.weights.adapter_slots - self.adapter_count
 
 
 class OrderBook:
-    """Pending orders of all workers of one service."""
+    """The pending orders to all workers of one service, and what they and the reports imply."""
 
     def __init__(self, models: Mapping[str, ModelSpec]) -> None:
         self.models = models
         self._pending: dict[str, list[_PendingOrder]] = {}
-        self._newest: dict[str, int] = {}  # highest sequence reported by each worker
-        self._newest_idle: dict[str, int] = {}  # highest sequence reported with no order in progress
+        self._newest_sequence: dict[str, int] = {}  # highest sequence reported by each worker
+        self._newest_idle_sequence: dict[str, int] = {}  # highest sequence reported with no order in progress
         self._seen_at: dict[str, float] = {}
         self._paused_until: dict[str, float] = {}
 
-    def begin(self, now: float, order: LoadOrder) -> None:
-        """An order is about to be sent, or was just sent when it is already known."""
+    def record_sending(self, now: float, order: LoadOrder) -> None:
+        """Record an order as pending; restarts its timeout if it is already pending without a response."""
         pending = self._find(order)
         if pending is None:
             self._pending.setdefault(order.worker, []).append(_PendingOrder(order, _Stage.SENT, now))
         elif pending.stage is _Stage.SENT:
             pending.since = now
 
-    def outcome(self, now: float, order: LoadOrder, taken: bool | None) -> bool:
-        """Note the answer of the worker. True when a pending order surely was not taken."""
+    def record_outcome(self, now: float, order: LoadOrder, accepted: bool | None) -> bool:
+        """Record the worker's response; returns whether a pending order was surely not accepted."""
         pending = self._find(order)
         if pending is None:
             return False
-        if taken is False:
+        if accepted is False:
             self._pending[order.worker].remove(pending)
-            self._paused_until[order.worker] = now + REFUSED_PAUSE_S
+            self._paused_until[order.worker] = now + REJECTED_PAUSE_S
             return True
-        pending.stage = _Stage.TAKEN if taken else _Stage.UNKNOWN
+        pending.stage = _Stage.ACCEPTED if accepted else _Stage.UNKNOWN
         pending.since = now
         return False
 
-    def observe(self, now: float, workers: Iterable[WorkerWeights]) -> list[LoadOrder]:
-        """Settle orders by reports; the settled ones are returned.
+    def settle_by_reports(self, now: float, workers: Iterable[WorkerWeights]) -> list[LoadOrder]:
+        """Settle orders by the workers' reports; returns the settled ones.
 
-        Workers that are missing for long are forgotten: they come back under another name, if at all.
+        Workers that have been missing for long are dropped: they return under another name, if at all.
         """
         present = {weights.worker: weights for weights in workers}
         self._seen_at.update(dict.fromkeys(present, now))
-        self._forget(now)
+        self._forget_missing_workers(now)
         settled = []
         for worker, weights in present.items():
-            self._newest[worker] = max(weights.sequence, self._newest.get(worker, 0))
+            self._newest_sequence[worker] = max(weights.sequence, self._newest_sequence.get(worker, 0))
             if not weights.busy:
-                self._newest_idle[worker] = max(weights.sequence, self._newest_idle.get(worker, 0))
+                self._newest_idle_sequence[worker] = max(
+                    weights.sequence, self._newest_idle_sequence.get(worker, 0)
+                )
             pending = self._pending.get(worker)
             if not pending:
                 continue
@@ -126,43 +132,45 @@
             settled += [p.order for p in done]
         return settled
 
-    def _forget(self, now: float) -> None:
-        for worker in [worker for worker, at in self._seen_at.items() if now - at > MISSING_S]:
+    def _forget_missing_workers(self, now: float) -> None:
+        for worker in [worker for worker, at in self._seen_at.items() if now - at > MISSING_WORKER_S]:
             del self._seen_at[worker]
-            del self._newest[worker]
-            self._newest_idle.pop(worker, None)
+            del self._newest_sequence[worker]
+            self._newest_idle_sequence.pop(worker, None)
             self._pending.pop(worker, None)
             self._paused_until.pop(worker, None)
 
-    def pending(self) -> list[LoadOrder]:
-        """All orders that are not settled."""
+    def pending_orders(self) -> list[LoadOrder]:
+        """All orders that are not settled yet."""
         return [p.order for orders in self._pending.values() for p in orders]
 
-    def expected(self, now: float) -> dict[str, frozenset[WeightsKey]]:
-        """Per worker the keys whose place was taken and should be over by now."""
+    def expected_loads(self, now: float) -> dict[str, frozenset[WeightsKey]]:
+        """Per worker the weights whose load was accepted and should have ended by now."""
         complete = {}
         for worker, orders in self._pending.items():
-            keys = [p.order.key for p in orders if self._should_be_complete(now, p)]
+            keys = [p.order.key for p in orders if self._is_probably_complete(now, p)]
             if keys:
                 complete[worker] = frozenset(keys)
         return complete
 
-    def _should_be_complete(self, now: float, pending: _PendingOrder) -> bool:
-        if pending.stage is not _Stage.TAKEN or not pending.order.place:
+    def _is_probably_complete(self, now: float, pending: _PendingOrder) -> bool:
+        if pending.stage is not _Stage.ACCEPTED or not pending.order.place:
             return False
         if pending.order.key.adapter:
-            return now >= pending.since + ADAPTER_ORDER_S
+            return now >= pending.since + ADAPTER_LOAD_S
         spec = self.models.get(pending.order.key.model)
         return spec is not None and now >= pending.since + spec.load_s + LOAD_MARGIN_S
 
-    def holdings(self, now: float, weights: WorkerWeights, known: Holdings | None = None) -> Holdings:
-        """The worker's holdings by its report and its pending orders.
+    def project(
+        self, now: float, weights: WorkerWeights, known: ProjectedWorker | None = None
+    ) -> ProjectedWorker:
+        """The worker by its report and its pending orders.
 
-        `known`, the result of an earlier call, is returned again when nothing changed since.
+        `known`, the result of an earlier call, is returned again if nothing has changed since.
         """
         pending = self._pending.get(weights.worker, [])
         sequence = self._next_sequence(now, weights)
-        if known is not None and known.weights is weights and not known.changed and not pending:
+        if known is not None and known.weights is weights and not known.has_new_orders and not pending:
             known.next_sequence = sequence
             return known
         models = {model: set(adapters) for model, adapters in weights.models.items()}
@@ -176,11 +184,11 @@
                 models.setdefault(key.model, set())
         used = sum(self._size_of(model, len(adapters)) for model, adapters in models.items())
         count = sum(len(adapters) for adapters in models.values())
-        return Holdings(weights, models, leaving, used, count, sequence, bool(pending))
+        return ProjectedWorker(weights, models, leaving, used, count, sequence, bool(pending))
 
     def _size_of(self, model: str, adapters: int) -> float:
         spec = self.models.get(model)
-        if spec is None:  # of an older configuration: its size is not known, so nothing more fits
+        if spec is None:  # of an older configuration: its size is unknown, so nothing more may fit
             return float("inf")
         return spec.size_mb + adapters * spec.adapter_mb
 
@@ -193,17 +201,23 @@
         if not pending:
             return None if weights.busy else weights.sequence
         last = pending[-1]
-        quick = all(p.stage is _Stage.TAKEN and p.order.place and p.order.key.adapter for p in pending)
+        only_adapter_loads = all(
+            p.stage is _Stage.ACCEPTED and p.order.place and p.order.key.adapter for p in pending
+        )
         in_progress = weights.busy and weights.sequence > last.order.if_sequence
-        if quick and not in_progress and now >= last.since + ADAPTER_ORDER_S:
+        if only_adapter_loads and not in_progress and now >= last.since + ADAPTER_LOAD_S:
             return max(weights.sequence, last.order.if_sequence + 1)
         return None
 
     def _is_outdated(self, weights: WorkerWeights) -> bool:
-        """Whether a newer report was seen; a worker is busy with its newest order before it is idle again."""
-        if weights.sequence < self._newest.get(weights.worker, 0):
+        """Whether a newer report was received before this one.
+
+        A busy report is older than an idle one of the same sequence, since a worker is busy with its newest
+        order before it is idle again.
+        """
+        if weights.sequence < self._newest_sequence.get(weights.worker, 0):
             return True
-        return weights.busy and weights.sequence <= self._newest_idle.get(weights.worker, -1)
+        return weights.busy and weights.sequence <= self._newest_idle_sequence.get(weights.worker, -1)
 
     def _find(self, order: LoadOrder) -> _PendingOrder | None:
         orders = self._pending.get(order.worker, ())
@@ -211,11 +225,12 @@
 
 
 def _is_settled(now: float, pending: _PendingOrder, weights: WorkerWeights) -> bool:
+    """Whether a report shows that the order has ended, or that it was not accepted."""
     expected = pending.order.if_sequence
     if weights.sequence > expected:
         return not weights.busy or weights.sequence > expected + 1
     if weights.sequence < expected or weights.busy:
         return False
-    reported = now if weights.reported is None else weights.reported
-    patience = EQUAL_SEQUENCE_S if pending.stage is _Stage.UNKNOWN else EQUAL_SEQUENCE_PATIENT_S
-    return reported >= pending.since + patience
+    reported_at = now if weights.reported is None else weights.reported
+    pause = UNKNOWN_OUTCOME_PAUSE_S if pending.stage is _Stage.UNKNOWN else KNOWN_OUTCOME_PAUSE_S
+    return reported_at >= pending.since + pause
--- a/rookwood/modelplacement/permutation.py
+++ b/rookwood/modelplacement/permutation.py
@@ -1,7 +1,7 @@
-"""Step 5 of Algorithm 1: permute workers within a range so that the table deviates least from the last.
+"""Step 5 of Algorithm 1: permute workers within a range so that the table deviates least from the last one.
 
-Groups of up to `EXACT_LIMIT` workers get an optimal assignment (the Hungarian method); larger ones are
-improved by a greedy pass over the pairs that overlap at all, which is linear in the size of the table.
+Up to `EXACT_LIMIT` workers get an optimal assignment (the Hungarian method). More workers are assigned by a
+greedy pass over the pairs with any overlap, whose number is linear in the size of the table.
 """
 
 from __future__ import annotations
@@ -11,11 +11,15 @@
 
 EXACT_LIMIT = 24
 
-Overlap = Mapping[tuple[str, str], float]  # (packed as, worker) -> overlap with the last table
+Overlap = Mapping[tuple[str, str], float]  # (position in the packing, worker) -> overlap with the last table
 
 
-def least_deviation(workers: Sequence[str], overlap: Overlap) -> dict[str, str]:
-    """For each packed position the worker that takes it, so that the sum of overlaps is the largest."""
+def assign_with_least_deviation(workers: Sequence[str], overlap: Overlap) -> dict[str, str]:
+    """Map each position of the packing to a worker so that the sum of overlaps is large.
+
+    A position is named after the worker that was packed there. Up to `EXACT_LIMIT` workers, the sum is the
+    largest possible.
+    """
     if len(workers) <= EXACT_LIMIT:
         return _assign_optimally(workers, overlap)
     return _assign_greedily(workers, overlap)
@@ -30,7 +34,7 @@
         if position not in chosen and worker not in taken:
             chosen[position] = worker
             taken.add(worker)
-    for worker in workers:  # where nothing overlaps, a position stays where it was packed
+    for worker in workers:  # without any overlap, a position keeps the worker that it was packed for
         if worker not in chosen and worker not in taken:
             chosen[worker] = worker
             taken.add(worker)
@@ -42,12 +46,12 @@
 
 
 def _assign_optimally(workers: Sequence[str], overlap: Overlap) -> dict[str, str]:
-    """The Hungarian method with potentials, on costs that are negated overlaps."""
+    """The Hungarian method with potentials; the costs are the negated overlaps."""
     size = len(workers)
     cost = [[-overlap.get((position, worker), 0.0) for worker in workers] for position in workers]
     row_potential = [0.0] * (size + 1)
     column_potential = [0.0] * (size + 1)
-    row_of = [0] * (size + 1)  # row assigned to each column; 0: none
+    row_of = [0] * (size + 1)  # the row assigned to each column; 0: none
     for row in range(1, size + 1):
         previous = _augmenting_path(row, cost, row_potential, column_potential, row_of)
         column = previous.pop()
@@ -64,7 +68,10 @@
     column_potential: list[float],
     row_of: list[int],
 ) -> list[int]:
-    """The previous column of each column on the cheapest path; its free end is appended."""
+    """The previous column of each column on the cheapest augmenting path.
+
+    The free column at the end of the path is appended to the list.
+    """
     size = len(cost)
     row_of[0] = row
     column = 0
--- a/rookwood/modelplacement/sites.py
+++ b/rookwood/modelplacement/sites.py
@@ -1,4 +1,4 @@
-"""What the workers of a service hold now, and what it takes to place a model on one of them."""
+"""The workers of a service with their weights, and the options for placing a model on one of them."""
 
 from __future__ import annotations
 
@@ -6,171 +6,191 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from rookwood.modelplacement.orders import MISSING_S, Holdings, LoadOrder, OrderBook
+from rookwood.modelplacement.orders import MISSING_WORKER_S, LoadOrder, OrderBook, ProjectedWorker
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
 from rookwood.modelplacement.value import DemandBook, adapter_loss, copy_loss
 
-HOLD_S = 1.5  # a model stays for at least so long after it was placed
-ADAPTER_HOLD_S = 0.5
-COLD_COST_PER_S = 0.3  # a worker that has held the model reads it from its own disk: faster and not priced
-BLOCKED_COST_PER_S = 0.05  # a loading worker takes no adapter that is asked for, per request a second
-EVICTION_COST = 0.1  # an order more, and the wait for it
-ACTIVE_COST = 0.1  # loads are slower at a worker where many requests run
-WANTED_GAIN = 0.05  # a worker on which the dispatchers' tables want the key is preferred
+MIN_RESIDENT_S = 1.5  # a model is not evicted earlier than this after its load
+MIN_ADAPTER_RESIDENT_S = 0.5  # the same for an adapter
+# Per second of a load from the store. A worker that held the model before reads it from its own disk, which
+# is faster and not priced.
+COLD_COST_PER_S = 0.3
+BLOCKED_COST_PER_S = 0.05  # per second of loading and adapter request a second: no adapter can be loaded then
+EVICTION_COST = 0.1  # for the additional order and the wait for its end
+ACTIVE_COST = 0.1  # a worker whose slots are all in use loads more slowly
+WANTED_GAIN = 0.05  # the preference for a worker to which the dispatchers' tables assign the weights
 
-Wanted = Mapping[str, Mapping[WeightsKey, float]]  # worker -> keys wanted there, with summed shares
+Wanted = Mapping[str, Mapping[WeightsKey, float]]  # worker -> keys that the tables assign to it -> shares
 
 
 @dataclass(frozen=True, slots=True)
-class Site:
-    """A worker that could take a model, after the evictions named."""
+class PlacementOption:
+    """A worker that can load a model after evicting `victims`."""
 
-    holdings: Holdings
+    projected: ProjectedWorker
     victims: tuple[str, ...]
     loss: float  # of the victims
-    cost: float  # the loss, and what speaks against the worker besides
+    cost: float  # the loss and the other costs of this worker
 
     @property
     def rank(self) -> tuple[float, str]:
-        """Sites are compared by cost; the name of the worker breaks ties."""
-        return self.cost, self.holdings.weights.worker
+        """The sort key: the cost, then the worker's name."""
+        return self.cost, self.projected.weights.worker
 
 
 @dataclass(slots=True)
-class _Indexed:
-    """What of a worker is counted in the indexes."""
+class _IndexedWeights:
+    """The weights of a worker that are counted in the indexes."""
 
     models: set[str]
     adapters: set[WeightsKey]
 
 
 class Fleet:
-    """The workers that can be given weights, as of the newest reports and all pending orders."""
+    """The workers that can be given load orders, by their newest reports and all pending orders."""
 
-    def __init__(self, models: Mapping[str, ModelSpec], book: OrderBook, demand: DemandBook) -> None:
+    def __init__(self, models: Mapping[str, ModelSpec], order_book: OrderBook, demand: DemandBook) -> None:
         self.models = models
-        self.views: dict[str, Holdings] = {}
-        self.copies: dict[str, int] = {}  # model -> workers that keep it, those that load it included
-        self.held_adapters: dict[WeightsKey, int] = {}  # adapter -> workers that keep it
-        self._indexed: dict[str, _Indexed] = {}
-        self._book = book
+        self.workers: dict[str, ProjectedWorker] = {}
+        self.copies: dict[str, int] = {}  # model -> workers that hold or load it and do not unload it
+        self.adapter_copies: dict[WeightsKey, int] = {}  # adapter -> the same
+        self._indexed: dict[str, _IndexedWeights] = {}
+        self._order_book = order_book
         self._demand = demand
         self._holders: dict[str, set[str]] = {}
-        self._placed_at: dict[tuple[str, WeightsKey], float] = {}
+        self._loaded_at: dict[tuple[str, WeightsKey], float] = {}
         self._held_before: dict[str, set[str]] = {}
         self._seen_at: dict[str, float] = {}
         self._wanted: Wanted = {}
 
     def update(self, now: float, workers: Sequence[WorkerWeights], wanted: Wanted) -> None:
-        """Take the newest reports. Draining workers are left out."""
+        """Apply the newest reports. Draining workers are left out."""
         self._wanted = wanted
-        known = self.views
+        known = self.workers
         present = [weights for weights in workers if not weights.draining]
-        self.views = {w.worker: self._book.holdings(now, w, known.get(w.worker)) for w in present}
-        for worker in known.keys() - self.views.keys():
+        self.workers = {w.worker: self._order_book.project(now, w, known.get(w.worker)) for w in present}
+        for worker in known.keys() - self.workers.keys():
             self._unindex(worker)
-        for worker, view in self.views.items():
-            if view is not known.get(worker):
+        for worker, projected in self.workers.items():
+            if projected is not known.get(worker):
                 self._unindex(worker)
-                self._index(view)
+                self._index(projected)
         self._forget(now)
 
-    def note_placed(self, now: float, worker: str, key: WeightsKey) -> None:
-        """A place was ordered or is complete: the key is not evicted for a while."""
-        self._placed_at[worker, key] = now
+    def record_load(self, now: float, worker: str, key: WeightsKey) -> None:
+        """A load was ordered or has ended: the weights are not evicted for a while."""
+        self._loaded_at[worker, key] = now
 
-    def note_refused(self, worker: str, key: WeightsKey) -> None:
-        """A place was surely not taken."""
-        self._placed_at.pop((worker, key), None)
+    def undo_load(self, worker: str, key: WeightsKey) -> None:
+        """The order to load the weights was surely not accepted."""
+        self._loaded_at.pop((worker, key), None)
 
-    def apply(self, now: float, order: LoadOrder) -> None:
-        """Bring what is known in line with an order that is about to be sent."""
-        view = self.views[order.worker]
-        view.next_sequence = None
-        view.changed = True
+    def apply_order(self, now: float, order: LoadOrder) -> None:
+        """Apply an order that is about to be sent."""
+        projected = self.workers[order.worker]
+        projected.next_sequence = None
+        projected.has_new_orders = True
         if order.place:
-            self.note_placed(now, order.worker, order.key)
-            adapters = view.models.setdefault(order.key.model, set())
+            self.record_load(now, order.worker, order.key)
+            adapters = projected.models.setdefault(order.key.model, set())
             if order.key.adapter:
                 adapters.add(order.key.adapter)
         else:
-            view.leaving.add(order.key)
+            projected.unloading.add(order.key)
         self._unindex(order.worker)
-        self._index(view)
-
-    def holders(self, model: str) -> Sequence[Holdings]:
-        """Workers that keep a model, those that load it included."""
-        return [self.views[worker] for worker in self._holders.get(model, ())]
-
-    def places(self) -> int:
-        """How many models the workers hold together, about."""
-        largest = self.largest_mb()
-        return sum(int(view.weights.size_mb / largest) for view in self.views.values()) if largest else 0
-
-    def largest_mb(self) -> float:
-        """Size of the largest model."""
+        self._index(projected)
+
+    def holders(self, model: str) -> Sequence[ProjectedWorker]:
+        """The workers that hold or load a model and do not unload it."""
+        return [self.workers[worker] for worker in self._holders.get(model, ())]
+
+    def model_capacity(self) -> int:
+        """The number of models of the largest size that fit on all workers together."""
+        largest = self.largest_model_mb()
+        return (
+            sum(int(projected.weights.size_mb / largest) for projected in self.workers.values())
+            if largest
+            else 0
+        )
+
+    def largest_model_mb(self) -> float:
+        """The size of the largest model in megabytes."""
         return max((spec.size_mb for spec in self.models.values()), default=0.0)
 
-    def adapter_fits(self, view: Holdings, key: WeightsKey) -> bool:
+    def adapter_fits(self, projected: ProjectedWorker, key: WeightsKey) -> bool:
         """Whether a worker that holds the model has room for an adapter of it."""
-        return view.free_adapter_slots >= 1 and self.models[key.model].adapter_mb <= view.free_mb
+        return projected.free_adapter_slots >= 1 and self.models[key.model].adapter_mb <= projected.free_mb
 
-    def adapter_losses(self, now: float, view: Holdings) -> Iterator[tuple[float, str, WeightsKey]]:
-        """What evicting each adapter of a worker loses; those in demand just now are left out."""
-        worker = view.weights.worker
-        for model, adapters in view.weights.models.items():
+    def adapter_losses(
+        self, now: float, projected: ProjectedWorker
+    ) -> Iterator[tuple[float, str, WeightsKey]]:
+        """Yield (loss, worker, adapter) for each adapter of a worker that may be evicted.
+
+        Adapters that requests wait for and those loaded just now are left out.
+        """
+        worker = projected.weights.worker
+        for model, adapters in projected.weights.models.items():
             for key in (WeightsKey(model, adapter) for adapter in adapters):
                 loss = adapter_loss(now, self._demand, key)
-                if now - self._placed_at.get((worker, key), -math.inf) >= ADAPTER_HOLD_S and loss < math.inf:
+                if (
+                    now - self._loaded_at.get((worker, key), -math.inf) >= MIN_ADAPTER_RESIDENT_S
+                    and loss < math.inf
+                ):
                     yield loss, worker, key
 
-    def site(self, now: float, view: Holdings, key: WeightsKey) -> Site | None:
-        """What it takes to place a model on a worker; None when it cannot be done."""
+    def placement_option(
+        self, now: float, projected: ProjectedWorker, key: WeightsKey
+    ) -> PlacementOption | None:
+        """The option of placing a model on a worker; None if it cannot be placed there."""
         spec = self.models[key.model]
-        if spec.size_mb > view.weights.size_mb or key.model in view.models:
+        if spec.size_mb > projected.weights.size_mb or key.model in projected.models:
             return None
-        victims, loss = self.victims(now, view, spec.size_mb)
+        victims, loss = self.choose_victims(now, projected, spec.size_mb)
         if math.isinf(loss):
             return None
-        cost = loss + EVICTION_COST * len(victims) + self._placing_cost(view, key, spec)
-        return Site(view, victims, loss, cost)
-
-    def victims(self, now: float, view: Holdings, size_mb: float) -> tuple[tuple[str, ...], float]:
-        """The models to evict until there is room, and their loss; infinite when it cannot be done."""
-        if size_mb <= view.free_mb:
+        cost = loss + EVICTION_COST * len(victims) + self._placement_cost(projected, key, spec)
+        return PlacementOption(projected, victims, loss, cost)
+
+    def choose_victims(
+        self, now: float, projected: ProjectedWorker, size_mb: float
+    ) -> tuple[tuple[str, ...], float]:
+        """The models to evict so that `size_mb` are free, and their loss; infinite if it is not possible."""
+        if size_mb <= projected.free_mb:
             return (), 0.0
-        losses = sorted((self._copy_loss(now, view, model), model) for model in view.models)
-        kept = {model: self._size_of(model, len(adapters)) for model, adapters in view.models.items()}
-        room_mb = view.weights.size_mb - size_mb
-        several, total = _fewest_losses(losses, kept, room_mb)
-        for loss, model in losses:  # one larger model may do as well as several small ones
-            if loss > total + EVICTION_COST * (len(several) - 1):
+        losses = sorted((self._copy_loss(now, projected, model), model) for model in projected.models)
+        sizes = {model: self._size_of(model, len(adapters)) for model, adapters in projected.models.items()}
+        remaining_mb = projected.weights.size_mb - size_mb
+        victims, total_loss = _cheapest_victims(losses, sizes, remaining_mb)
+        for loss, model in losses:  # a single larger model may cost less than several small ones
+            if loss > total_loss + EVICTION_COST * (len(victims) - 1):
                 break
-            if sum(size for name, size in kept.items() if name != model) <= room_mb:
+            if sum(size for name, size in sizes.items() if name != model) <= remaining_mb:
                 return (model,), loss
-        return several, total
+        return victims, total_loss
 
-    def adapter_rate(self, view: Holdings) -> float:
-        """Requests a second for adapters that a worker serves its part of."""
+    def adapter_rate(self, projected: ProjectedWorker) -> float:
+        """The worker's part of the requests a second for adapters of its models."""
         rate = 0.0
-        for model in view.models:
-            rate += self._demand.of(model).adapter_rate / max(self.copies.get(model, 1), 1)
+        for model in projected.models:
+            rate += self._demand.for_model(model).adapter_rate / max(self.copies.get(model, 1), 1)
         return rate
 
-    def _placing_cost(self, view: Holdings, key: WeightsKey, spec: ModelSpec) -> float:
-        weights = view.weights
+    def _placement_cost(self, projected: ProjectedWorker, key: WeightsKey, spec: ModelSpec) -> float:
+        weights = projected.weights
         cost = ACTIVE_COST * weights.active / max(weights.slots, 1)
         if key.model not in self._held_before.get(weights.worker, ()):
             cost += COLD_COST_PER_S * spec.load_s
-        cost += BLOCKED_COST_PER_S * spec.load_s * self.adapter_rate(view)
+        cost += BLOCKED_COST_PER_S * spec.load_s * self.adapter_rate(projected)
         return cost - self._wanted_gain(weights.worker, key)
 
-    def _copy_loss(self, now: float, view: Holdings, model: str) -> float:
+    def _copy_loss(self, now: float, projected: ProjectedWorker, model: str) -> float:
         key = WeightsKey(model)
-        worker = view.weights.worker
-        if now - self._placed_at.get((worker, key), -math.inf) < HOLD_S:
+        worker = projected.weights.worker
+        if now - self._loaded_at.get((worker, key), -math.inf) < MIN_RESIDENT_S:
             return math.inf
-        loss = copy_loss(now, self._demand.of(model), self.copies.get(model, 1), view.models[model])
+        loss = copy_loss(
+            now, self._demand.for_model(model), self.copies.get(model, 1), projected.models[model]
+        )
         return loss + self._wanted_gain(worker, key)
 
     def _wanted_gain(self, worker: str, key: WeightsKey) -> float:
@@ -180,20 +200,20 @@
         spec = self.models.get(model)
         return spec.size_mb + adapters * spec.adapter_mb if spec else math.inf
 
-    def _index(self, view: Holdings) -> None:
-        worker = view.weights.worker
-        self._held_before.setdefault(worker, set()).update(view.weights.models)
-        indexed = _Indexed(set(), set())
-        for model, adapters in view.models.items():
-            if WeightsKey(model) not in view.leaving:
+    def _index(self, projected: ProjectedWorker) -> None:
+        worker = projected.weights.worker
+        self._held_before.setdefault(worker, set()).update(projected.weights.models)
+        indexed = _IndexedWeights(set(), set())
+        for model, adapters in projected.models.items():
+            if WeightsKey(model) not in projected.unloading:
                 indexed.models.add(model)
                 indexed.adapters.update(WeightsKey(model, adapter) for adapter in adapters)
-        indexed.adapters -= view.leaving
+        indexed.adapters -= projected.unloading
         for model in indexed.models:
             self.copies[model] = self.copies.get(model, 0) + 1
             self._holders.setdefault(model, set()).add(worker)
         for key in indexed.adapters:
-            self.held_adapters[key] = self.held_adapters.get(key, 0) + 1
+            self.adapter_copies[key] = self.adapter_copies.get(key, 0) + 1
         self._indexed[worker] = indexed
 
     def _unindex(self, worker: str) -> None:
@@ -204,34 +224,34 @@
             self.copies[model] -= 1
             self._holders[model].discard(worker)
         for key in indexed.adapters:
-            self.held_adapters[key] -= 1
-            if not self.held_adapters[key]:
-                del self.held_adapters[key]
+            self.adapter_copies[key] -= 1
+            if not self.adapter_copies[key]:
+                del self.adapter_copies[key]
 
     def _forget(self, now: float) -> None:
-        self._seen_at.update(dict.fromkeys(self.views, now))
-        for worker in [worker for worker, at in self._seen_at.items() if now - at > MISSING_S]:
+        self._seen_at.update(dict.fromkeys(self.workers, now))
+        for worker in [worker for worker, at in self._seen_at.items() if now - at > MISSING_WORKER_S]:
             del self._seen_at[worker]
             del self._held_before[worker]
-        longest = max(HOLD_S, ADAPTER_HOLD_S)
-        self._placed_at = {
-            place: at
-            for place, at in self._placed_at.items()
-            if place[0] in self.views and now - at < longest
+        longest = max(MIN_RESIDENT_S, MIN_ADAPTER_RESIDENT_S)
+        self._loaded_at = {
+            worker_key: at
+            for worker_key, at in self._loaded_at.items()
+            if worker_key[0] in self.workers and now - at < longest
         }
 
 
-def _fewest_losses(
-    losses: Sequence[tuple[float, str]], sizes: Mapping[str, float], room_mb: float
+def _cheapest_victims(
+    losses: Sequence[tuple[float, str]], sizes: Mapping[str, float], remaining_mb: float
 ) -> tuple[tuple[str, ...], float]:
-    """The models with the least losses until the others fit into the room, and the sum of their losses."""
-    kept = dict(sizes)
+    """The models with the smallest losses until the others fit into `remaining_mb`, and the sum of losses."""
+    remaining = dict(sizes)
     victims: list[str] = []
-    total = 0.0
+    total_loss = 0.0
     for loss, model in losses:
-        total += loss
+        total_loss += loss
         victims.append(model)
-        del kept[model]
-        if sum(kept.values()) <= room_mb:
+        del remaining[model]
+        if sum(remaining.values()) <= remaining_mb:
             break
-    return tuple(victims), total
+    return tuple(victims), total_loss
--- a/rookwood/modelplacement/types.py
+++ b/rookwood/modelplacement/types.py
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class WeightsKey:
-    """The weights a request asks for: a model, or an adapter on top of it."""
+    """The weights that a request needs: a base model, or an adapter of it."""
 
     model: str
     adapter: str = ""  # empty: the base model
 
     @property
     def base(self) -> WeightsKey:
-        """The key of the model below an adapter; a base model is its own base."""
+        """The key of an adapter's base model; a base model is its own base."""
         return WeightsKey(self.model) if self.adapter else self
 
 
 @dataclass(frozen=True, slots=True)
 class ModelSpec:
-    """What the configuration says about a model."""
+    """A model as the configuration describes it."""
 
     name: str
     size_mb: float
@@ -31,36 +31,36 @@
     adapter_mb: float
 
     def size_of(self, key: WeightsKey) -> float:
-        """Megabytes that the weights of `key` add to a worker that holds everything below them."""
+        """Megabytes that the weights of `key` take; those of an adapter without its base model."""
         return self.adapter_mb if key.adapter else self.size_mb
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerWeights:
-    """What a worker of an engine service is known to hold, by its newest report."""
+    """A worker of an engine service with its resident models, by its newest report."""
 
     worker: str
     zone: str
     size_mb: float
     adapter_slots: int
     slots: int
-    models: Mapping[str, frozenset[str]]  # model -> adapters held
+    models: Mapping[str, frozenset[str]]  # model -> its resident adapters
     busy: bool  # an order is in progress
-    sequence: int  # number of orders taken
-    active: int
-    queued: int
+    sequence: int  # number of orders accepted
+    active: int  # requests that run
+    queued: int  # requests that wait at the worker
     draining: bool
     started: float
-    reported: float | None = None  # when the report was received; None: it is as new as the call
+    reported: float | None = None  # when the report was received; None: at the time of the call
 
     def holds(self, key: WeightsKey) -> bool:
-        """Whether a request for `key` can run here."""
+        """Whether the worker can run a request that needs `key`."""
         adapters = self.models.get(key.model)
         return adapters is not None and (not key.adapter or key.adapter in adapters)
 
 
 class Outcome(Enum):
-    """How a request ended at a worker, as far as placement cares."""
+    """How an attempt ended, as the placement distinguishes it."""
 
     OK = auto()
     LATE = auto()
--- a/tests/test_modelplacement_loads.py
+++ b/tests/test_modelplacement_loads.py
@@ -243,22 +243,22 @@
         """The same sequence was reported idle since: this worker holds the model by now."""
         book = OrderBook(MODELS)
         idle = weights("w0", holding("m0", "m2"), size_mb=260.0, sequence=3)
-        book.observe(10.0, [idle])
+        book.settle_by_reports(10.0, [idle])
         order = LoadOrder("w0", True, WeightsKey("m0", "a1"), 3)
-        book.begin(10.0, order)
-        book.outcome(10.0, order, True)
-        self.assertEqual(book.holdings(10.5, idle).next_sequence, 4)
+        book.record_sending(10.0, order)
+        book.record_outcome(10.0, order, True)
+        self.assertEqual(book.project(10.5, idle).next_sequence, 4)
         older = weights("w0", holding("m0"), size_mb=260.0, busy=True, sequence=3)
-        book.observe(10.5, [older])
-        self.assertIsNone(book.holdings(10.5, older).next_sequence)
+        book.settle_by_reports(10.5, [older])
+        self.assertIsNone(book.project(10.5, older).next_sequence)
 
     def test_an_order_to_a_worker_that_is_missing_for_a_while_stays_known(self) -> None:
         self.planner.outcome(2.1, self.order, None)
         self.planner.plan(2.3, [], {}, {})
         self.assertEqual(self.plan(2.5), [])
-        self.assertEqual(self.planner.pending(), [self.order])
+        self.assertEqual(self.planner.pending_orders(), [self.order])
         self.planner.plan(60.0, [], {}, {})
-        self.assertEqual(self.planner.pending(), [])
+        self.assertEqual(self.planner.pending_orders(), [])
 
     def test_a_refused_order_is_given_again_on_a_newer_report(self) -> None:
         self.planner.outcome(2.1, self.order, False)
@@ -267,8 +267,8 @@
 
     def test_what_was_taken_is_expected_before_a_report_shows_it(self) -> None:
         self.planner.outcome(2.1, self.order, True)
-        self.assertEqual(self.planner.expected(2.2), {})
-        self.assertEqual(self.planner.expected(3.0), {"w0": frozenset({self.order.key})})
+        self.assertEqual(self.planner.expected_loads(2.2), {})
+        self.assertEqual(self.planner.expected_loads(3.0), {"w0": frozenset({self.order.key})})
 
 
 class Models(unittest.TestCase):
@@ -408,7 +408,7 @@
     def test_a_new_configuration_keeps_pending_orders(self) -> None:
         (order,) = self.plan(0.0, [weights("w0", {})], {WeightsKey("m3"): waiting()})
         self.planner.reconfigure(MODELS | {"m9": ModelSpec("m9", 10.0, 1.0, 0, 1.0)}, LOADS_PER_S)
-        self.assertEqual(self.planner.pending(), [order])
+        self.assertEqual(self.planner.pending_orders(), [order])
         self.assertEqual(self.plan(0.1, [weights("w0", {})], {WeightsKey("m9"): waiting()}), [])
 
 
--- a/tests/test_modelplacement_simulation.py
+++ b/tests/test_modelplacement_simulation.py
@@ -197,7 +197,7 @@
             worker.order = None
 
     def _read_reports(self) -> None:
-        pending = {order.worker for order in self.planner.pending()}
+        pending = {order.worker for order in self.planner.pending_orders()}
         for worker in self.workers.values():
             worker.reports.append((self.now, worker.report(self.now)))
             every = REPORT_PENDING_EVERY_S if worker.name in pending else REPORT_EVERY_S
--- a/tests/test_modelplacement_table.py
+++ b/tests/test_modelplacement_table.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rookwood.modelplacement.permutation import EXACT_LIMIT, least_deviation
+from rookwood.modelplacement.permutation import EXACT_LIMIT, assign_with_least_deviation
 from rookwood.modelplacement.selection import Candidate, choose_worker
 from rookwood.modelplacement.table import RAMP_S, PlacementTable
 from rookwood.modelplacement.types import ModelSpec, Outcome, WeightsKey, WorkerWeights
@@ -72,7 +72,7 @@
                 self.assertAlmostEqual(sum(f for _, f in fractions), 1.0)
                 self.assertTrue(all(f > 0.0 for _, f in fractions))
                 self.assertEqual(len({w for w, _ in fractions}), len(fractions))
-            for worker, wanted in table.wanted().items():
+            for worker, wanted in table.wanted_weights().items():
                 self.assertLessEqual(used_mb(models, wanted), 300.0, worker)
                 self.assertLessEqual(sum(bool(key.adapter) for key in wanted), 4, worker)
                 self.assertTrue({key.base for key in wanted} <= wanted)
@@ -104,7 +104,7 @@
     def test_deviation_is_least_within_a_range(self, overlaps: list[list[float]]) -> None:
         names = [f"w{i}" for i in range(len(overlaps))]
         overlap = {(a, b): overlaps[i][j] for i, a in enumerate(names) for j, b in enumerate(names)}
-        chosen = least_deviation(names, overlap)
+        chosen = assign_with_least_deviation(names, overlap)
         self.assertEqual(sorted(chosen), names)
         self.assertEqual(sorted(chosen.values()), names)
         best = max(
@@ -119,7 +119,7 @@
         random = Random(seed)
         names = [f"w{i}" for i in range(EXACT_LIMIT + 20)]
         pairs = [(random.choice(names), random.choice(names)) for _ in range(60)]
-        chosen = least_deviation(names, {pair: random.random() for pair in pairs})
+        chosen = assign_with_least_deviation(names, {pair: random.random() for pair in pairs})
         self.assertEqual(sorted(chosen), sorted(names))
         self.assertEqual(sorted(chosen.values()), sorted(names))
 
@@ -221,16 +221,16 @@
     def test_operating_points_fall_on_trouble_and_rise_slowly(self) -> None:
         table = PlacementTable(specs())
         group = specs()["m1"].size_mb
-        seed = table.operating_points.of(group)
+        seed = table.operating_points.for_group(group)
         for outcome in (Outcome.LATE, Outcome.FULL, Outcome.FAILED, Outcome.TIMED_OUT):
             table.record_outcome("w0", WeightsKey("m1"), outcome, 0.0)
-        fallen = table.operating_points.of(group)
+        fallen = table.operating_points.for_group(group)
         self.assertLess(fallen, seed)
         for _ in range(4):
             table.record_outcome("w0", WeightsKey("m1"), Outcome.OK, 1.0)
-        self.assertLess(fallen, table.operating_points.of(group))
-        self.assertLess(table.operating_points.of(group), seed)
-        self.assertEqual(table.operating_points.of(specs()["m0"].size_mb), seed)
+        self.assertLess(fallen, table.operating_points.for_group(group))
+        self.assertLess(table.operating_points.for_group(group), seed)
+        self.assertEqual(table.operating_points.for_group(specs()["m0"].size_mb), seed)
 
 
 WHOLE_PROMPT_SECONDS = 0.24
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -35,12 +35,12 @@
 
     def test_who_has_less_time_than_others_of_its_route_has_come_before(self) -> None:
         times = ReturnTimes()
-        self.assertTrue(times.is_first_try(route(400), 15.5))
-        self.assertFalse(times.is_first_try(route(400), 13.0))
-        self.assertTrue(times.is_first_try(route(400), 15.45))
-        self.assertTrue(times.is_first_try(route(400, "other"), 5.0))
-        self.assertTrue(times.is_first_try(route(400), 20.0))
-        self.assertFalse(times.is_first_try(route(400), 15.5))
+        self.assertTrue(times.looks_like_first_try(route(400), 15.5))
+        self.assertFalse(times.looks_like_first_try(route(400), 13.0))
+        self.assertTrue(times.looks_like_first_try(route(400), 15.45))
+        self.assertTrue(times.looks_like_first_try(route(400, "other"), 5.0))
+        self.assertTrue(times.looks_like_first_try(route(400), 20.0))
+        self.assertFalse(times.looks_like_first_try(route(400), 15.5))
 
     def test_the_oldest_wait_for_a_key(self) -> None:
         meter = DemandMeter(lambda key: None)
