--- a/rookwood/dataplane/attempt_limits.py
+++ b/rookwood/dataplane/attempt_limits.py
@@ -4,8 +4,8 @@
 
 from rookwood.dataplane.closing import ClosingTime
 from rookwood.dataplane.durations import DurationMeter
-from rookwood.dataplane.repeats import MIN_ATTEMPT_TIME
 from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.retry_rules import MIN_ATTEMPT_TIME
 from rookwood.metrics.loop_lag import LoopLag
 
 MAX_WAIT_SHARE = 0.45  # of a request's time; a later rejection leaves the client too little time to try again
--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -10,20 +10,20 @@
 
 from rookwood.cluster.messages import WorkNotice
 from rookwood.cluster.workers import WorkerRecord
-from rookwood.dataplane.answers import (
-    OUTCOME_KEY,
-    RequestProgress,
-    StreamEnded,
-    close_incomplete_response,
-    complete_response,
-)
 from rookwood.dataplane.attempt_limits import AttemptLimits
 from rookwood.dataplane.clock import now
 from rookwood.dataplane.demand import DemandMeter
 from rookwood.dataplane.pool import WorkerPool, WorkerTraffic
-from rookwood.dataplane.repeats import RepeatRules
 from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
 from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.responses import (
+    OUTCOME_KEY,
+    RequestProgress,
+    StreamEnded,
+    close_incomplete_response,
+    complete_response,
+)
+from rookwood.dataplane.retry_rules import RetryRules
 from rookwood.dataplane.router import Router, uncached_tokens
 from rookwood.dataplane.silence import WorkerWatch
 from rookwood.dataplane.stream_relay import UNRESPONSIVE, copy_events
@@ -38,7 +38,7 @@
     read_load,
 )
 from rookwood.dataplane.upstream_requests import MILLISECONDS, build_upstream_request, choose_urgency
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 from rookwood.mechanisms import Mechanism, Mechanisms
 from rookwood.modelplacement.types import Outcome
 
@@ -54,7 +54,7 @@
     _pool: WorkerPool
     _demand: DemandMeter
     _client: UpstreamClient
-    _retry_rules: RepeatRules
+    _retry_rules: RetryRules
     _limits: AttemptLimits
     _counts: RequestCounts
     _mechanisms: Mechanisms
@@ -62,7 +62,7 @@
 
     async def send(
         self, client: web.BaseRequest, request: RoutedRequest, worker: WorkerRecord, progress: RequestProgress
-    ) -> web.StreamResponse | NotSent | Rejected | Broken:
+    ) -> web.StreamResponse | NotSent | Rejected | ResponseLost:
         """Send the request to the worker once.
 
         A `web.StreamResponse` ends the request; any other outcome leaves it to the caller to retry.
@@ -88,7 +88,7 @@
             result = placement_outcome(request, outcome, now())
             outcome_at = now()
             progress.trace.record_outcome(outcome_at)
-            progress.loss_reason = outcome.why if isinstance(outcome, Broken) else ""
+            progress.loss_reason = outcome.reason if isinstance(outcome, ResponseLost) else ""
             if isinstance(outcome, Streaming):
                 if had_no_backlog and request.key is not None:
                     self._router.observe_prefill(request.key.model, tokens, now() - began)
@@ -116,7 +116,7 @@
         sending: Coroutine[Any, Any, UpstreamOutcome],
     ) -> UpstreamOutcome:
         """Wait for the response head; give up an unresponsive worker if the request may be retried."""
-        outcome: UpstreamOutcome = Broken(UNRESPONSIVE)
+        outcome: UpstreamOutcome = ResponseLost(UNRESPONSIVE)
         async with self._watch_worker(request, progress, traffic):
             outcome = await sending
             traffic.last_received_at = now()
@@ -136,13 +136,13 @@
 
     def _accept_complete(
         self, request: RoutedRequest, outcome: Complete, progress: RequestProgress
-    ) -> web.StreamResponse | Broken:
+    ) -> web.StreamResponse | ResponseLost:
         """Turn a complete response into the client's, unless a stream has begun or a retry may do better."""
         if progress.response is not None:
-            return Broken("complete response in place of the rest of a stream")
+            return ResponseLost("complete response in place of the rest of a stream")
         if outcome.status >= FIRST_SERVER_ERROR and request.repeatable:
             progress.last_response = outcome
-            return Broken(f"status {outcome.status}")
+            return ResponseLost(f"status {outcome.status}")
         return complete_response(outcome)
 
     def _build_upstream_request(
@@ -171,7 +171,7 @@
                 traffic.record_missing_weights(request.key.model, request.key.adapter, received_at)
             else:
                 traffic.record_failure(received_at)
-        elif isinstance(outcome, NotSent) or outcome.why != "deadline":
+        elif isinstance(outcome, NotSent) or outcome.reason != "deadline":
             traffic.record_failure(received_at)
 
     async def _relay_stream(
@@ -181,8 +181,8 @@
         worker: WorkerRecord,
         stream: Streaming,
         progress: RequestProgress,
-    ) -> web.StreamResponse | Broken:
-        """Forward a stream event by event; Broken if a retry may resume it."""
+    ) -> web.StreamResponse | ResponseLost:
+        """Forward a stream event by event; ResponseLost if a retry may resume it."""
         if progress.response is None:
             progress.response = web.StreamResponse(status=stream.status, headers=stream.headers)
             if self._limits.closing.is_known:
@@ -204,7 +204,7 @@
         progress.loss_reason = ended.reason
         if ended.reason != "deadline":
             self._pool.get(worker.id).record_failure(now())
-        return Broken(ended.reason)
+        return ResponseLost(ended.reason)
 
 
 def placement_outcome(request: RoutedRequest, outcome: UpstreamOutcome, now: float) -> Outcome:
@@ -218,5 +218,5 @@
     if isinstance(outcome, Complete | Streaming):
         late = now - request.arrived > request.route.target_ms / MILLISECONDS
         return Outcome.LATE if late else Outcome.OK
-    timed_out = isinstance(outcome, Broken) and outcome.why == "deadline"
+    timed_out = isinstance(outcome, ResponseLost) and outcome.reason == "deadline"
     return Outcome.TIMED_OUT if timed_out else Outcome.FAILED
--- a/rookwood/dataplane/control_links.py
+++ b/rookwood/dataplane/control_links.py
@@ -18,8 +18,8 @@
 from rookwood.cluster.connection import Connection
 from rookwood.cluster.feed import LinkHandler, LinkSet, PositionReader, StallReader
 from rookwood.cluster.messages import (
-    RELEASE,
-    RELEASE_WITH_ONE_FEED,
+    PROTOCOL_RELEASE,
+    RELEASE_WITH_RELAYED_FEED,
     ControlMachine,
     HeartbeatAnswer,
     Hello,
@@ -28,7 +28,7 @@
 )
 from rookwood.cluster.settings import NodeSettings
 from rookwood.coordination.parent_choice import ParentChoice, ParentTiming
-from rookwood.coordination.rendezvous import weight
+from rookwood.coordination.rendezvous import rendezvous_weight
 
 TICK_INTERVAL = 0.25  # seconds
 TIMING = ParentTiming(pause_limit=2 * TICK_INTERVAL)
@@ -51,7 +51,7 @@
         self._zone = settings.zone
         self._handler = handler
         self._seeds = seeds
-        hello = Hello(settings.ip, TIER_EDGE, settings.zone, RELEASE)
+        hello = Hello(settings.ip, TIER_EDGE, settings.zone, PROTOCOL_RELEASE)
         self.links = LinkSet(settings.feed_port, hello, self, settings.ip, position, stalled)
         self._parent_choice: ParentChoice | None = None
         self._control_machines: tuple[ControlMachine, ...] = ()
@@ -60,15 +60,17 @@
         self._closed = False
 
     @property
-    def feeding(self) -> str | None:
+    def feeding_machine(self) -> str | None:
         """The address of the machine whose feed this dispatcher subscribes to."""
-        return self._parent_choice.current if self._parent_choice is not None else None
+        return self._parent_choice.current_parent if self._parent_choice is not None else None
 
     @property
     def subscribes_to_all(self) -> bool:
         """Whether to subscribe to all machines: the feeding machine's release does not relay messages."""
-        feeding = self.feeding
-        return feeding is not None and self._releases.get(feeding, RELEASE) < RELEASE_WITH_ONE_FEED
+        feeding = self.feeding_machine
+        return (
+            feeding is not None and self._releases.get(feeding, PROTOCOL_RELEASE) < RELEASE_WITH_RELAYED_FEED
+        )
 
     def tick(self, now: float, confirmed: bool, primary: str | None, members: Iterable[str]) -> None:
         """Choose the feeding machine and update the links.
@@ -82,28 +84,28 @@
             self._parent_choice = ParentChoice(candidates, now, TIMING)
         self._parent_choice.set_parents(candidates, now)
         self._leave_if_out_of_contact(now)
-        previous = self._parent_choice.current
+        previous = self._parent_choice.current_parent
         self._parent_choice.tick(now)
-        if self._parent_choice.current != previous:
+        if self._parent_choice.current_parent != previous:
             self._out_of_contact_since = None
         self._update_links(confirmed, primary, members)
 
-    def overdue(self, peer: str, now: float) -> None:
+    def record_overdue_answer(self, peer: str, now: float) -> None:
         """A machine did not answer a fetch request in time."""
         if self._parent_choice is not None:
-            self._parent_choice.suspected(peer, now)
+            self._parent_choice.record_suspicion(peer, now)
 
-    def brings_notices(self, peer: str) -> bool:
+    def accepts_notices_from(self, peer: str) -> bool:
         """Whether to use the work notices from a machine, so that each notice is counted once."""
-        return peer == self.feeding or self.subscribes_to_all
+        return peer == self.feeding_machine or self.subscribes_to_all
 
     def connection(self, peer: str | None) -> Connection | None:
         """The open link to a peer, or None."""
         return self.links.connection(peer) if peer is not None else None
 
-    def reporting(self, primary: str | None) -> Connection | None:
+    def report_connection(self, primary: str | None) -> Connection | None:
         """The link for reports: to the feeding machine, or to the primary if that one relays nothing."""
-        return self.connection(primary if self.subscribes_to_all else self.feeding)
+        return self.connection(primary if self.subscribes_to_all else self.feeding_machine)
 
     def close(self) -> None:
         """Close all links; no link is opened after this."""
@@ -112,41 +114,41 @@
 
     # The LinkHandler methods, called by the links.
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """A link was opened."""
-        self._handler.linked(peer, connection)
+        self._handler.link_opened(peer, connection)
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """A message was received over a link."""
-        self._handler.received(peer, message)
+        self._handler.message_received(peer, message)
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """A link ended."""
-        self._handler.unlinked(peer)
+        self._handler.link_closed(peer)
 
     # Called by the handler, which passes the time in.
 
-    def heard(self, peer: str, message: Message, now: float) -> None:
+    def record_message(self, peer: str, message: Message, now: float) -> None:
         """Record a message as a sign of life of its sender, with the sender's release, contact and peers."""
         if self._parent_choice is None:
             return
-        if peer == self._parent_choice.current or is_settled_and_in_contact(message):
-            self._parent_choice.heard(peer, now)
+        if peer == self._parent_choice.current_parent or is_settled_and_in_contact(message):
+            self._parent_choice.record_message(peer, now)
         if isinstance(message, Status):
             self._releases[peer] = message.release
-            if peer == self._parent_choice.current and message.roots:
+            if peer == self._parent_choice.current_parent and message.roots:
                 self._control_machines = message.roots
-        elif isinstance(message, HeartbeatAnswer) and peer == self._parent_choice.current:
+        elif isinstance(message, HeartbeatAnswer) and peer == self._parent_choice.current_parent:
             self._record_contact(message.fresh, now)
 
-    def ended(self, peer: str, now: float) -> None:
+    def record_link_end(self, peer: str, now: float) -> None:
         """A link ended; if it was the feed, the next tick subscribes to another machine."""
         self._releases.pop(peer, None)
         if self._parent_choice is not None and peer in (
-            self._parent_choice.current,
-            self._parent_choice.trial,
+            self._parent_choice.current_parent,
+            self._parent_choice.trial_parent,
         ):
-            self._parent_choice.failed(peer, now)
+            self._parent_choice.record_link_failure(peer, now)
 
     def _record_contact(self, fresh: bool, now: float) -> None:
         if fresh:
@@ -157,7 +159,7 @@
     def _leave_if_out_of_contact(self, now: float) -> None:
         since = self._out_of_contact_since
         if since is not None and now - since > OUT_OF_TOUCH_LIMIT and self._parent_choice is not None:
-            self._parent_choice.suspected(self._parent_choice.current, now)
+            self._parent_choice.record_suspicion(self._parent_choice.current_parent, now)
             self._out_of_contact_since = None
 
     def _rank_machines(self) -> list[str]:
@@ -168,20 +170,22 @@
         """
         zones = {machine.ip: machine.zone for machine in self._control_machines}
         key = f"feed {self._identity}"
-        named = sorted(zones, key=lambda ip: (zones[ip] != self._zone, -weight(key, ip)))
-        seeds = sorted((ip for ip in set(self._seeds()) if ip not in zones), key=lambda ip: -weight(key, ip))
+        named = sorted(zones, key=lambda ip: (zones[ip] != self._zone, -rendezvous_weight(key, ip)))
+        seeds = sorted(
+            (ip for ip in set(self._seeds()) if ip not in zones), key=lambda ip: -rendezvous_weight(key, ip)
+        )
         return [*named, *seeds]
 
     def _update_links(self, confirmed: bool, primary: str | None, members: Iterable[str]) -> None:
         assert self._parent_choice is not None
-        subscribed = {self._parent_choice.current} | (
-            {self._parent_choice.trial} if self._parent_choice.trial else set()
+        subscribed = {self._parent_choice.current_parent} | (
+            {self._parent_choice.trial_parent} if self._parent_choice.trial_parent else set()
         )
         if self.subscribes_to_all:
-            self.links.want(subscribed | set(self._seeds()) | set(members))
+            self.links.set_peers(subscribed | set(self._seeds()) | set(members))
             return
         unsubscribed = {primary} if primary and not confirmed else set()
-        self.links.want(subscribed, unsubscribed)
+        self.links.set_peers(subscribed, unsubscribed)
 
 
 def is_settled_and_in_contact(message: Message) -> bool:
--- a/rookwood/dataplane/program.py
+++ b/rookwood/dataplane/program.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from rookwood.cluster.configuration_follower import ANSWER_LIMIT, ConfigurationFollower
+from rookwood.cluster.configuration_follower import RESPONSE_TIMEOUT, ConfigurationFollower
 from rookwood.cluster.connection import Connection
 from rookwood.cluster.messages import DemandReport, Message, Status, WorkNotice, WorkNotices
 from rookwood.cluster.options import Options
@@ -18,7 +18,6 @@
 from rookwood.cluster.tasks import cancel_tasks, repeat, run_until
 from rookwood.cluster.view import ClusterView
 from rookwood.dataplane.attempt_limits import MAX_WAIT_SHARE, AttemptLimits
-from rookwood.dataplane.budget import RetryBudget
 from rookwood.dataplane.client_listener import ClientListener, run_loop_turns
 from rookwood.dataplane.client_server import ClientServer
 from rookwood.dataplane.closing import INGRESS_NOTICE
@@ -27,6 +26,7 @@
 from rookwood.dataplane.loss_log import LossLog
 from rookwood.dataplane.pool import WorkerPool
 from rookwood.dataplane.proxy import Proxy
+from rookwood.dataplane.retry_budget import RetryBudget
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import UpstreamClient
 from rookwood.mechanisms import Mechanism
@@ -192,9 +192,9 @@
         """Periodic work; SIGHUP, sent after a change of the settings file, runs it at once."""
         self._settings_file.refresh()
         now = asyncio.get_running_loop().time()
-        self._view.drop_silent(now)
+        self._view.remove_unreported_workers(now)
         self._follower.progress.check(self._settings.bounds.apply)
-        self._budget.dispatcher_count = self._view.dispatchers()
+        self._budget.dispatcher_count = self._view.dispatcher_count()
         self._router.step_tables(now)
         self._report_demand(now)
 
@@ -222,59 +222,59 @@
 
     def _report(self, message: DemandReport | WorkNotices) -> None:
         """Send a message to the feeding machine, which relays it to the primary, or to the primary itself."""
-        connection = self._links.reporting(self._view.primary()) if self._links is not None else None
+        connection = self._links.report_connection(self._view.primary()) if self._links is not None else None
         if connection is not None:
             connection.send(message)
 
     def _report_to_new_connection(self, now: float) -> None:
         """Report all demand over a new report connection: its peer knows of no requests that wait already."""
-        connection = self._links.reporting(self._view.primary()) if self._links is not None else None
+        connection = self._links.report_connection(self._view.primary()) if self._links is not None else None
         if connection is not None and connection is not self._last_report_connection:
             self._last_report_connection = connection
             self._report_demand(now)
 
-    def linked(self, peer: str, connection: Connection) -> None:
+    def link_opened(self, peer: str, connection: Connection) -> None:
         """A link to a control machine was opened."""
-        self._view.linked(peer)
+        self._view.link_opened(peer)
 
-    def unlinked(self, peer: str) -> None:
+    def link_closed(self, peer: str) -> None:
         """A link to a control machine ended."""
         now = asyncio.get_running_loop().time()
-        self._view.unlinked(peer, now)
-        self._follower.unlinked(peer)
+        self._view.link_closed(peer, now)
+        self._follower.link_closed(peer)
         if self._links is not None:
-            self._links.ended(peer, now)
+            self._links.record_link_end(peer, now)
             self._tick_links()
         self._fetch_configuration()
 
-    def received(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """A message arrived over a link."""
         now = asyncio.get_running_loop().time()
         if self._links is not None:
-            self._links.heard(peer, message, now)
+            self._links.record_message(peer, message, now)
         if isinstance(message, WorkNotices):
             self._record_notices(peer, message, now)
             return
-        self._view.received(peer, message, now)
-        self._follower.received(peer, message, now)
+        self._view.message_received(peer, message, now)
+        self._follower.message_received(peer, message, now)
         if isinstance(message, Status):
             self._tick_links()
         self._report_to_new_connection(now)
         self._fetch_configuration()
 
     def _record_notices(self, peer: str, message: WorkNotices, now: float) -> None:
-        if self._links is not None and self._links.brings_notices(peer):
+        if self._links is not None and self._links.accepts_notices_from(peer):
             for notice in message.notices:
-                self._router.note_told(notice, now)
+                self._router.record_notice(notice, now)
 
     def _fetch_configuration(self) -> None:
         """Send the fetch request that is due, and set a timer for the next one."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         self._extend_response_timeout(now)
-        late_peer = self._follower.overdue(now)
+        late_peer = self._follower.overdue_peer(now)
         if late_peer is not None and self._links is not None:
-            self._links.overdue(late_peer, now)
+            self._links.record_overdue_answer(late_peer, now)
         request = self._follower.next_request(now)
         if request is not None:
             self._send_to(request.peer, request.message)
@@ -285,13 +285,13 @@
 
     def _extend_response_timeout(self, now: float) -> None:
         """Restart the timeout while a response arrives, since a large one may be slow on a thin link."""
-        peer = self._follower.asked
+        peer = self._follower.awaited_peer
         connection = self._links.connection(peer) if self._links and peer else None
-        if peer is not None and connection is not None and connection.is_receiving(now, ANSWER_LIMIT):
-            self._follower.answering(peer, now)
+        if peer is not None and connection is not None and connection.is_receiving(now, RESPONSE_TIMEOUT):
+            self._follower.restart_response_timeout(peer, now)
 
     def _is_up_to_date(self) -> bool:
-        return self._follower.is_level(asyncio.get_running_loop().time())
+        return self._follower.is_up_to_date(asyncio.get_running_loop().time())
 
     def _send_to(self, peer: str, message: Message) -> None:
         connection = self._links.connection(peer) if self._links else None
--- a/rookwood/dataplane/proxy.py
+++ b/rookwood/dataplane/proxy.py
@@ -9,7 +9,15 @@
 from aiohttp import web
 
 from rookwood.cluster.messages import WorkNotice
-from rookwood.dataplane.answers import (
+from rookwood.dataplane.attempt_limits import AttemptLimits
+from rookwood.dataplane.attempts import AttemptSender
+from rookwood.dataplane.clock import now
+from rookwood.dataplane.demand import DemandMeter
+from rookwood.dataplane.loss_log import LossLog
+from rookwood.dataplane.pool import WorkerPool
+from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
+from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.responses import (
     DEFAULT_RETRY_AFTER,
     ERROR_RESPONSE_KEY,
     OUTCOME_KEY,
@@ -21,16 +29,8 @@
     error_after_attempt,
     read_body,
 )
-from rookwood.dataplane.attempt_limits import AttemptLimits
-from rookwood.dataplane.attempts import AttemptSender
-from rookwood.dataplane.budget import RetryBudget
-from rookwood.dataplane.clock import now
-from rookwood.dataplane.demand import DemandMeter
-from rookwood.dataplane.loss_log import LossLog
-from rookwood.dataplane.pool import WorkerPool
-from rookwood.dataplane.repeats import RepeatRules
-from rookwood.dataplane.request_counts import RequestCounts, RequestOutcome
-from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.retry_budget import RetryBudget
+from rookwood.dataplane.retry_rules import RetryRules
 from rookwood.dataplane.route_matching import RouteMatcher
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import UpstreamClient
@@ -66,7 +66,7 @@
         self.in_flight = 0
         self.counts = RequestCounts()
         self._limits = limits or AttemptLimits()
-        self._retry_rules = RepeatRules(router, budget)
+        self._retry_rules = RetryRules(router, budget)
         self._matcher = RouteMatcher(router, is_level)
         self._search = WorkerSearch(router, self._matcher, demand, self._limits, mechanisms)
         self._sender = AttemptSender(
@@ -108,15 +108,15 @@
     def _record_response(self, response: web.StreamResponse, progress: RequestProgress) -> None:
         error_response = response.get(ERROR_RESPONSE_KEY)
         if error_response is not None:
-            self.counts.refuse(error_response.status, error_response.reason)
+            self.counts.count_rejection(error_response.status, error_response.reason)
             self._log_loss(RequestOutcome.REFUSED, progress, error_response.reason)
         else:
             outcome = response.get(OUTCOME_KEY, RequestOutcome.ANSWERED)
-            self.counts.end(outcome, response.status)
+            self.counts.count_end(outcome, response.status)
             self._log_loss(outcome, progress, progress.loss_reason)
 
     def _record_end_without_response(self, outcome: RequestOutcome, progress: RequestProgress) -> None:
-        self.counts.end(outcome)
+        self.counts.count_end(outcome)
         self._log_loss(outcome, progress, progress.loss_reason)
 
     def _log_loss(self, outcome: RequestOutcome, progress: RequestProgress, reason: str) -> None:
@@ -190,7 +190,7 @@
             outcome = await self._sender.send(client, request, found, progress)
             if isinstance(outcome, web.StreamResponse):
                 return outcome
-            if not self._retry_rules.may_repeat(request, progress, outcome, now()):
+            if not self._retry_rules.may_retry(request, progress, outcome, now()):
                 return self._give_up(
                     client, request, progress, error_after_attempt(request, progress, outcome)
                 )
--- a/rookwood/dataplane/request_counts.py
+++ b/rookwood/dataplane/request_counts.py
@@ -49,14 +49,14 @@
         self.error_responses: Counter[ErrorResponseCause] = Counter()
         self.attempts = 0
 
-    def end(self, outcome: RequestOutcome, status: int = NO_RESPONSE) -> None:
+    def count_end(self, outcome: RequestOutcome, status: int = NO_RESPONSE) -> None:
         """Count a request that ended, with the status of its response if it had one."""
         self._by_status[outcome.value][status] += 1
 
-    def refuse(self, status: int, reason: str) -> None:
+    def count_rejection(self, status: int, reason: str) -> None:
         """Count a request that got an error response from the dispatcher."""
         self.error_responses[ErrorResponseCause(status, reason)] += 1
-        self.end(RequestOutcome.REFUSED, status)
+        self.count_end(RequestOutcome.REFUSED, status)
 
     def ended_requests(self) -> Iterator[EndedRequests]:
         """The counts of ended requests by outcome and status class."""
--- a/rookwood/dataplane/answers.py
+++ b/rookwood/dataplane/responses.py
@@ -13,7 +13,7 @@
 from rookwood.dataplane.request_trace import RequestTrace
 from rookwood.dataplane.requests import RoutedRequest
 from rookwood.dataplane.upstream import Complete, Rejected
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0
 DEFAULT_RETRY_AFTER = 0.3  # seconds
@@ -77,14 +77,14 @@
 
 
 def error_after_attempt(
-    request: RoutedRequest, progress: RequestProgress, outcome: NotSent | Rejected | Broken
+    request: RoutedRequest, progress: RequestProgress, outcome: NotSent | Rejected | ResponseLost
 ) -> ErrorResponse:
     """The error response after the last attempt failed."""
     if progress.may_have_run and not request.repeatable:
-        status = 504 if isinstance(outcome, Broken) and outcome.why == "deadline" else 502
+        status = 504 if isinstance(outcome, ResponseLost) and outcome.reason == "deadline" else 502
         return ErrorResponse(status, "the worker's answer was lost")
-    if isinstance(outcome, Broken):
-        status = 504 if outcome.why == "deadline" else 502
+    if isinstance(outcome, ResponseLost):
+        status = 504 if outcome.reason == "deadline" else 502
         return ErrorResponse(status, "the worker's answer was lost")
     return ErrorResponse(503, "workers are full or gone", DEFAULT_RETRY_AFTER)
 
--- a/rookwood/dataplane/repeats.py
+++ b/rookwood/dataplane/retry_rules.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from rookwood.dataplane.answers import RequestProgress
-from rookwood.dataplane.budget import RetryBudget
 from rookwood.dataplane.requests import RoutedRequest
+from rookwood.dataplane.responses import RequestProgress
+from rookwood.dataplane.retry_budget import RetryBudget
 from rookwood.dataplane.router import Router
 from rookwood.dataplane.upstream import Rejected
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 MIN_ATTEMPT_TIME = 0.02  # seconds to the deadline below which an attempt is not worth sending
 MAX_CONNECTION_FAILURES = 3
 
 
-class RepeatRules:
+class RetryRules:
     """Decides whether a request may be retried.
 
     A retry after an attempt that reached a worker counts against the retry budget; after a failed connection
@@ -40,11 +40,11 @@
         progress.retry_granted = self._budget.try_spend(request.service, now)
         return progress.retry_granted
 
-    def may_repeat(
+    def may_retry(
         self,
         request: RoutedRequest,
         progress: RequestProgress,
-        outcome: NotSent | Rejected | Broken,
+        outcome: NotSent | Rejected | ResponseLost,
         now: float,
     ) -> bool:
         """Whether another attempt may follow this outcome.
@@ -53,13 +53,13 @@
         does not count as an attempt.
         """
         if request.deadline - now < MIN_ATTEMPT_TIME:
-            progress.may_have_run = progress.may_have_run or isinstance(outcome, Broken)
+            progress.may_have_run = progress.may_have_run or isinstance(outcome, ResponseLost)
             return False
         if isinstance(outcome, NotSent):
             progress.attempts_sent -= 1
             progress.connection_failures += 1
             return progress.connection_failures < MAX_CONNECTION_FAILURES
-        if isinstance(outcome, Broken):
+        if isinstance(outcome, ResponseLost):
             progress.may_have_run = True
             if not request.repeatable or progress.forwarded_without_id:
                 return False
--- a/rookwood/dataplane/router.py
+++ b/rookwood/dataplane/router.py
@@ -82,7 +82,7 @@
 
     def match(self, host: str, path: str) -> Route | None:
         """The route for a host and path, or None."""
-        return self._store.index.match(host, path)
+        return self._store.route_index.match(host, path)
 
     def step_tables(self, now: float) -> None:
         """Step the placement tables if a step is due."""
@@ -202,7 +202,7 @@
             return None
         return WorkNotice(self._identity, record.id, seconds, parts)
 
-    def note_told(self, notice: WorkNotice, now: float) -> None:
+    def record_notice(self, notice: WorkNotice, now: float) -> None:
         """Add the prompt of another dispatcher to a worker's backlog.
 
         The notices that this dispatcher sent come back to it and are ignored.
--- a/rookwood/dataplane/upstream.py
+++ b/rookwood/dataplane/upstream.py
@@ -11,8 +11,8 @@
 from yarl import URL
 
 from rookwood.dataplane import headers as names
-from rookwood.httpclient.client import Answer, HttpClient
-from rookwood.httpclient.outcomes import Broken, NotSent
+from rookwood.httpclient.client import HttpClient, Response
+from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 CONNECT_LIMIT = 0.6  # seconds
 DEFAULT_IDLE_LIMIT = 4.0  # seconds for which an idle connection is reused if workers state no limit
@@ -21,7 +21,7 @@
 IDLE_PARAMETER = re.compile(r"\btimeout=(\d{1,6})\b")
 OK_STATUSES = range(200, 300)
 MISDIRECTED = 421
-PROMISES = frozenset({408, 421, 429, 503})  # tell a client that its request has not run
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})  # tell a client that its request has not run
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,10 +46,10 @@
 
     status: int
     headers: CIMultiDict[str]
-    answer: Answer
+    answer: Response
 
 
-UpstreamOutcome = NotSent | Rejected | Broken | Complete | Streaming
+UpstreamOutcome = NotSent | Rejected | ResponseLost | Complete | Streaming
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,14 +86,14 @@
             async with asyncio.timeout_at(deadline):
                 return await self._send(address, request)
         except TimeoutError:
-            return Broken("deadline")
+            return ResponseLost("deadline")
 
     async def _send(self, address: str, request: UpstreamRequest) -> UpstreamOutcome:
         url = URL(f"http://{address}{request.target}", encoded=True)
-        answer = await self._http.send(request.method, url, request.headers, request.body)
-        if isinstance(answer, NotSent | Broken):
-            return answer
-        return await self._receive_response(answer, request)
+        response = await self._http.send(request.method, url, request.headers, request.body)
+        if isinstance(response, NotSent | ResponseLost):
+            return response
+        return await self._receive_response(response, request)
 
     def _update_idle_limit(self, keep_alive: str) -> None:
         """Reuse idle connections for as long as workers keep them: a new one costs them a handshake."""
@@ -103,23 +103,23 @@
             self.idle_limit = max(MIN_IDLE_LIMIT, stated - IDLE_MARGIN)
             self._http.limit_idle(self.idle_limit)
 
-    async def _receive_response(self, answer: Answer, request: UpstreamRequest) -> UpstreamOutcome:
-        flaw = find_flaw(answer, request)
+    async def _receive_response(self, response: Response, request: UpstreamRequest) -> UpstreamOutcome:
+        flaw = find_response_defect(response, request)
         if flaw is not None:
-            answer.discard()
-            return Broken(flaw)
-        self._update_idle_limit(answer.headers.get(names.KEEP_ALIVE, ""))
-        forwarded_headers = names.end_to_end(answer.headers)
-        if answer.status in OK_STATUSES and answer.content_type == "text/event-stream":
-            return Streaming(answer.status, forwarded_headers, answer)
-        body = await answer.read_all()
-        if isinstance(body, Broken):
+            response.discard()
+            return ResponseLost(flaw)
+        self._update_idle_limit(response.headers.get(names.KEEP_ALIVE, ""))
+        forwarded_headers = names.end_to_end(response.headers)
+        if response.status in OK_STATUSES and response.content_type == "text/event-stream":
+            return Streaming(response.status, forwarded_headers, response)
+        body = await response.read_all()
+        if isinstance(body, ResponseLost):
             return body
-        if answer.status == MISDIRECTED or names.NOT_RUN in answer.headers:
-            return Rejected(answer.status)
-        if answer.status in PROMISES:
-            return Broken(f"status {answer.status} of a request that may have run")
-        return Complete(answer.status, forwarded_headers, body)
+        if response.status == MISDIRECTED or names.NOT_RUN in response.headers:
+            return Rejected(response.status)
+        if response.status in NOT_RUN_STATUSES:
+            return ResponseLost(f"status {response.status} of a request that may have run")
+        return Complete(response.status, forwarded_headers, body)
 
 
 def read_idle_limit(text: str) -> float | None:
@@ -128,14 +128,14 @@
     return float(match.group(1)) if match else None
 
 
-def find_flaw(answer: Answer, request: UpstreamRequest) -> str | None:
+def find_response_defect(response: Response, request: UpstreamRequest) -> str | None:
     """Why a response cannot be the worker's own response to this request; None if it can."""
-    if answer.headers.getall(names.REQUEST_ID, []) != [request.request_id]:
+    if response.headers.getall(names.REQUEST_ID, []) != [request.request_id]:
         return "response to another request"
-    if answer.status in OK_STATUSES:
-        if len(answer.headers.getall(names.SEAL, [])) != 1:
+    if response.status in OK_STATUSES:
+        if len(response.headers.getall(names.SEAL, [])) != 1:
             return "missing or repeated seal"
-        if "Content-Encoding" in answer.headers:
+        if "Content-Encoding" in response.headers:
             return "encoded body"
     return None
 
--- a/rookwood/modelplacement/sites.py
+++ b/rookwood/modelplacement/fleet.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
+from rookwood.modelplacement.demand import DemandBook, adapter_loss, copy_loss
 from rookwood.modelplacement.orders import MISSING_WORKER_S, LoadOrder, OrderBook, ProjectedWorker
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
-from rookwood.modelplacement.value import DemandBook, adapter_loss, copy_loss
 
 MIN_RESIDENT_S = 1.5  # a model is not evicted earlier than this after its load
 MIN_ADAPTER_RESIDENT_S = 0.5  # the same for an adapter
@@ -90,7 +90,7 @@
         projected = self.workers[order.worker]
         projected.next_sequence = None
         projected.has_new_orders = True
-        if order.place:
+        if order.is_load:
             self.record_load(now, order.worker, order.key)
             adapters = projected.models.setdefault(order.key.model, set())
             if order.key.adapter:
--- a/rookwood/modelplacement/loads.py
+++ b/rookwood/modelplacement/loads.py
@@ -25,10 +25,10 @@
 
 from rookwood.mechanisms import ALL_MECHANISMS, Mechanism, Mechanisms
 from rookwood.modelplacement.bucket import TokenBucket
+from rookwood.modelplacement.demand import Demand, DemandBook, ModelDemand, MovingRate
+from rookwood.modelplacement.fleet import BLOCKED_COST_PER_S, Fleet, PlacementOption, Wanted
 from rookwood.modelplacement.orders import LoadOrder, OrderBook, ProjectedWorker
-from rookwood.modelplacement.sites import BLOCKED_COST_PER_S, Fleet, PlacementOption, Wanted
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
-from rookwood.modelplacement.value import Demand, DemandBook, ModelDemand, MovingRate
 
 __all__ = ["Demand", "LoadOrder", "LoadPlanner"]
 
@@ -123,11 +123,11 @@
         """Per worker the weights whose load was accepted and has probably ended before a report shows it."""
         return self._order_book.expected_loads(now)
 
-    def ordered(self, now: float, order: LoadOrder) -> None:
+    def record_sending(self, now: float, order: LoadOrder) -> None:
         """The order is being sent. `plan` has already recorded it; this only restarts its timeout."""
         self._order_book.record_sending(now, order)
 
-    def outcome(self, now: float, order: LoadOrder, accepted: bool | None) -> None:
+    def record_outcome(self, now: float, order: LoadOrder, accepted: bool | None) -> None:
         """Record whether the worker accepted or rejected the order; None if its response was lost.
 
         After None the worker gets no order until it reports a newer sequence, or the same one a second later.
@@ -170,7 +170,7 @@
 
     def _settle_orders(self, now: float, workers: Sequence[WorkerWeights]) -> None:
         for order in self._order_book.settle_by_reports(now, workers):
-            if order.place:
+            if order.is_load:
                 self._fleet.record_load(now, order.worker, order.key)
             if order.loads_model:
                 self._loads_in_progress.pop((order.worker, order.key.model), None)
@@ -208,7 +208,7 @@
         """Record an order as issued."""
         self._order_book.record_sending(now, order)
         self._fleet.apply_order(now, order)
-        if order.place:
+        if order.is_load:
             self._reservations.pop(order.worker, None)
         if order.loads_model:
             self._loads_in_progress[order.worker, order.key.model] = now
--- a/rookwood/modelplacement/orders.py
+++ b/rookwood/modelplacement/orders.py
@@ -28,14 +28,14 @@
     """An order to a worker to load (`is_load`) or to unload weights."""
 
     worker: str
-    place: bool
+    is_load: bool
     key: WeightsKey
     if_sequence: int
 
     @property
     def loads_model(self) -> bool:
         """Whether the order loads a model, which reads from the weight store."""
-        return self.place and not self.key.adapter
+        return self.is_load and not self.key.adapter
 
 
 class _Stage(Enum):
@@ -154,7 +154,7 @@
         return complete
 
     def _is_probably_complete(self, now: float, pending: _PendingOrder) -> bool:
-        if pending.stage is not _Stage.ACCEPTED or not pending.order.place:
+        if pending.stage is not _Stage.ACCEPTED or not pending.order.is_load:
             return False
         if pending.order.key.adapter:
             return now >= pending.since + ADAPTER_LOAD_S
@@ -175,7 +175,7 @@
             return known
         models = {model: set(adapters) for model, adapters in weights.models.items()}
         leaving = set()
-        for key, place in ((each.order.key, each.order.place) for each in pending):
+        for key, place in ((each.order.key, each.order.is_load) for each in pending):
             if not place:
                 leaving.add(key)
             elif key.adapter:
@@ -202,7 +202,7 @@
             return None if weights.busy else weights.sequence
         last = pending[-1]
         only_adapter_loads = all(
-            p.stage is _Stage.ACCEPTED and p.order.place and p.order.key.adapter for p in pending
+            p.stage is _Stage.ACCEPTED and p.order.is_load and p.order.key.adapter for p in pending
         )
         in_progress = weights.busy and weights.sequence > last.order.if_sequence
         if only_adapter_loads and not in_progress and now >= last.since + ADAPTER_LOAD_S:
