--- a/tests/fake_worker.py
+++ b/tests/fake_worker.py
@@ -96,7 +96,7 @@
         self.id = id
         self.requests: list[ReceivedRequest] = []
         self.connections = 0
-        self.request_came = asyncio.Event()
+        self.request_received = asyncio.Event()
         self._script = list(script)
 
     def record(
@@ -132,7 +132,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         request = await read_request(reader)
         self.requests.append(request)
-        self.request_came.set()
+        self.request_received.set()
         behaviour = self._script.pop(0) if len(self._script) > 1 else self._script[0]
         await behaviour(Exchange(request, reader, writer))
 
@@ -212,17 +212,17 @@
 
 
 @dataclass
-class Silence:
+class UnresponsiveWorker:
     """Answers nothing; `abandoned` is set once the caller has closed the connection."""
 
-    began: asyncio.Event = field(default_factory=asyncio.Event)
-    abandoned: asyncio.Event = field(default_factory=asyncio.Event)
+    request_received: asyncio.Event = field(default_factory=asyncio.Event)
+    connection_closed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def __call__(self, exchange: Exchange) -> None:
         """Wait for the caller to leave."""
-        self.began.set()
+        self.request_received.set()
         await exchange.caller_closed()
-        self.abandoned.set()
+        self.connection_closed.set()
         raise ConnectionResetError
 
 
--- a/tests/test_dataplane_counts.py
+++ b/tests/test_dataplane_counts.py
@@ -29,7 +29,7 @@
 class RequestCountsTest(StreamCase):
     """Outcomes of real requests."""
 
-    def ended(self) -> list[EndedRequests]:
+    def ended_requests(self) -> list[EndedRequests]:
         """All requests that ended."""
         return list(self.dispatcher.proxy.counts.ended_requests())
 
@@ -38,13 +38,13 @@
         await self.send(MUTATING, "try-1")
         await self.send(MUTATING, "try-2")
         await self.send("/nowhere/")
-        await self.no_request_in_flight()
+        await self.wait_for_no_request_in_flight()
         expected = [
             EndedRequests(RequestOutcome.ANSWERED, "2xx", 1),
             EndedRequests(RequestOutcome.ANSWERED, "5xx", 1),
             EndedRequests(RequestOutcome.REFUSED, "4xx", 1),
         ]
-        self.assertEqual(self.ended(), expected)
+        self.assertEqual(self.ended_requests(), expected)
         self.assertEqual(
             self.dispatcher.proxy.counts.error_responses, {ErrorResponseCause(404, "no route"): 1}
         )
@@ -54,12 +54,12 @@
         await self.start_worker(streaming([1, 2]), streaming_until_broken([1]))
         self.assertTrue((await self.read_stream(STREAM, "try-1")).complete)
         self.assertFalse((await self.read_stream(STREAM, "try-2")).complete)
-        await self.no_request_in_flight()
+        await self.wait_for_no_request_in_flight()
         expected = [
             EndedRequests(RequestOutcome.ANSWERED, "2xx", 1),
             EndedRequests(RequestOutcome.CUT, "2xx", 1),
         ]
-        self.assertEqual(self.ended(), expected)
+        self.assertEqual(self.ended_requests(), expected)
 
     async def test_a_client_that_leaves_abandons_its_request(self) -> None:
         release = asyncio.Event()
@@ -67,12 +67,12 @@
         async with ClientSession(timeout=ClientTimeout(total=None)) as leaving:
             request = leaving.post(self.url(MUTATING), headers=self.headers("try-1"))
             sending = asyncio.create_task(request.__aenter__())
-            await within(worker.request_came.wait())
+            await within(worker.request_received.wait())
             sending.cancel()
             await asyncio.wait([sending])
-        await within(self.no_request_in_flight())
+        await within(self.wait_for_no_request_in_flight())
         release.set()
-        self.assertEqual(self.ended(), [EndedRequests(RequestOutcome.ABANDONED, "", 1)])
+        self.assertEqual(self.ended_requests(), [EndedRequests(RequestOutcome.ABANDONED, "", 1)])
 
 
 class FeedTrafficTest(FeedCase):
--- a/tests/test_dataplane_end.py
+++ b/tests/test_dataplane_end.py
@@ -50,16 +50,19 @@
 }
 STREAM_TIME = 0.4
 EVENTS = 4
-MOMENTS = 60
-STEP = GRACE / MOMENTS
-LESSONS = 12
-UNTOLD = b"a request"
-INTENDED = {STREAM: (STREAM_TIME / EVENTS, STREAM_TIME * (EVENTS - 1) / EVENTS), MUTATING: (0.0, 0.0)}
-HELD_UP = 0.8  # seconds; several times the reserve of a process that was not held up
-MEASURED_SHARE = 0.9  # clocks of two ends
+SENDING_TIMES = 60
+SENDING_INTERVAL = GRACE / SENDING_TIMES
+WARM_UP_REQUESTS = 12
+REQUEST_BODY = b"a request"
+INTENDED_DURATIONS = {
+    STREAM: (STREAM_TIME / EVENTS, STREAM_TIME * (EVENTS - 1) / EVENTS),
+    MUTATING: (0.0, 0.0),
+}
+STALL = 0.8  # seconds; several times the reserve of a process that was not held up
+MIN_MEASURED_SHARE = 0.9  # clocks of two ends
 
 
-async def moment(at: float) -> None:
+async def sleep_until(at: float) -> None:
     """Wait for a time of the event loop's clock."""
     loop = asyncio.get_running_loop()
     reached = loop.create_future()
@@ -74,7 +77,7 @@
         began = asyncio.get_running_loop().time()
         begin_stream(exchange)
         for number in range(1, count + 1):
-            await moment(began + number * seconds / count)
+            await sleep_until(began + number * seconds / count)
             exchange.write_chunk(event(number))
         exchange.write_chunk(b"")
 
@@ -82,40 +85,40 @@
 
 
 @dataclass(frozen=True)
-class Exchanged:
+class ClientExchange:
     """What a client saw of one request: all bytes that came until the connection's end."""
 
     request_id: str
     sent_at: float
-    answer: bytes
+    response: bytes
 
     @property
     def status(self) -> int:
         """The status of the answer; 0 where nothing came."""
-        return int(self.answer.split(b" ", 2)[1]) if self.answer else 0
+        return int(self.response.split(b" ", 2)[1]) if self.response else 0
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the answer came to its end."""
-        head, _, body = self.answer.partition(b"\r\n\r\n")
+        head, _, body = self.response.partition(b"\r\n\r\n")
         if b"chunked" in head:
             return body.endswith(b"0\r\n\r\n")
         length = [line for line in head.split(b"\r\n") if line.lower().startswith(b"content-length:")]
         return bool(length) and len(body) == int(length[0].split(b":")[1])
 
     @property
-    def headers(self) -> bytes:
+    def head(self) -> bytes:
         """The head in lower case."""
-        return self.answer.partition(b"\r\n\r\n")[0].lower()
+        return self.response.partition(b"\r\n\r\n")[0].lower()
 
 
 @dataclass(frozen=True)
-class Play:
+class ShutdownRun:
     """What clients sent at every moment of the grace."""
 
     began: float
-    old: list[Exchanged]  # over connections that were open before
-    new: list[Exchanged]
+    over_open_connections: list[ClientExchange]  # over connections that were open before
+    over_new_connections: list[ClientExchange]
 
 
 class Client:
@@ -126,7 +129,7 @@
         self.writer = writer
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the dispatcher has not closed the connection yet, as far as is known here."""
         return not self.reader.at_eof() and not self.writer.is_closing()
 
@@ -134,7 +137,7 @@
         """Send bytes."""
         self.writer.write(data)
 
-    async def rest(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """All that comes until the end of the connection."""
         received = b""
         try:
@@ -146,7 +149,7 @@
         return received
 
 
-def request_bytes(target: str, request_id: str, body: bytes = UNTOLD) -> bytes:
+def request_bytes(target: str, request_id: str, body: bytes = REQUEST_BODY) -> bytes:
     """A whole request."""
     lines = [
         f"POST {target} HTTP/1.1",
@@ -163,42 +166,42 @@
         for name, value in MARGINS.items():
             self.enterContext(mock.patch.object(program, name, value))
         self.enterContext(mock.patch.object(closing, "INGRESS_NOTICE", NOTICE))
-        self.read: set[str] = set()
-        self.enterContext(mock.patch.object(Proxy, "handle", self.noting_handle()))
+        self.received_requests: set[str] = set()
+        self.enterContext(mock.patch.object(Proxy, "handle", self.record_requests()))
         self.lag = LoopLag()
         self.addCleanup(self.lag.stop)
         self.process_ended = False
-        self.server_side: list[asyncio.Transport] = []
-        self.enterContext(mock.patch.object(ClientConnection, "connection_made", self.noting_connection()))
+        self.server_transports: list[asyncio.Transport] = []
+        self.enterContext(mock.patch.object(ClientConnection, "connection_made", self.record_connections()))
         await super().asyncSetUp()
-        self.running.add_done_callback(self.end_process)
+        self.running.add_done_callback(self.abort_all_connections)
         self.enterContext(mock.patch.object(program, "INGRESS_NOTICE", NOTICE))
 
-    def noting_connection(self) -> Callable[[ClientConnection, asyncio.BaseTransport], None]:
+    def record_connections(self) -> Callable[[ClientConnection, asyncio.BaseTransport], None]:
         """What takes a connection in, and notes it; one that comes after the end meets no process."""
         connection_made = ClientConnection.connection_made
 
         def noting(connection: ClientConnection, transport: asyncio.BaseTransport) -> None:
             connection_made(connection, transport)
             assert isinstance(transport, asyncio.Transport)
-            self.server_side.append(transport)
+            self.server_transports.append(transport)
             if self.process_ended:
                 transport.abort()
 
         return noting
 
-    def end_process(self, task: object) -> None:
+    def abort_all_connections(self, task: object) -> None:
         """Close all sockets, as the end of the process does that the dispatcher would have to itself."""
         self.process_ended = True
-        for transport in self.server_side:
+        for transport in self.server_transports:
             transport.abort()
 
-    def noting_handle(self) -> Callable[[Proxy, web.BaseRequest], Awaitable[web.StreamResponse]]:
+    def record_requests(self) -> Callable[[Proxy, web.BaseRequest], Awaitable[web.StreamResponse]]:
         """The handler of requests, which notes all that the process has read."""
         handle = Proxy.handle
 
         async def noting(proxy: Proxy, request: web.BaseRequest) -> web.StreamResponse:
-            self.read.add(request.headers["X-Try-Id"])
+            self.received_requests.add(request.headers["X-Try-Id"])
             return await handle(proxy, request)
 
         return noting
@@ -211,19 +214,23 @@
         address = self.settings.listen["edge"]
         return Client(*await asyncio.open_connection(HOST, address.port))
 
-    async def prepare(self, target: str, behaviour: Behaviour) -> FakeWorker:
+    async def start_worker_and_warm_up(self, target: str, behaviour: Behaviour) -> FakeWorker:
         """A worker, and a dispatcher that has learned how long its requests take.
 
         What it learns are the times that the worker means to take, so that a busy machine changes nothing.
         """
         worker = await self.start_worker(FakeWorker(behaviour))
-        await self.feed()
-        self.enterContext(mock.patch.object(DurationMeter, "observe", self.teaching(*INTENDED[target])))
-        lessons = (self.send(target, f"lesson-{number}") for number in range(LESSONS))
+        await self.publish_until_ready()
+        self.enterContext(
+            mock.patch.object(
+                DurationMeter, "observe", self.observe_intended_durations(*INTENDED_DURATIONS[target])
+            )
+        )
+        lessons = (self.send(target, f"lesson-{number}") for number in range(WARM_UP_REQUESTS))
         await within(asyncio.gather(*lessons))
         return worker
 
-    def teaching(self, head: float, rest: float) -> Callable[..., None]:
+    def observe_intended_durations(self, head: float, rest: float) -> Callable[..., None]:
         """What observes an attempt; the times that were measured are never shorter than those intended."""
         observe = DurationMeter.observe
 
@@ -234,123 +241,130 @@
             measured_rest: float,
             now: float,
         ) -> None:
-            self.assertGreaterEqual(measured_head + measured_rest, MEASURED_SHARE * (head + rest))
+            self.assertGreaterEqual(measured_head + measured_rest, MIN_MEASURED_SHARE * (head + rest))
             observe(meter, request, head, rest, now)
 
         return observing
 
-    def stop(self) -> float:
+    def send_sigterm(self) -> float:
         """SIGTERM; returns the time of it."""
         os.kill(os.getpid(), signal.SIGTERM)
         return asyncio.get_running_loop().time()
 
-    async def send_old(self, client: Client, target: str, request_id: str, at: float) -> Exchanged | None:
+    async def send_over_open_connection(
+        self, client: Client, target: str, request_id: str, at: float
+    ) -> ClientExchange | None:
         """Send over an open connection; None if the dispatcher closed it before."""
-        await moment(at)
-        if not client.open:
+        await sleep_until(at)
+        if not client.is_open:
             return None
         client.write(request_bytes(target, request_id))
-        return Exchanged(request_id, at, await asyncio.wait_for(client.rest(), 2 * GRACE))
+        return ClientExchange(request_id, at, await asyncio.wait_for(client.read_to_end(), 2 * GRACE))
 
-    async def send_new(self, target: str, request_id: str, at: float) -> Exchanged | None:
+    async def send_over_new_connection(
+        self, target: str, request_id: str, at: float
+    ) -> ClientExchange | None:
         """Send over a connection of its own; None if the dispatcher listens no more."""
-        await moment(at)
+        await sleep_until(at)
         try:
             client = await self.connect()
         except ConnectionError:
             return None
         client.write(request_bytes(target, request_id))
-        return Exchanged(request_id, at, await asyncio.wait_for(client.rest(), 2 * GRACE))
+        return ClientExchange(request_id, at, await asyncio.wait_for(client.read_to_end(), 2 * GRACE))
 
-    async def play(self, target: str) -> Play:
+    async def send_throughout_grace(self, target: str) -> ShutdownRun:
         """Send at every moment of the grace, over old and new connections."""
-        old = [await self.connect() for _ in range(MOMENTS)]
+        old = [await self.connect() for _ in range(SENDING_TIMES)]
         loop = asyncio.get_running_loop()
         ends: list[float] = []
         self.running.add_done_callback(lambda task: ends.append(loop.time()))
-        began = self.stop()
+        began = self.send_sigterm()
         olds = (
-            self.send_old(client, target, f"old-{number}", began + number * STEP)
+            self.send_over_open_connection(client, target, f"old-{number}", began + number * SENDING_INTERVAL)
             for number, client in enumerate(old)
         )
-        news = (self.send_new(target, f"new-{number}", began + number * STEP) for number in range(MOMENTS))
+        news = (
+            self.send_over_new_connection(target, f"new-{number}", began + number * SENDING_INTERVAL)
+            for number in range(SENDING_TIMES)
+        )
         outcomes = await asyncio.wait_for(asyncio.gather(*olds, *news), 3 * GRACE)
         await within(self.running)
         self.assertLessEqual(ends[0] - began, GRACE + self.lag.lost_between(began, ends[0]))
-        old_ones = [outcome for outcome in outcomes[:MOMENTS] if outcome is not None]
-        new_ones = [outcome for outcome in outcomes[MOMENTS:] if outcome is not None]
-        return Play(began, old_ones, new_ones)
+        old_ones = [outcome for outcome in outcomes[:SENDING_TIMES] if outcome is not None]
+        new_ones = [outcome for outcome in outcomes[SENDING_TIMES:] if outcome is not None]
+        return ShutdownRun(began, old_ones, new_ones)
 
-    def check(self, play: Play, worker: FakeWorker) -> None:
+    def check_exchanges(self, play: ShutdownRun, worker: FakeWorker) -> None:
         """What reached the worker was answered whole; whatever else was answered was refused with a time.
 
         A request that reached the worker may fail where this process, which plays all sides, got no processor
         for longer than it left for stalls. That a refusal is true, and a failure told, holds even then.
         """
-        for one in play.old + play.new:
+        for one in play.over_open_connections + play.over_new_connections:
             with self.subTest(request=one.request_id):
                 reached = bool(worker.requests_of(one.request_id))
                 if reached and not self.was_stalled(one, play):
                     self.assertEqual(200, one.status)
-                    self.assertTrue(one.whole)
-                if one.request_id in self.read and not self.was_stalled(one, play):
-                    self.assertTrue(one.answer)
-                if one.answer:
-                    self.check_answer(one, reached, self.was_stalled(one, play))
+                    self.assertTrue(one.is_complete)
+                if one.request_id in self.received_requests and not self.was_stalled(one, play):
+                    self.assertTrue(one.response)
+                if one.response:
+                    self.check_response(one, reached, self.was_stalled(one, play))
 
-    def check_answer(self, one: Exchanged, reached: bool, stalled: bool) -> None:
+    def check_response(self, one: ClientExchange, reached: bool, stalled: bool) -> None:
         """A refusal is whole and tells when to come back; what reached the worker is never refused."""
-        self.assertIn(b"connection: close", one.headers)
+        self.assertIn(b"connection: close", one.head)
         if reached:
             self.assertIn(one.status, (200, 502))
         elif not (stalled and one.status == 502):  # sent, and cut off before it reached the worker
-            self.assertEqual((503, True), (one.status, one.whole))
-            self.assertIn(b"retry-after", one.headers)
+            self.assertEqual((503, True), (one.status, one.is_complete))
+            self.assertIn(b"retry-after", one.head)
 
-    def was_stalled(self, one: Exchanged, play: Play) -> bool:
+    def was_stalled(self, one: ClientExchange, play: ShutdownRun) -> bool:
         """Whether this process got no processor for longer than it leaves for stalls, since it was sent."""
         closes_at = play.began + GRACE - program.CLOSING_MARGIN
         return self.lag.lost_between(one.sent_at, closes_at) > closing.STALL_RESERVE
 
     async def test_streams_at_every_moment_are_answered_whole_or_refused_at_once(self) -> None:
-        worker = await self.prepare(STREAM, paced_stream(STREAM_TIME, EVENTS))
-        play = await self.play(STREAM)
-        self.check(play, worker)
-        began, old, new = play.began, play.old, play.new
-        early = [one for one in old + new if one.sent_at - began < NOTICE - STEP]
-        self.assertEqual({200}, {one.status for one in early if one.answer})
+        worker = await self.start_worker_and_warm_up(STREAM, paced_stream(STREAM_TIME, EVENTS))
+        play = await self.send_throughout_grace(STREAM)
+        self.check_exchanges(play, worker)
+        began, old, new = play.began, play.over_open_connections, play.over_new_connections
+        early = [one for one in old + new if one.sent_at - began < NOTICE - SENDING_INTERVAL]
+        self.assertEqual({200}, {one.status for one in early if one.response})
         for one in old + new:
-            if not one.answer:  # its connection was closed at the same moment
-                self.assertGreaterEqual(one.sent_at - began, NOTICE - STEP)
+            if not one.response:  # its connection was closed at the same moment
+                self.assertGreaterEqual(one.sent_at - began, NOTICE - SENDING_INTERVAL)
         self.assertIn(503, {one.status for one in new})
 
     async def test_short_requests_are_served_until_the_last_moments(self) -> None:
-        worker = await self.prepare(MUTATING, responding())
+        worker = await self.start_worker_and_warm_up(MUTATING, responding())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
-        play = await self.play(MUTATING)
-        self.check(play, worker)
-        served = [one.sent_at - play.began for one in play.new if one.status == 200]
+        play = await self.send_throughout_grace(MUTATING)
+        self.check_exchanges(play, worker)
+        served = [one.sent_at - play.began for one in play.over_new_connections if one.status == 200]
         self.assertTrue(served)
         self.assertGreater(max(served), GRACE / 2 - closing.STALL_SAFETY_FACTOR * self.lag.longest)
-        held = Exchanged("held", play.began, await within(holding.rest()))
-        self.assertEqual((503, True), (held.status, held.whole))
+        held = ClientExchange("held", play.began, await within(holding.read_to_end()))
+        self.assertEqual((503, True), (held.status, held.is_complete))
         self.assertEqual([], worker.requests_of("held"))
 
     async def test_a_short_request_just_before_the_end_is_refused_as_a_stall_would_cut_it(self) -> None:
-        worker = await self.prepare(MUTATING, responding())
+        worker = await self.start_worker_and_warm_up(MUTATING, responding())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
-        self.addAsyncCleanup(holding.rest)
-        closes_at = self.stop() + GRACE - program.CLOSING_MARGIN
-        late = await self.send_new(MUTATING, "late", closes_at - closing.STALL_RESERVE / 2)
+        self.addAsyncCleanup(holding.read_to_end)
+        closes_at = self.send_sigterm() + GRACE - program.CLOSING_MARGIN
+        late = await self.send_over_new_connection(MUTATING, "late", closes_at - closing.STALL_RESERVE / 2)
         assert late is not None
-        self.assertEqual((503, True), (late.status, late.whole))
-        self.assertIn(b"retry-after", late.headers)
+        self.assertEqual((503, True), (late.status, late.is_complete))
+        self.assertIn(b"retry-after", late.head)
         self.assertEqual([], worker.requests_of("late"))
         await within(self.running)
 
-    def noticing_lag(self, least: float) -> asyncio.Event:
+    def watch_for_stall(self, least: float) -> asyncio.Event:
         """An event that is set once the dispatcher has noticed a stall that lasted so many seconds."""
         noticed = asyncio.Event()
         observe = LoopMeter.observe
@@ -364,78 +378,78 @@
         return noticed
 
     async def test_a_process_that_was_held_up_lately_leaves_more_time_for_the_next_stall(self) -> None:
-        worker = await self.prepare(MUTATING, responding())
-        noticed = self.noticing_lag(HELD_UP / 2)
-        time.sleep(HELD_UP)  # the loop gets no processor
+        worker = await self.start_worker_and_warm_up(MUTATING, responding())
+        noticed = self.watch_for_stall(STALL / 2)
+        time.sleep(STALL)  # the loop gets no processor
         await within(noticed.wait())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
-        self.addAsyncCleanup(holding.rest)
-        closes_at = self.stop() + GRACE - program.CLOSING_MARGIN
-        late = await self.send_new(MUTATING, "late", closes_at - HELD_UP / 2)
+        self.addAsyncCleanup(holding.read_to_end)
+        closes_at = self.send_sigterm() + GRACE - program.CLOSING_MARGIN
+        late = await self.send_over_new_connection(MUTATING, "late", closes_at - STALL / 2)
         assert late is not None
-        self.assertEqual((503, True), (late.status, late.whole))
+        self.assertEqual((503, True), (late.status, late.is_complete))
         self.assertEqual([], worker.requests_of("late"))
         await within(self.running)
 
     async def test_idle_connections_are_closed_once_the_platform_noticed(self) -> None:
-        await self.prepare(MUTATING, responding())
+        await self.start_worker_and_warm_up(MUTATING, responding())
         idle = [await self.connect() for _ in range(5)]
-        began = self.stop()
+        began = self.send_sigterm()
         for client in idle:
-            self.assertEqual(b"", await within(client.rest()))
+            self.assertEqual(b"", await within(client.read_to_end()))
         self.assertGreaterEqual(asyncio.get_running_loop().time() - began, NOTICE)
         await within(self.running)
         self.assertLess(asyncio.get_running_loop().time() - began, GRACE / 2)
 
     async def test_a_request_half_read_is_not_cut_when_idle_connections_are_closed(self) -> None:
-        await self.prepare(MUTATING, responding())
+        await self.start_worker_and_warm_up(MUTATING, responding())
         for cut_at in (10, -1):
             client = await self.connect()
             whole = request_bytes(MUTATING, f"half-{cut_at}")
             client.write(whole[:cut_at])
-            self.addAsyncCleanup(client.rest)
+            self.addAsyncCleanup(client.read_to_end)
             if cut_at == -1:
                 last = client
             else:
                 first, remainder = client, whole[cut_at:]
         idle = await self.connect()
-        self.stop()
-        self.assertEqual(b"", await within(idle.rest()))
+        self.send_sigterm()
+        self.assertEqual(b"", await within(idle.read_to_end()))
         first.write(remainder)
-        last.write(UNTOLD[-1:])
+        last.write(REQUEST_BODY[-1:])
         for client in (first, last):
-            answer = Exchanged("half", 0.0, await within(client.rest()))
-            self.assertEqual((200, True), (answer.status, answer.whole))
+            answer = ClientExchange("half", 0.0, await within(client.read_to_end()))
+            self.assertEqual((200, True), (answer.status, answer.is_complete))
         await within(self.running)
 
     async def test_a_long_answer_is_flushed_to_a_slow_reader_before_the_process_ends(self) -> None:
         body = b"x" * 4_000_000
-        await self.prepare(MUTATING, responding(body))
+        await self.start_worker_and_warm_up(MUTATING, responding(body))
         client = await self.connect()
         client.write(request_bytes(MUTATING, "slow"))
         await within(client.reader.readexactly(1))
-        self.stop()
-        answer = Exchanged("slow", 0.0, b"H" + await within(client.rest()))
-        self.assertEqual((200, True), (answer.status, answer.whole))
+        self.send_sigterm()
+        answer = ClientExchange("slow", 0.0, b"H" + await within(client.read_to_end()))
+        self.assertEqual((200, True), (answer.status, answer.is_complete))
         await within(self.running)
 
     async def test_an_answer_is_waited_for_after_the_listener_was_closed(self) -> None:
         self.enterContext(mock.patch.object(program, "FIRST_REQUEST_LIMIT", GRACE / 4))
         release = asyncio.Event()
-        worker = await self.prepare_held(release)
+        worker = await self.start_delayed_worker(release)
         client = await self.connect()
         client.write(request_bytes(MUTATING, "late"))
-        await within(worker.request_came.wait())
-        self.stop()
-        await within(self.listener_closed())
-        await moment(asyncio.get_running_loop().time() + 4 * program.SHUTDOWN_TIMEOUT)
+        await within(worker.request_received.wait())
+        self.send_sigterm()
+        await within(self.wait_for_closed_listener())
+        await sleep_until(asyncio.get_running_loop().time() + 4 * program.SHUTDOWN_TIMEOUT)
         release.set()
-        answer = Exchanged("late", 0.0, await within(client.rest()))
-        self.assertEqual((200, True), (answer.status, answer.whole))
+        answer = ClientExchange("late", 0.0, await within(client.read_to_end()))
+        self.assertEqual((200, True), (answer.status, answer.is_complete))
         await within(self.running)
 
-    async def listener_closed(self) -> None:
+    async def wait_for_closed_listener(self) -> None:
         """Wait until new connections are refused."""
         while True:
             try:
@@ -443,21 +457,21 @@
             except ConnectionError:
                 return
 
-    async def prepare_held(self, release: asyncio.Event) -> FakeWorker:
+    async def start_delayed_worker(self, release: asyncio.Event) -> FakeWorker:
         """A worker that answers once the test says so."""
         worker = await self.start_worker(FakeWorker(delayed_until(responding(), release)))
-        await self.feed()
+        await self.publish_until_ready()
         return worker
 
     async def test_a_request_under_way_at_the_very_end_gets_a_failure_that_is_whole(self) -> None:
         """It was sent before SIGTERM and lasts longer than all others: it may have run."""
-        worker = await self.prepare_held(asyncio.Event())
+        worker = await self.start_delayed_worker(asyncio.Event())
         client = await self.connect()
         client.write(request_bytes(MUTATING, "held"))
-        await within(worker.request_came.wait())
-        self.stop()
-        answer = Exchanged("held", 0.0, await within(client.rest()))
-        self.assertEqual((502, True), (answer.status, answer.whole))
+        await within(worker.request_received.wait())
+        self.send_sigterm()
+        answer = ClientExchange("held", 0.0, await within(client.read_to_end()))
+        self.assertEqual((502, True), (answer.status, answer.is_complete))
         await within(self.running)
 
 
@@ -545,15 +559,15 @@
 
     async def asyncSetUp(self) -> None:
         self.release = asyncio.Event()
-        self.came = asyncio.Event()
-        self.server = ClientServer(self.answer, access_log=None)
+        self.request_received = asyncio.Event()
+        self.server = ClientServer(self.handle, access_log=None)
         self.runner = web.ServerRunner(self.server, handle_signals=False, shutdown_timeout=0.05)
         await self.runner.setup()
         self.addAsyncCleanup(self.runner.cleanup)
         await web.TCPSite(self.runner, HOST, 0).start()
 
-    async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        self.came.set()
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        self.request_received.set()
         await self.release.wait()
         return web.Response(text="ok")
 
@@ -569,7 +583,7 @@
         self.server.close_idle(60.0)
         self.assertEqual(1, len(self.server.connections))
         self.server.close_idle(0.0)
-        self.assertEqual(b"", await within(client.rest()))
+        self.assertEqual(b"", await within(client.read_to_end()))
 
     async def test_a_connection_with_part_of_a_head_stays(self) -> None:
         self.release.set()
@@ -585,19 +599,19 @@
     async def test_a_connection_whose_request_is_answered_stays(self) -> None:
         client = await self.connect()
         client.write(request_bytes("/", "id"))
-        await within(self.came.wait())
+        await within(self.request_received.wait())
         self.server.close_idle(0.0)
         self.release.set()
         self.assertIn(b"200", await within(client.reader.readline()))
         self.assertIn(b"ok", await within(client.reader.readuntil(b"ok")))
         await run_loop_turns()
         self.server.close_idle(0.0)
-        self.assertEqual(b"", await within(client.rest()))
+        self.assertEqual(b"", await within(client.read_to_end()))
 
 
 class ClientListenerTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        server = ClientServer(self.answer, access_log=None)
+        server = ClientServer(self.handle, access_log=None)
         runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=0.05)
         await runner.setup()
         self.addAsyncCleanup(runner.cleanup)
@@ -609,12 +623,12 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: self.failures.append(context))
 
-    async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         response = web.Response(text="ok")
         response.force_close()
         return response
 
-    def connect_each_turn(self) -> None:
+    def connect_in_each_iteration(self) -> None:
         """Open a connection with a whole request in this turn of the event loop, and in each that follows."""
         if not self.connecting:
             return
@@ -624,11 +638,11 @@
             return
         client.sendall(request_bytes("/", str(len(self.clients))))
         self.clients.append(client)
-        asyncio.get_running_loop().call_soon(self.connect_each_turn)
+        asyncio.get_running_loop().call_soon(self.connect_in_each_iteration)
 
-    async def stop_after(self, connections: int) -> None:
+    async def stop_listener_after(self, connections: int) -> None:
         """Close the listener among connections; errors of the event loop, such as lost ones, are failures."""
-        self.connect_each_turn()
+        self.connect_in_each_iteration()
         while len(self.clients) < connections:
             await asyncio.sleep(0)
         await self.listener.stop()
@@ -641,18 +655,18 @@
             self.assertIn(b" 200 ", answer)
 
     async def test_no_accepted_connection_is_lost_by_a_stop_in_the_turn_of_an_accept(self) -> None:
-        await self.stop_after(10)
+        await self.stop_listener_after(10)
 
     async def test_no_accepted_connection_is_lost_by_a_stop_in_the_turn_after_an_accept(self) -> None:
         """Each accept takes in the connections of two turns, so the other one is tested too."""
-        await self.stop_after(11)
+        await self.stop_listener_after(11)
 
     @staticmethod
     async def read_all(client: socket.socket) -> bytes:
         """All that comes until the end; nothing from a connection that was never accepted."""
         client.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=client)
-        return await Client(reader, writer).rest()
+        return await Client(reader, writer).read_to_end()
 
 
 if __name__ == "__main__":
--- a/tests/test_dataplane_parts.py
+++ b/tests/test_dataplane_parts.py
@@ -35,7 +35,7 @@
 WINDOWS = 200
 
 
-def split(*pieces: bytes) -> list[Event]:
+def split_stream(*pieces: bytes) -> list[Event]:
     """The events of a stream that comes in these pieces."""
     splitter = EventSplitter()
     return [event for piece in pieces for event in splitter.feed(piece)]
@@ -43,18 +43,18 @@
 
 class EventSplitterTests(unittest.TestCase):
     def test_whole_stream_gives_its_events_unchanged(self) -> None:
-        events = split(STREAM)
+        events = split_stream(STREAM)
         self.assertEqual(STREAM, b"".join(event.raw for event in events))
         self.assertEqual(STREAM_IDS, [event.id for event in events])
 
     def test_every_split_in_two_gives_the_same_events(self) -> None:
-        expected = split(STREAM)
+        expected = split_stream(STREAM)
         for position in range(len(STREAM) + 1):
             with self.subTest(position=position):
-                self.assertEqual(expected, split(STREAM[:position], STREAM[position:]))
+                self.assertEqual(expected, split_stream(STREAM[:position], STREAM[position:]))
 
     def test_single_bytes_give_the_same_events(self) -> None:
-        self.assertEqual(split(STREAM), split(*(bytes([byte]) for byte in STREAM)))
+        self.assertEqual(split_stream(STREAM), split_stream(*(bytes([byte]) for byte in STREAM)))
 
     def test_an_event_comes_with_its_last_byte_and_not_before(self) -> None:
         splitter = EventSplitter()
@@ -75,7 +75,7 @@
 
 
 class RetryBudgetTests(unittest.TestCase):
-    def take_all(self, budget: RetryBudget, service: str, now: float) -> int:
+    def spend_all(self, budget: RetryBudget, service: str, now: float) -> int:
         """Take repeats until one is denied."""
         taken = 0
         while budget.try_spend(service, now):
@@ -91,13 +91,13 @@
         budget = RetryBudget(ratio=0.2, window=10.0, slack=10.0)
         for _ in range(100):
             budget.record_request(SERVICE, 0.0)
-        taken = self.take_all(budget, SERVICE, 1.0)
+        taken = self.spend_all(budget, SERVICE, 1.0)
         self.assertGreater(taken, 0)
         self.assertLessEqual(taken, 0.2 * 100 + 10.0)
 
     def test_more_requests_allow_more_repeats(self) -> None:
         budget = RetryBudget(ratio=0.2, window=10.0, slack=10.0)
-        self.take_all(budget, SERVICE, 0.0)
+        self.spend_all(budget, SERVICE, 0.0)
         for _ in range(100):
             budget.record_request(SERVICE, 1.0)
         self.assertTrue(budget.try_spend(SERVICE, 1.0))
@@ -108,20 +108,20 @@
         for _ in range(dispatchers):
             budget = RetryBudget(ratio=0.0, window=10.0, slack=slack)
             budget.dispatcher_count = dispatchers
-            total += self.take_all(budget, SERVICE, 0.0)
+            total += self.spend_all(budget, SERVICE, 0.0)
         self.assertGreater(total, 0)
         self.assertLessEqual(total, slack)
 
     def test_services_have_budgets_of_their_own(self) -> None:
         budget = RetryBudget(ratio=0.0, window=10.0, slack=10.0)
-        first = self.take_all(budget, SERVICE, 0.0)
-        self.assertEqual(first, self.take_all(budget, "other", 0.0))
+        first = self.spend_all(budget, SERVICE, 0.0)
+        self.assertEqual(first, self.spend_all(budget, "other", 0.0))
 
     def test_repeats_come_back_when_the_window_has_passed(self) -> None:
         budget = RetryBudget(ratio=0.0, window=10.0, slack=10.0)
-        first = self.take_all(budget, SERVICE, 0.0)
+        first = self.spend_all(budget, SERVICE, 0.0)
         self.assertFalse(budget.try_spend(SERVICE, 9.9))
-        self.assertEqual(first, self.take_all(budget, SERVICE, 10.1))
+        self.assertEqual(first, self.spend_all(budget, SERVICE, 10.1))
 
     def test_old_requests_no_longer_count(self) -> None:
         budget = RetryBudget(ratio=0.5, window=10.0, slack=0.0)
@@ -185,9 +185,9 @@
         for dispatchers, tolerance in ((1, 0.01), (8, 0.03), (70, 0.06)):
             for weights in ((50, 50), (90, 10), (30, 70), (1, 2, 3)):
                 with self.subTest(dispatchers=dispatchers, weights=weights):
-                    self.assertLess(self.worst_window(dispatchers, weights), tolerance)
+                    self.assertLess(self.largest_deviation(dispatchers, weights), tolerance)
 
-    def worst_window(self, dispatchers: int, weights: tuple[int, ...]) -> float:
+    def largest_deviation(self, dispatchers: int, weights: tuple[int, ...]) -> float:
         """How far a service's share lies off its weight in the worst of many windows."""
         random = Random(dispatchers)
         route = route_with(*(ServiceShare(str(n), weight) for n, weight in enumerate(weights)))
@@ -270,17 +270,17 @@
 
 class DemandMeterTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.wanted: list[ServiceKey] = []
-        self.meter = DemandMeter(self.wanted.append)
+        self.first_waits: list[ServiceKey] = []
+        self.meter = DemandMeter(self.first_waits.append)
 
     def test_only_the_first_waiting_request_calls_for_the_weights(self) -> None:
         self.meter.begin_wait(KEY, 1.0)
         self.meter.begin_wait(KEY, 2.0)
-        self.assertEqual([KEY], self.wanted)
+        self.assertEqual([KEY], self.first_waits)
         self.meter.end_wait(KEY, 1.0)
         self.meter.end_wait(KEY, 2.0)
         self.meter.begin_wait(KEY, 3.0)
-        self.assertEqual([KEY, KEY], self.wanted)
+        self.assertEqual([KEY, KEY], self.first_waits)
 
     def test_waiting_requests_are_reported_with_the_oldest_wait(self) -> None:
         self.meter.record_request(KEY, 1.0)
--- a/tests/test_dataplane_program.py
+++ b/tests/test_dataplane_program.py
@@ -34,7 +34,7 @@
     WAIT_LIMIT,
     Exchange,
     FakeWorker,
-    Silence,
+    UnresponsiveWorker,
     delayed_until,
     responding,
     within,
@@ -44,10 +44,10 @@
 CONTROL_IP = "127.0.0.2"
 HEADER_LIMIT = CONFIGURATION["limits"]["hdr-bytes"]
 HEADER_MARGIN = 2048  # bytes for the other headers of a request
-SHORT_NOTICE = 0.05
-REFUSALS = 3
+SHORT_INGRESS_NOTICE = 0.05
+PUBLICATIONS = 3
 SHORT_KEEPALIVE = 0.1  # seconds
-SHORT_DRAIN = 1.0  # seconds between SIGTERM and the end of the process
+DRAIN_TIME = 1.0  # seconds between SIGTERM and the end of the process
 
 
 class ControlMachine:
@@ -58,10 +58,10 @@
         self.source = b""
         self.sequence = 1
         self.fresh = True
-        self.confirms = True
+        self.confirms_configuration = True
         self.answers_heartbeats = True
-        self.asked: list[FetchConfiguration] = []
-        self.messages: asyncio.Queue[Message] = asyncio.Queue()
+        self.fetch_requests: list[FetchConfiguration] = []
+        self.demand_reports: asyncio.Queue[Message] = asyncio.Queue()
         self.server = FeedServer(self)
 
     def status(self) -> Status:
@@ -76,20 +76,22 @@
     def message_received(self, connection: Connection, message: Message) -> None:
         """Give out the configuration; keep reports of demand."""
         if isinstance(message, FetchConfiguration):
-            self.asked.append(message)
-            connection.send(ConfigurationBody(1, self.sequence, self.source, confirmed=self.confirms))
+            self.fetch_requests.append(message)
+            connection.send(
+                ConfigurationBody(1, self.sequence, self.source, confirmed=self.confirms_configuration)
+            )
         elif isinstance(message, Heartbeat):
             if self.answers_heartbeats:
                 connection.send(
                     HeartbeatAnswer(message.sent_at, 1, self.status().config_sequence, self.fresh)
                 )
         elif isinstance(message, DemandReport):
-            self.messages.put_nowait(message)
+            self.demand_reports.put_nowait(message)
 
     def subscriber_lost(self, connection: Connection) -> None:
         """Nothing to do."""
 
-    def send_next_configuration(self) -> None:
+    def publish_next_configuration(self) -> None:
         """Have a further configuration in force, and tell of it."""
         document = json.loads(self.source)
         self.source = json.dumps({**document, "ver": document["ver"] + 1}).encode()
@@ -101,7 +103,7 @@
     """A dispatcher that runs, and the control machine that feeds it."""
 
     async def asyncSetUp(self) -> None:
-        self.enterContext(mock.patch.object(program, "INGRESS_NOTICE", SHORT_NOTICE))
+        self.enterContext(mock.patch.object(program, "INGRESS_NOTICE", SHORT_INGRESS_NOTICE))
         self.control = ControlMachine()
         self.settings = self.make_settings()
         await self.control.server.start(CONTROL_IP, self.settings.feed_port)
@@ -112,7 +114,7 @@
             connector=TCPConnector(force_close=True), timeout=ClientTimeout(total=WAIT_LIMIT)
         )
         self.addAsyncCleanup(self.client.close)
-        await within(self.listening())
+        await within(self.wait_until_listening())
 
     def make_settings(self) -> NodeSettings:
         """Settings with free ports."""
@@ -134,16 +136,16 @@
             os.kill(os.getpid(), signal.SIGTERM)
         await within(self.running)
 
-    async def listening(self) -> None:
+    async def wait_until_listening(self) -> None:
         """Wait until the dispatcher answers."""
         while True:
             try:
-                await self.readiness()
+                await self.readiness_status()
                 return
             except OSError:
                 await asyncio.sleep(0)
 
-    async def readiness(self) -> int:
+    async def readiness_status(self) -> int:
         """The status of its readiness check."""
         async with self.client.get(f"http://{self.settings.listen['readyz']}/readyz") as response:
             return response.status
@@ -155,14 +157,14 @@
         self.control.records.append(worker.record(service))
         return worker
 
-    async def feed(self) -> None:
+    async def publish_until_ready(self) -> None:
         """Tell the dispatcher of configuration and workers, and wait until it is ready."""
         self.control.source = json.dumps(CONFIGURATION).encode()
         self.control.server.broadcast(WorkerUpdates(tuple(self.control.records), complete=True))
         self.control.server.broadcast(self.control.status())
 
         async def ready() -> None:
-            while await self.readiness() != 200:
+            while await self.readiness_status() != 200:
                 self.control.server.broadcast(WorkerUpdates(tuple(self.control.records), complete=True))
                 self.control.server.broadcast(self.control.status())
 
@@ -179,18 +181,18 @@
 
 class DataPlaneTests(DataPlaneCase):
     async def test_it_is_ready_once_it_has_configuration_and_workers(self) -> None:
-        self.assertEqual(503, await self.readiness())
+        self.assertEqual(503, await self.readiness_status())
         status, _ = await self.send(SAFE)
         self.assertEqual(503, status)
         await self.start_worker(FakeWorker(responding()))
-        await self.feed()
+        await self.publish_until_ready()
         self.assertEqual((200, b"answer"), await self.send(MUTATING))
 
     async def test_it_says_that_there_is_no_route_once_a_heartbeat_was_answered(self) -> None:
         """What a control machine tells unasked may have been on its way for any time."""
         self.control.answers_heartbeats = False
         await self.start_worker(FakeWorker(responding()))
-        await self.feed()
+        await self.publish_until_ready()
         status, _ = await self.send("/nowhere/")
         self.assertEqual(503, status)
         self.control.answers_heartbeats = True
@@ -203,41 +205,41 @@
 
     async def test_it_serves_nothing_of_a_control_machine_that_lost_its_primary(self) -> None:
         self.control.fresh = False
-        await self.offer_unconfirmed()
-        self.assertEqual([], self.control.asked)
+        await self.check_configuration_is_not_served()
+        self.assertEqual([], self.control.fetch_requests)
         self.control.fresh = True
-        await self.feed()
+        await self.publish_until_ready()
         self.assertEqual((200, b"answer"), await self.send(MUTATING))
 
     async def test_it_serves_nothing_of_a_primary_that_no_majority_confirms(self) -> None:
-        self.control.confirms = False
-        await self.offer_unconfirmed()
-        self.assertEqual({True}, {question.confirm for question in self.control.asked})
-        self.control.confirms = True
-        await self.feed()
+        self.control.confirms_configuration = False
+        await self.check_configuration_is_not_served()
+        self.assertEqual({True}, {question.confirm for question in self.control.fetch_requests})
+        self.control.confirms_configuration = True
+        await self.publish_until_ready()
         self.assertEqual((200, b"answer"), await self.send(MUTATING))
 
-    async def offer_unconfirmed(self) -> None:
+    async def check_configuration_is_not_served(self) -> None:
         """Tell of a configuration that must not be served, and see that it is not."""
         await self.start_worker(FakeWorker(responding()))
         self.control.source = json.dumps(CONFIGURATION).encode()
         self.control.server.broadcast(WorkerUpdates(tuple(self.control.records), complete=True))
-        for _ in range(REFUSALS):
+        for _ in range(PUBLICATIONS):
             self.control.server.broadcast(self.control.status())
             status, _ = await self.send(MUTATING, X_Time_Left="200")
             self.assertEqual(503, status)
-        self.assertEqual(503, await self.readiness())
+        self.assertEqual(503, await self.readiness_status())
 
     async def test_a_request_before_the_configuration_is_answered_when_it_is_there(self) -> None:
         await self.start_worker(FakeWorker(responding()))
         sending = asyncio.create_task(self.send(MUTATING))
-        await self.feed()
+        await self.publish_until_ready()
         self.assertEqual((200, b"answer"), await within(sending))
 
     async def test_headers_within_the_limit_are_served(self) -> None:
         """A long prompt is told in one header, which may take up most of `hdr-bytes`."""
         worker = await self.start_worker(FakeWorker(responding()))
-        await self.feed()
+        await self.publish_until_ready()
         parts = ",".join(f"{number:08x}:16" for number in range(HEADER_LIMIT // 12))
         prefix = parts[: HEADER_LIMIT - HEADER_MARGIN].rpartition(",")[0]
         self.assertEqual((200, b"answer"), await self.send(SAFE, X_Prompt_Prefix=prefix))
@@ -245,9 +247,9 @@
 
     async def test_a_request_that_waits_for_weights_is_reported_at_once(self) -> None:
         await self.start_worker(FakeWorker(responding()), MODEL_SERVICE)
-        await self.feed()
+        await self.publish_until_ready()
         sending = asyncio.create_task(self.send(MODELS, X_Model="small/a1", X_Time_Left="400"))
-        report = await within(self.control.messages.get())
+        report = await within(self.control.demand_reports.get())
         assert isinstance(report, DemandReport)
         (key,) = report.keys
         self.assertEqual(
@@ -259,13 +261,13 @@
     async def test_what_is_under_way_at_sigterm_is_finished(self) -> None:
         release = asyncio.Event()
         worker = await self.start_worker(FakeWorker(delayed_until(responding(), release)))
-        await self.feed()
+        await self.publish_until_ready()
         sending = asyncio.create_task(self.send(MUTATING))
-        await within(worker.request_came.wait())
+        await within(worker.request_received.wait())
         os.kill(os.getpid(), signal.SIGTERM)
 
         async def not_ready() -> None:
-            while await self.readiness() != 503:
+            while await self.readiness_status() != 503:
                 await asyncio.sleep(0)
 
         await within(not_ready())
@@ -275,32 +277,32 @@
 
     async def test_a_request_that_waits_for_weights_is_refused_before_the_process_ends(self) -> None:
         """Its wait could last beyond the time that the process has left after SIGTERM."""
-        margin = self.settings.bounds.grace - SHORT_DRAIN
+        margin = self.settings.bounds.grace - DRAIN_TIME
         self.enterContext(mock.patch.object(program, "CLOSING_MARGIN", margin))
         await self.start_worker(FakeWorker(responding()), MODEL_SERVICE)
-        await self.feed()
+        await self.publish_until_ready()
         sending = asyncio.create_task(self.send(MODELS, X_Model="small/a1", X_Time_Left="60000"))
-        await within(self.control.messages.get())
+        await within(self.control.demand_reports.get())
         os.kill(os.getpid(), signal.SIGTERM)
         status, _ = await within(sending)
         self.assertEqual(503, status)
         await within(self.running)
 
     async def test_a_client_that_leaves_frees_the_worker(self) -> None:
-        silence = Silence()
+        silence = UnresponsiveWorker()
         await self.start_worker(FakeWorker(silence))
-        await self.feed()
+        await self.publish_until_ready()
         sending = asyncio.create_task(self.send(MUTATING))
-        await within(silence.began.wait())
+        await within(silence.request_received.wait())
         sending.cancel()
-        await within(silence.abandoned.wait())
+        await within(silence.connection_closed.wait())
 
     async def test_the_configuration_stays_in_force_when_the_control_plane_is_lost(self) -> None:
         await self.start_worker(FakeWorker(responding()))
-        await self.feed()
+        await self.publish_until_ready()
         await self.control.server.stop()
         self.assertEqual((200, b"answer"), await self.send(SAFE))
-        self.assertEqual(200, await self.readiness())
+        self.assertEqual(200, await self.readiness_status())
 
 
 class KeptConnectionTests(DataPlaneCase):
@@ -333,14 +335,14 @@
             await responding(b"late")(exchange)
 
         worker = await self.start_worker(FakeWorker(responding(), answer_late, responding()))
-        await self.feed()
+        await self.publish_until_ready()
         reader, writer = await self.open_connection()
         self.send_over(writer, "first")
         await within(reader.readuntil(b"answer"))
         self.send_over(writer, "second")
         await within(began.wait())
         os.kill(os.getpid(), signal.SIGHUP)
-        self.control.send_next_configuration()
+        self.control.publish_next_configuration()
         idle_reader, idle_writer = await self.open_connection()
         self.send_over(idle_writer, "idle")
         await within(idle_reader.readuntil(b"answer"))
--- a/tests/test_dataplane_proxy.py
+++ b/tests/test_dataplane_proxy.py
@@ -30,7 +30,7 @@
     Behaviour,
     Exchange,
     FakeWorker,
-    Silence,
+    UnresponsiveWorker,
     break_off,
     delayed_until,
     rejecting,
@@ -50,15 +50,15 @@
 TRIES = 3
 TIMEOUT_MS = 4000
 BODY_LIMIT = 4096
-USED_MS = 50
+WORKER_DELAY_MS = 50
 ROUNDING_MS = 2
 SHORT_TIMEOUT_MS = 300
-ANSWER_LIMIT = 0.5  # seconds after a route's timeout within which the answer is there
-LEAVING_LIMIT = 0.5  # seconds after a client's end within which the work behind it stops
+RESPONSE_MARGIN = 0.5  # seconds after a route's timeout within which the answer is there
+CANCEL_LIMIT = 0.5  # seconds after a client's end within which the work behind it stops
 SHORT_PATIENCE = 0.05  # seconds
 SHORT_CHECK = 0.01  # seconds
-LOOKS = 5
-PROMISES = (408, 421, 429, 503)  # statuses that say that a request has not run and never will
+CHECKS = 5
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # statuses that say that a request has not run and never will
 AMPLE_BUDGET = (1.0, 10.0, 1000.0)  # ratio, window, slack
 NO_BUDGET = (0.0, 10.0, 0.0)
 
@@ -113,7 +113,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class ReceivedResponse:
     """An answer as the client got it."""
 
     status: int
@@ -122,12 +122,12 @@
 
 
 @dataclass(frozen=True)
-class SecondChance:
+class RetriedRequest:
     """What became of a request whose first worker did not answer it."""
 
-    answer: Answer
-    first: FakeWorker
-    second: FakeWorker
+    response: ReceivedResponse
+    first_worker: FakeWorker
+    second_worker: FakeWorker
 
 
 @dataclass
@@ -135,21 +135,21 @@
     """The parts of a dispatcher that serve clients, on a free port."""
 
     pool: WorkerPool = field(default_factory=WorkerPool)
-    wanted: asyncio.Queue[ServiceKey] = field(default_factory=asyncio.Queue)
+    keys_with_waits: asyncio.Queue[ServiceKey] = field(default_factory=asyncio.Queue)
     port: int = 0
-    level: bool = True
-    asked_for_level: asyncio.Event = field(default_factory=asyncio.Event)
+    up_to_date: bool = True
+    up_to_date_was_checked: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def is_level(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """Whether the configuration is the newest."""
-        self.asked_for_level.set()
-        return self.level
+        self.up_to_date_was_checked.set()
+        return self.up_to_date
 
     async def start(self, budget: tuple[float, float, float]) -> None:
         """Listen without a configuration."""
         self.router = Router("e1", "z1", self.pool)
         self.client = UpstreamClient(256)
-        demand = DemandMeter(self.wanted.put_nowait)
+        demand = DemandMeter(self.keys_with_waits.put_nowait)
         self.proxy = Proxy(
             self.router,
             self.pool,
@@ -157,7 +157,7 @@
             RetryBudget(*budget),
             self.client,
             on_work=lambda notice: None,
-            is_level=self.is_level,
+            is_level=self.is_up_to_date,
         )
         server = ClientServer(self.proxy.handle, access_log=None)
         self.runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=0.05)
@@ -193,7 +193,7 @@
         """Put a configuration in force."""
         self.dispatcher.router.configure(json.dumps(document).encode())
 
-    def know(self, record: WorkerRecord) -> None:
+    def add_record(self, record: WorkerRecord) -> None:
         """Tell the dispatcher of a worker."""
         self.dispatcher.router.worker_changed(record)
 
@@ -203,25 +203,27 @@
         await worker.start()
         self.addAsyncCleanup(worker.stop)
         if known:
-            self.know(worker.record(SERVICE))
+            self.add_record(worker.record(SERVICE))
         return worker
 
     async def start_workers(self, number: int, *script: Behaviour) -> list[FakeWorker]:
         """Workers with the same script."""
         return [await self.start_worker(*script) for _ in range(number)]
 
-    async def send_past(self, behaviour: Behaviour, prefix: str, second: Behaviour) -> SecondChance:
+    async def send_with_second_worker(
+        self, behaviour: Behaviour, prefix: str, second: Behaviour
+    ) -> RetriedRequest:
         """Send a request that surely meets the first worker; the second one is known only after that."""
         release = asyncio.Event()
         first_worker = await self.start_worker(delayed_until(behaviour, release))
         sending = asyncio.create_task(self.send(prefix))
-        await within(first_worker.request_came.wait())
+        await within(first_worker.request_received.wait())
         second_worker = await self.start_worker(second)
         release.set()
         answer = await sending
         for worker in (first_worker, second_worker):
             self.dispatcher.router.worker_gone(worker.id)
-        return SecondChance(answer, first_worker, second_worker)
+        return RetriedRequest(answer, first_worker, second_worker)
 
     def url(self, target: str) -> URL:
         """The dispatcher's URL of a target, which is left as it is."""
@@ -239,28 +241,28 @@
         method: str = "POST",
         body: bytes | AsyncIterator[bytes] = b"question",
         **headers: str,
-    ) -> Answer:
+    ) -> ReceivedResponse:
         """Send a request and read the whole answer."""
         data = None if method == "GET" else body
         async with self.client.request(
             method, self.url(target), data=data, headers=self.headers(request_id, **headers)
         ) as response:
-            return Answer(response.status, dict(response.headers), await response.read())
+            return ReceivedResponse(response.status, dict(response.headers), await response.read())
 
-    async def no_request_in_flight(self) -> None:
+    async def wait_for_no_request_in_flight(self) -> None:
         """Wait until the dispatcher has ended all requests."""
         while self.dispatcher.proxy.in_flight:
             await asyncio.sleep(0)
 
-    def assert_refused_early(self, answer: Answer) -> None:
+    def assert_rejected(self, answer: ReceivedResponse) -> None:
         """The answer promises that nothing ran, and says when to come back."""
         self.assertEqual(503, answer.status)
         self.assertGreaterEqual(float(answer.headers["Retry-After"]), 0.0)
 
-    def assert_no_promise(self, answer: Answer) -> None:
+    def assert_may_have_run(self, answer: ReceivedResponse) -> None:
         """The answer is a failure that leaves open whether the request ran."""
         self.assertGreaterEqual(answer.status, 500)
-        self.assertNotIn(answer.status, PROMISES)
+        self.assertNotIn(answer.status, NOT_RUN_STATUSES)
 
 
 def count_requests(workers: list[FakeWorker], request_id: str = "try-1") -> int:
@@ -317,7 +319,7 @@
         for prefix in (SAFE, STREAM):
             workers = await self.start_workers(TRIES, rejecting(503))
             for worker in workers:
-                self.know(worker.record(SERVICE, models=(HeldModel("small", 1, frozenset({"a1"})),)))
+                self.add_record(worker.record(SERVICE, models=(HeldModel("small", 1, frozenset({"a1"})),)))
             headers = {**self.headers(f"try-{prefix}"), **told}
             async with self.client.post(self.url(prefix), data=b"question", headers=headers) as response:
                 self.assertEqual(503, response.status)
@@ -370,7 +372,7 @@
 
         async def use_time_and_refuse(exchange: Exchange) -> None:
             used = asyncio.Event()
-            loop.call_later(USED_MS / 1000, used.set)
+            loop.call_later(WORKER_DELAY_MS / 1000, used.set)
             await used.wait()
             await rejecting(503)(exchange)
 
@@ -380,7 +382,7 @@
         passed_ms = (loop.time() - began) * 1000
         left = [int(r.headers["x-time-left"]) for worker in workers for r in worker.requests]
         first, second = max(left), min(left)
-        self.assertLessEqual(second, first - USED_MS + ROUNDING_MS)
+        self.assertLessEqual(second, first - WORKER_DELAY_MS + ROUNDING_MS)
         self.assertGreaterEqual(second, 2000 - passed_ms - ROUNDING_MS)
 
     async def test_the_answer_comes_by_the_timeout_of_the_route(self) -> None:
@@ -390,20 +392,20 @@
         loop = asyncio.get_running_loop()
         for prefix in (SAFE, MUTATING, STREAM, RESUMED):
             with self.subTest(prefix=prefix):
-                worker = await self.start_worker(Silence())
+                worker = await self.start_worker(UnresponsiveWorker())
                 lag, began = LoopLag(), loop.time()
                 answer = await self.send(prefix, X_Time_Left="60000")
                 took = loop.time() - began
-                self.assertLess(took, SHORT_TIMEOUT_MS / 1000 + ANSWER_LIMIT + lag.stop())
-                self.assert_no_promise(answer)
+                self.assertLess(took, SHORT_TIMEOUT_MS / 1000 + RESPONSE_MARGIN + lag.stop())
+                self.assert_may_have_run(answer)
                 self.dispatcher.router.worker_gone(worker.id)
 
     async def test_the_answer_comes_by_the_deadline(self) -> None:
-        silent = Silence()
+        silent = UnresponsiveWorker()
         await self.start_worker(silent)
         answer = await self.send(MUTATING, X_Time_Left="400")
-        self.assert_no_promise(answer)
-        await within(silent.abandoned.wait())
+        self.assert_may_have_run(answer)
+        await within(silent.connection_closed.wait())
 
 
 class RoutingTests(DispatcherCase):
@@ -422,16 +424,16 @@
 
     async def test_an_unknown_route_is_refused_by_a_dispatcher_that_is_behind(self) -> None:
         worker = await self.start_worker(responding())
-        self.dispatcher.level = False
+        self.dispatcher.up_to_date = False
         with mock.patch.object(route_matching, "ROUTE_PATIENCE", SHORT_PATIENCE):
-            self.assert_refused_early(await self.send("/nowhere/"))
+            self.assert_rejected(await self.send("/nowhere/"))
         self.assertEqual([], worker.requests)
 
     async def test_a_request_waits_for_the_configuration_that_has_its_route(self) -> None:
         await self.start_worker(responding())
-        self.dispatcher.level = False
+        self.dispatcher.up_to_date = False
         sending = asyncio.create_task(self.send("/later/"))
-        await within(self.dispatcher.asked_for_level.wait())
+        await within(self.dispatcher.up_to_date_was_checked.wait())
         routes = [*CONFIGURATION["routes"], route("/later/", "safe")]
         self.configure({**CONFIGURATION, "ver": 2, "routes": routes})
         self.assertEqual(200, (await sending).status)
@@ -452,15 +454,15 @@
         await bare.start(AMPLE_BUDGET)
         self.addAsyncCleanup(bare.stop)
         self.dispatcher.port = bare.port
-        self.assert_refused_early(await self.send(MUTATING))
+        self.assert_rejected(await self.send(MUTATING))
 
     async def test_without_a_worker_the_request_is_refused_early(self) -> None:
-        self.assert_refused_early(await self.send(MUTATING))
+        self.assert_rejected(await self.send(MUTATING))
 
     async def test_a_draining_worker_gets_nothing(self) -> None:
         leaving = await self.start_worker(responding(), known=False)
-        self.know(leaving.record(SERVICE, draining=True))
-        self.assert_refused_early(await self.send(SAFE))
+        self.add_record(leaving.record(SERVICE, draining=True))
+        self.assert_rejected(await self.send(SAFE))
         staying = await self.start_worker(responding())
         for number in range(20):
             self.assertEqual(200, (await self.send(SAFE, f"try-{number}")).status)
@@ -469,20 +471,20 @@
     async def test_a_worker_that_begins_to_drain_gets_nothing_more(self) -> None:
         worker = await self.start_worker(responding())
         self.assertEqual(200, (await self.send(SAFE, "before")).status)
-        self.know(worker.record(SERVICE, draining=True))
-        self.assert_refused_early(await self.send(SAFE, "after"))
+        self.add_record(worker.record(SERVICE, draining=True))
+        self.assert_rejected(await self.send(SAFE, "after"))
         self.assertEqual([], worker.requests_of("after"))
 
     async def test_a_worker_that_is_gone_gets_nothing_more(self) -> None:
         worker = await self.start_worker(responding())
         self.dispatcher.router.worker_gone(worker.id)
-        self.assert_refused_early(await self.send(SAFE))
+        self.assert_rejected(await self.send(SAFE))
         self.assertEqual([], worker.requests)
 
     async def test_a_split_route_sends_one_request_to_one_service_only(self) -> None:
         first = await self.start_worker(rejecting(503))
         second = await self.start_worker(rejecting(503), known=False)
-        self.know(second.record(OTHER_SERVICE))
+        self.add_record(second.record(OTHER_SERVICE))
         for number in range(12):
             await self.send(SPLIT, f"try-{number}")
         ids = [{request.id for request in worker.requests} for worker in (first, second)]
@@ -500,7 +502,7 @@
     async def start_holder(self, *models: HeldModel) -> FakeWorker:
         """A worker of the service with models."""
         worker = await self.start_worker(responding(), known=False)
-        self.know(worker.record(MODEL_SERVICE, models=models))
+        self.add_record(worker.record(MODEL_SERVICE, models=models))
         return worker
 
     async def test_only_a_worker_with_the_weights_gets_the_request(self) -> None:
@@ -519,16 +521,18 @@
     async def test_a_request_waits_until_its_weights_are_loaded(self) -> None:
         worker = await self.start_holder()
         sending = asyncio.create_task(self.send(MODELS, X_Model="small"))
-        self.assertEqual(ServiceKey(MODEL_SERVICE, "small", ""), await within(self.dispatcher.wanted.get()))
-        self.know(replace(worker.record(MODEL_SERVICE), models=(HeldModel("small", 1, frozenset()),)))
+        self.assertEqual(
+            ServiceKey(MODEL_SERVICE, "small", ""), await within(self.dispatcher.keys_with_waits.get())
+        )
+        self.add_record(replace(worker.record(MODEL_SERVICE), models=(HeldModel("small", 1, frozenset()),)))
         self.assertEqual(200, (await sending).status)
 
     async def test_a_request_that_waits_for_weights_follows_a_change_of_its_route(self) -> None:
         plain = await self.start_worker(responding(), known=False)
-        self.know(plain.record(SERVICE, models=(HeldModel("small", 1, frozenset()),)))
+        self.add_record(plain.record(SERVICE, models=(HeldModel("small", 1, frozenset()),)))
         holder = await self.start_holder()
         sending = asyncio.create_task(self.send(MODELS, X_Model="small"))
-        await within(self.dispatcher.wanted.get())
+        await within(self.dispatcher.keys_with_waits.get())
         others = [item for item in CONFIGURATION["routes"] if item["pfx"] != MODELS]
         self.configure({**CONFIGURATION, "ver": 2, "routes": [*others, route(MODELS, "safe")]})
         self.assertEqual(200, (await sending).status)
@@ -537,12 +541,12 @@
     async def test_a_request_whose_client_left_while_it_waited_is_sent_to_nobody(self) -> None:
         worker = await self.start_holder()
         sending = asyncio.create_task(self.send(MODELS, "left", X_Model="small"))
-        await within(self.dispatcher.wanted.get())
+        await within(self.dispatcher.keys_with_waits.get())
         lag, left_at = LoopLag(), asyncio.get_running_loop().time()
         sending.cancel()
-        await within(self.no_request_in_flight())
-        self.assertLess(asyncio.get_running_loop().time() - left_at, LEAVING_LIMIT + lag.stop())
-        self.know(replace(worker.record(MODEL_SERVICE), models=(HeldModel("small", 1, frozenset()),)))
+        await within(self.wait_for_no_request_in_flight())
+        self.assertLess(asyncio.get_running_loop().time() - left_at, CANCEL_LIMIT + lag.stop())
+        self.add_record(replace(worker.record(MODEL_SERVICE), models=(HeldModel("small", 1, frozenset()),)))
         self.assertEqual(200, (await self.send(MODELS, "next", X_Model="small")).status)
         self.assertEqual(["next"], [request.id for request in worker.requests])
 
@@ -550,59 +554,61 @@
         """The load takes longer than the objective. Who comes back is held; the load goes on meanwhile."""
         worker = await self.start_holder()
         answer = await self.send(URGENT_MODELS, X_Model="small", X_Time_Left="3000")
-        self.assert_refused_early(answer)
+        self.assert_rejected(answer)
         (load_s,) = (model["load-s"] for model in RUNTIME_MODELS)
         self.assertAlmostEqual(ORDER_TIME + load_s, float(answer.headers["Retry-After"]), places=1)
         key = ServiceKey(MODEL_SERVICE, "small", "")
-        self.assertEqual(key, await within(self.dispatcher.wanted.get()))
+        self.assertEqual(key, await within(self.dispatcher.keys_with_waits.get()))
         sending = asyncio.create_task(self.send(URGENT_MODELS, X_Model="small", X_Time_Left="2500"))
-        self.know(replace(worker.record(MODEL_SERVICE), models=(HeldModel("small", 1, frozenset()),)))
+        self.add_record(replace(worker.record(MODEL_SERVICE), models=(HeldModel("small", 1, frozenset()),)))
         self.assertEqual(200, (await sending).status)
 
     async def test_an_adapter_of_a_held_model_is_waited_for(self) -> None:
         worker = await self.start_holder(HeldModel("small", 1, frozenset()))
         sending = asyncio.create_task(self.send(URGENT_MODELS, X_Model="small/a1", X_Time_Left="3000"))
-        await within(self.dispatcher.wanted.get())
+        await within(self.dispatcher.keys_with_waits.get())
         adapted = HeldModel("small", 1, frozenset({"a1"}))
-        self.know(replace(worker.record(MODEL_SERVICE), models=(adapted,)))
+        self.add_record(replace(worker.record(MODEL_SERVICE), models=(adapted,)))
         self.assertEqual(200, (await sending).status)
 
     async def test_weights_that_never_come_are_a_refusal(self) -> None:
         await self.start_holder()
-        self.assert_refused_early(await self.send(MODELS, X_Model="small", X_Time_Left="200"))
+        self.assert_rejected(await self.send(MODELS, X_Model="small", X_Time_Left="200"))
 
 
-class RepetitionTests(DispatcherCase):
+class RetryTests(DispatcherCase):
     async def test_a_rejected_request_goes_to_another_worker(self) -> None:
         for status in (503, 429, 421):
             for prefix in (SAFE, MUTATING, STREAM):
                 with self.subTest(status=status, prefix=prefix):
-                    outcome = await self.send_past(rejecting(status), prefix, responding())
-                    self.assertEqual((200, b"answer"), (outcome.answer.status, outcome.answer.body))
-                    self.assertEqual((1, 1), (len(outcome.first.requests), len(outcome.second.requests)))
-                    wanted = outcome.second.requests[0].headers["x-want-instance"]
-                    self.assertEqual(outcome.second.id, wanted)
+                    outcome = await self.send_with_second_worker(rejecting(status), prefix, responding())
+                    self.assertEqual((200, b"answer"), (outcome.response.status, outcome.response.body))
+                    self.assertEqual(
+                        (1, 1), (len(outcome.first_worker.requests), len(outcome.second_worker.requests))
+                    )
+                    wanted = outcome.second_worker.requests[0].headers["x-want-instance"]
+                    self.assertEqual(outcome.second_worker.id, wanted)
 
     async def test_a_rejected_request_was_sent_all_the_same(self) -> None:
         """`tries` is the largest number of workers to which one try may be sent, whatever they say."""
         workers = await self.start_workers(3, rejecting(503))
-        self.assert_refused_early(await self.send(ONCE))
+        self.assert_rejected(await self.send(ONCE))
         self.assertEqual(1, count_requests(workers))
 
     async def test_no_more_workers_are_tried_than_the_route_allows(self) -> None:
         workers = await self.start_workers(TRIES + 2, rejecting(503))
-        self.assert_refused_early(await self.send(MUTATING))
+        self.assert_rejected(await self.send(MUTATING))
         self.assertEqual(TRIES, count_requests(workers))
 
     async def test_one_worker_is_not_tried_twice(self) -> None:
         worker = await self.start_worker(rejecting(503))
-        self.assert_refused_early(await self.send(MUTATING))
+        self.assert_rejected(await self.send(MUTATING))
         self.assertEqual(1, len(worker.requests))
 
     async def test_a_safe_request_is_repeated_after_a_break(self) -> None:
-        outcome = await self.send_past(break_off, SAFE, responding())
-        self.assertEqual((200, b"answer"), (outcome.answer.status, outcome.answer.body))
-        self.assertEqual((1, 1), (len(outcome.first.requests), len(outcome.second.requests)))
+        outcome = await self.send_with_second_worker(break_off, SAFE, responding())
+        self.assertEqual((200, b"answer"), (outcome.response.status, outcome.response.body))
+        self.assertEqual((1, 1), (len(outcome.first_worker.requests), len(outcome.second_worker.requests)))
 
     async def test_a_safe_request_that_breaks_everywhere_fails(self) -> None:
         workers = await self.start_workers(TRIES + 2, break_off)
@@ -614,7 +620,7 @@
             for method in ("POST", "GET", "PUT", "DELETE"):
                 with self.subTest(prefix=prefix, method=method):
                     workers = await self.start_workers(3, break_off)
-                    self.assert_no_promise(await self.send(prefix, method=method))
+                    self.assert_may_have_run(await self.send(prefix, method=method))
                     self.assertEqual(1, count_requests(workers))
                     for worker in workers:
                         self.dispatcher.router.worker_gone(worker.id)
@@ -624,19 +630,19 @@
             with self.subTest(method=method):
                 worker = await self.start_worker(responding(), break_off)
                 self.assertEqual(200, (await self.send(MUTATING, "first", method=method)).status)
-                self.assert_no_promise(await self.send(MUTATING, "second", method=method))
+                self.assert_may_have_run(await self.send(MUTATING, "second", method=method))
                 self.assertEqual(1, len(worker.requests_of("second")))
                 self.dispatcher.router.worker_gone(worker.id)
 
     async def test_a_status_that_promises_is_not_passed_for_a_request_that_may_have_run(self) -> None:
-        for status in PROMISES:
+        for status in NOT_RUN_STATUSES:
             if status == 421:  # a worker that says so has not run the request
                 continue
             for prefix in (MUTATING, STREAM):
                 with self.subTest(status=status, prefix=prefix):
                     workers = await self.start_workers(2, responding(b"busy", status))
                     answer = await self.send(prefix)
-                    self.assert_no_promise(answer)
+                    self.assert_may_have_run(answer)
                     self.assertNotIn("X-Seal", answer.headers)
                     self.assertEqual(1, count_requests(workers))
                     for worker in workers:
@@ -644,7 +650,7 @@
 
     async def test_a_worker_that_cannot_be_reached_costs_no_try(self) -> None:
         ended = await self.start_worker(responding(), known=False)
-        self.know(ended.record(SERVICE))
+        self.add_record(ended.record(SERVICE))
         await ended.stop()
         serving = await self.start_worker(responding())
         for number in range(8):
@@ -654,15 +660,15 @@
     async def test_where_no_worker_can_be_reached_the_request_is_refused(self) -> None:
         ended = await self.start_worker(responding())
         await ended.stop()
-        self.assert_refused_early(await self.send(MUTATING))
+        self.assert_rejected(await self.send(MUTATING))
 
 
-class BudgetTests(DispatcherCase):
+class EmptyBudgetTests(DispatcherCase):
     budget = NO_BUDGET
 
     async def test_without_budget_no_second_worker_is_tried(self) -> None:
         workers = await self.start_workers(3, rejecting(503))
-        self.assert_refused_early(await self.send(MUTATING))
+        self.assert_rejected(await self.send(MUTATING))
         self.assertEqual(1, count_requests(workers))
 
     async def test_without_budget_a_broken_safe_request_fails(self) -> None:
@@ -671,49 +677,53 @@
         self.assertEqual(1, count_requests(workers))
 
 
-class FalseAnswerTests(DispatcherCase):
+class InvalidResponseTests(DispatcherCase):
     """Answers that are not the worker's whole true answer never reach the client as a success."""
 
-    async def assert_never_passed(self, behaviour: Behaviour) -> None:
+    async def assert_never_forwarded(self, behaviour: Behaviour) -> None:
         """An unrepeatable request fails without a promise, a safe one is answered by another worker."""
         for prefix in (MUTATING, STREAM):
-            outcome = await self.send_past(behaviour, prefix, responding(b"sound"))
-            self.assert_no_promise(outcome.answer)
-            self.assertNotIn("X-Seal", outcome.answer.headers)
-            self.assertEqual((1, 0), (len(outcome.first.requests), len(outcome.second.requests)))
-        outcome = await self.send_past(behaviour, SAFE, responding(b"sound"))
-        self.assertEqual((200, b"sound"), (outcome.answer.status, outcome.answer.body))
-        self.assertEqual((1, 1), (len(outcome.first.requests), len(outcome.second.requests)))
+            outcome = await self.send_with_second_worker(behaviour, prefix, responding(b"sound"))
+            self.assert_may_have_run(outcome.response)
+            self.assertNotIn("X-Seal", outcome.response.headers)
+            self.assertEqual(
+                (1, 0), (len(outcome.first_worker.requests), len(outcome.second_worker.requests))
+            )
+        outcome = await self.send_with_second_worker(behaviour, SAFE, responding(b"sound"))
+        self.assertEqual((200, b"sound"), (outcome.response.status, outcome.response.body))
+        self.assertEqual((1, 1), (len(outcome.first_worker.requests), len(outcome.second_worker.requests)))
 
     async def test_an_answer_to_another_request(self) -> None:
-        await self.assert_never_passed(responding(b"other", X_Try_Id="another"))
+        await self.assert_never_forwarded(responding(b"other", X_Try_Id="another"))
 
     async def test_an_answer_without_an_id(self) -> None:
-        await self.assert_never_passed(responding(b"other", X_Try_Id=None))
+        await self.assert_never_forwarded(responding(b"other", X_Try_Id=None))
 
     async def test_a_failure_that_answers_another_request(self) -> None:
-        await self.assert_never_passed(responding(b"other", 500, X_Try_Id="another"))
+        await self.assert_never_forwarded(responding(b"other", 500, X_Try_Id="another"))
 
     async def test_a_rejection_of_another_request(self) -> None:
-        await self.assert_never_passed(responding(b"", 503, X_Try_Id="another", X_Not_Run="1", X_Seal=None))
+        await self.assert_never_forwarded(
+            responding(b"", 503, X_Try_Id="another", X_Not_Run="1", X_Seal=None)
+        )
 
     async def test_a_success_without_a_seal(self) -> None:
-        await self.assert_never_passed(responding(X_Seal=None))
+        await self.assert_never_forwarded(responding(X_Seal=None))
 
     async def test_a_stream_without_a_seal(self) -> None:
-        await self.assert_never_passed(
+        await self.assert_never_forwarded(
             responding(b"id: 1\n\n", X_Seal=None, Content_Type="text/event-stream")
         )
 
     async def test_an_encoded_body(self) -> None:
-        await self.assert_never_passed(responding(b"\x1f\x8b", Content_Encoding="gzip"))
+        await self.assert_never_forwarded(responding(b"\x1f\x8b", Content_Encoding="gzip"))
 
     async def test_a_body_that_is_cut_short(self) -> None:
         async def cut(exchange: Exchange) -> None:
             exchange.write(response_bytes(exchange.request, b"half", Content_Length="8"))
             await exchange.break_off()
 
-        await self.assert_never_passed(cut)
+        await self.assert_never_forwarded(cut)
 
     async def test_a_chunked_body_that_is_cut_short(self) -> None:
         async def cut(exchange: Exchange) -> None:
@@ -722,17 +732,17 @@
             exchange.write_chunk(b"half")
             await exchange.break_off()
 
-        await self.assert_never_passed(cut)
+        await self.assert_never_forwarded(cut)
 
     async def test_a_body_without_a_length_that_is_reset(self) -> None:
         async def cut(exchange: Exchange) -> None:
             exchange.write(response_bytes(exchange.request, b"half", Content_Length=None))
             await exchange.reset()
 
-        await self.assert_never_passed(cut)
+        await self.assert_never_forwarded(cut)
 
     async def test_an_answer_that_switches_protocols(self) -> None:
-        await self.assert_never_passed(responding(b"", 101, Connection="upgrade", Upgrade="other"))
+        await self.assert_never_forwarded(responding(b"", 101, Connection="upgrade", Upgrade="other"))
 
     async def test_a_surplus_head_that_the_true_answer_continues(self) -> None:
         async def join_heads(exchange: Exchange) -> None:
@@ -741,62 +751,64 @@
         async def join_at_a_value(exchange: Exchange) -> None:
             exchange.write(b"HTTP/1.1 200 OK\r\nX-Other: " + response_bytes(exchange.request, b"failed", 500))
 
-        await self.assert_never_passed(join_heads)
-        await self.assert_never_passed(join_at_a_value)
+        await self.assert_never_forwarded(join_heads)
+        await self.assert_never_forwarded(join_at_a_value)
 
     async def test_a_head_that_is_cut_short(self) -> None:
         async def cut(exchange: Exchange) -> None:
             exchange.write(b"HTTP/1.1 200 OK\r\nX-Try-Id: ")
             await exchange.break_off()
 
-        await self.assert_never_passed(cut)
+        await self.assert_never_forwarded(cut)
 
     async def test_bytes_that_are_no_answer(self) -> None:
         async def babble(exchange: Exchange) -> None:
             exchange.write(b"\x16\x03\x01\x02 not an answer\r\n\r\n")
             await exchange.break_off()
 
-        await self.assert_never_passed(babble)
+        await self.assert_never_forwarded(babble)
 
 
-class SurplusTests(DispatcherCase):
+class SurplusBytesTests(DispatcherCase):
     """A worker sends more after a whole answer: the surplus belongs to no request."""
 
-    async def assert_own_answer_or_none(self, worker: FakeWorker, request_id: str) -> None:
+    async def assert_own_response_or_failure(self, worker: FakeWorker, request_id: str) -> None:
         """The request gets its own answer, or a failure; it is sent at most once."""
         answer = await self.send(MUTATING, request_id)
         if answer.status == 200:
             self.assertEqual(f"for {request_id}".encode(), answer.body)
             self.assertEqual(request_id, answer.headers["X-Try-Id"])
         else:
-            self.assert_no_promise(answer)
+            self.assert_may_have_run(answer)
         self.assertLessEqual(len(worker.requests_of(request_id)), 1)
 
     @staticmethod
-    async def answer_own(exchange: Exchange) -> None:
+    async def send_own_response(exchange: Exchange) -> None:
         """The right answer."""
         exchange.write(response_bytes(exchange.request, f"for {exchange.request.id}".encode()))
 
     async def test_a_surplus_answer_at_once(self) -> None:
         async def answer_twice(exchange: Exchange) -> None:
-            await self.answer_own(exchange)
+            await self.send_own_response(exchange)
             exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="surplus"))
 
-        worker = await self.start_worker(answer_twice, self.answer_own)
+        worker = await self.start_worker(answer_twice, self.send_own_response)
         answer = await self.send(MUTATING, "first")
         self.assertEqual((200, b"for first"), (answer.status, answer.body))
         for number in range(5):
-            await self.assert_own_answer_or_none(worker, f"next-{number}")
+            await self.assert_own_response_or_failure(worker, f"next-{number}")
 
     async def test_a_surplus_answer_in_the_place_of_the_next(self) -> None:
         async def answer_late_surplus_first(exchange: Exchange) -> None:
             exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="first"))
-            await self.answer_own(exchange)
+            await self.send_own_response(exchange)
 
-        worker = await self.start_worker(self.answer_own, answer_late_surplus_first, self.answer_own)
-        await self.assert_own_answer_or_none(worker, "first")
-        await self.assert_own_answer_or_none(worker, "second")
-        await self.assert_own_answer_or_none(worker, "third")
+        worker = await self.start_worker(
+            self.send_own_response, answer_late_surplus_first, self.send_own_response
+        )
+        await self.assert_own_response_or_failure(worker, "first")
+        await self.assert_own_response_or_failure(worker, "second")
+        await self.assert_own_response_or_failure(worker, "third")
 
     async def test_a_connection_is_not_used_again_after_an_answer_to_another_request(self) -> None:
         """Its own answer is still to come there, and would be taken for that of the next request."""
@@ -808,8 +820,8 @@
             left.set()
             raise ConnectionResetError
 
-        worker = await self.start_worker(answer_another, self.answer_own)
-        self.assert_no_promise(await self.send(MUTATING, "first"))
+        worker = await self.start_worker(answer_another, self.send_own_response)
+        self.assert_may_have_run(await self.send(MUTATING, "first"))
         self.assertEqual(200, (await self.send(MUTATING, "second")).status)
         await within(left.wait())
         self.assertEqual(2, worker.connections)
@@ -819,7 +831,7 @@
         surplus_sent = asyncio.Event()
 
         async def answer_twice(exchange: Exchange) -> None:
-            await self.answer_own(exchange)
+            await self.send_own_response(exchange)
             await within(answered.wait())
             exchange.write(b"HTTP/1.1 200 OK\r\nX-Part-Of-A-Surplus: ")
             await exchange.caller_closed()
@@ -827,7 +839,7 @@
             raise ConnectionResetError
 
         answered = asyncio.Event()
-        worker = await self.start_worker(answer_twice, self.answer_own)
+        worker = await self.start_worker(answer_twice, self.send_own_response)
         self.assertEqual(200, (await self.send(MUTATING, "first")).status)
         answered.set()
         await within(surplus_sent.wait())
@@ -836,16 +848,16 @@
 
     async def test_bytes_beyond_the_length_of_a_body(self) -> None:
         async def answer_more(exchange: Exchange) -> None:
-            await self.answer_own(exchange)
+            await self.send_own_response(exchange)
             exchange.write(b"surplus bytes\r\n\r\n")
 
-        worker = await self.start_worker(answer_more, self.answer_own)
+        worker = await self.start_worker(answer_more, self.send_own_response)
         for number in range(5):
-            await self.assert_own_answer_or_none(worker, f"try-{number}")
+            await self.assert_own_response_or_failure(worker, f"try-{number}")
 
     async def test_every_request_after_surplus_gets_its_own_answer_when_safe(self) -> None:
         async def answer_twice(exchange: Exchange) -> None:
-            await self.answer_own(exchange)
+            await self.send_own_response(exchange)
             exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="surplus"))
 
         await self.start_workers(TRIES, answer_twice)
@@ -854,30 +866,30 @@
             self.assertEqual((200, f"for try-{number}".encode()), (answer.status, answer.body))
 
 
-class SilentWorkerTests(DispatcherCase):
+class UnresponsiveWorkerTests(DispatcherCase):
     """A worker from which nothing was heard for too long, by what the dispatcher is told of it."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.looks = 0
-        self.looked_often = asyncio.Event()
+        self.checks = 0
+        self.checked_often = asyncio.Event()
         self.enterContext(mock.patch.object(silence, "CHECK_INTERVAL", SHORT_CHECK))
-        self.enterContext(mock.patch.object(WorkerTraffic, "is_unresponsive", self.note_look))
+        self.enterContext(mock.patch.object(WorkerTraffic, "is_unresponsive", self.count_check))
 
-    def note_look(self, now: float, since: float) -> bool:
+    def count_check(self, now: float, since: float) -> bool:
         """The worker counts as silent, whenever it is looked at."""
-        self.looks += 1
-        if self.looks == LOOKS:
-            self.looked_often.set()
+        self.checks += 1
+        if self.checks == CHECKS:
+            self.checked_often.set()
         return True
 
-    async def answer_after_silence(self, prefix: str, spares: int) -> None:
+    async def check_late_response_is_forwarded(self, prefix: str, spares: int) -> None:
         """Send a request whose worker answers after many looks; nobody else gets it."""
-        self.looks = 0
-        self.looked_often.clear()
-        worker = await self.start_worker(delayed_until(responding(b"late"), self.looked_often))
+        self.checks = 0
+        self.checked_often.clear()
+        worker = await self.start_worker(delayed_until(responding(b"late"), self.checked_often))
         sending = asyncio.create_task(self.send(prefix))
-        await within(worker.request_came.wait())
+        await within(worker.request_received.wait())
         others = await self.start_workers(spares, responding(b"other"))
         answer = await sending
         self.assertEqual((200, b"late"), (answer.status, answer.body))
@@ -888,33 +900,35 @@
     async def test_silence_ends_no_answer_of_what_may_not_be_repeated(self) -> None:
         for prefix in (MUTATING, STREAM):
             with self.subTest(prefix=prefix):
-                await self.answer_after_silence(prefix, spares=1)
+                await self.check_late_response_is_forwarded(prefix, spares=1)
 
     async def test_silence_ends_no_answer_that_nobody_else_can_give(self) -> None:
         for prefix in (SAFE, RESUMED):
             with self.subTest(prefix=prefix):
-                await self.answer_after_silence(prefix, spares=0)
+                await self.check_late_response_is_forwarded(prefix, spares=0)
 
     async def test_what_may_be_repeated_goes_to_another_worker(self) -> None:
         for prefix in (SAFE, RESUMED):
             with self.subTest(prefix=prefix):
-                outcome = await self.send_past(Silence(), prefix, responding(b"other"))
-                self.assertEqual((200, b"other"), (outcome.answer.status, outcome.answer.body))
-                self.assertEqual(1, len(outcome.second.requests))
+                outcome = await self.send_with_second_worker(
+                    UnresponsiveWorker(), prefix, responding(b"other")
+                )
+                self.assertEqual((200, b"other"), (outcome.response.status, outcome.response.body))
+                self.assertEqual(1, len(outcome.second_worker.requests))
 
 
 class LeavingClientTests(DispatcherCase):
     async def test_a_client_that_leaves_frees_the_worker(self) -> None:
         for prefix in (SAFE, STREAM, RESUMED):
             with self.subTest(prefix=prefix):
-                silent = Silence()
+                silent = UnresponsiveWorker()
                 worker = await self.start_worker(silent)
                 sending = asyncio.create_task(self.send(prefix))
-                await within(silent.began.wait())
+                await within(silent.request_received.wait())
                 self.assertEqual(1, self.dispatcher.pool.get(worker.id).in_flight)
                 sending.cancel()
-                await within(silent.abandoned.wait())
-                await within(self.no_request_in_flight())
+                await within(silent.connection_closed.wait())
+                await within(self.wait_for_no_request_in_flight())
                 self.assertEqual(0, self.dispatcher.pool.get(worker.id).in_flight)
                 self.assertEqual(1, len(worker.requests))
                 self.dispatcher.router.worker_gone(worker.id)
@@ -925,19 +939,19 @@
         for prefix in (SAFE, MUTATING, STREAM, RESUMED):
             for reset in (False, True):
                 with self.subTest(prefix=prefix, reset=reset):
-                    silent = Silence()
+                    silent = UnresponsiveWorker()
                     worker = await self.start_worker(silent)
                     _, writer = await asyncio.open_connection(HOST, self.dispatcher.port)
                     lines = [f"{name}: {value}" for name, value in self.headers("left").items()]
                     head = [f"POST {prefix} HTTP/1.1", *lines, "Content-Length: 1", "", "q"]
                     writer.write("\r\n".join(head).encode())
-                    await within(silent.began.wait())
+                    await within(silent.request_received.wait())
                     if reset:
                         reset_at_close(writer)
                     lag, left_at = LoopLag(), loop.time()
                     writer.transport.abort()
-                    await within(silent.abandoned.wait())
-                    self.assertLess(loop.time() - left_at, LEAVING_LIMIT + lag.stop())
+                    await within(silent.connection_closed.wait())
+                    self.assertLess(loop.time() - left_at, CANCEL_LIMIT + lag.stop())
                     self.assertEqual(1, len(worker.requests))
                     self.dispatcher.router.worker_gone(worker.id)
 
--- a/tests/test_dataplane_streams.py
+++ b/tests/test_dataplane_streams.py
@@ -15,7 +15,7 @@
     Behaviour,
     Exchange,
     FakeWorker,
-    Silence,
+    UnresponsiveWorker,
     begin_stream,
     break_off,
     delayed_until,
@@ -64,14 +64,14 @@
                 return ReceivedStream(response.status, dict(response.headers), body, complete=False)
             return ReceivedStream(response.status, dict(response.headers), body, complete=True)
 
-    async def read_past(
+    async def read_with_further_workers(
         self, first: Behaviour, *further: Behaviour, prefix: str = RESUMED
     ) -> tuple[ReceivedStream, FakeWorker, list[FakeWorker]]:
         """A stream that surely begins at the first worker; the others are there when it breaks."""
         release = asyncio.Event()
         first_worker = await self.start_worker(delayed_until(first, release))
         reading = asyncio.create_task(self.read_stream(prefix))
-        await within(first_worker.request_came.wait())
+        await within(first_worker.request_received.wait())
         others = [await self.start_worker(behaviour) for behaviour in further]
         release.set()
         return await reading, first_worker, others
@@ -147,7 +147,7 @@
 
 class ResumedStreamTests(StreamCase):
     async def test_a_broken_stream_goes_on_at_another_worker(self) -> None:
-        stream, first, (second,) = await self.read_past(
+        stream, first, (second,) = await self.read_with_further_workers(
             streaming_until_broken([1, 2], "first"), streaming([3, 4, 5], "second")
         )
         self.assertTrue(stream.complete)
@@ -158,14 +158,14 @@
         self.assertEqual(first.requests[0].body, second.requests[0].body)
 
     async def test_an_unframed_stream_that_is_reset_goes_on_at_another_worker(self) -> None:
-        stream, _, (second,) = await self.read_past(
+        stream, _, (second,) = await self.read_with_further_workers(
             streaming_unframed_until_reset([1, 2]), streaming([1, 2, 3, 4])
         )
         self.assertEqual((True, events(1, 2, 3, 4)), (stream.complete, stream.body))
         self.assertEqual(1, len(second.requests))
 
     async def test_a_partial_event_is_not_passed(self) -> None:
-        stream, _, (second,) = await self.read_past(
+        stream, _, (second,) = await self.read_with_further_workers(
             streaming_until_broken([1, 2], partial=PARTIAL), streaming([3, 4])
         )
         self.assertEqual((True, events(1, 2, 3, 4)), (stream.complete, stream.body))
@@ -173,7 +173,7 @@
 
     async def test_a_stream_without_event_ids_is_cut_and_not_taken_up(self) -> None:
         """Without an id nobody can tell where another worker would have to go on."""
-        stream, _, (second,) = await self.read_past(
+        stream, _, (second,) = await self.read_with_further_workers(
             streaming_until_broken([], partial=b"data: first\n\n"), streaming([1, 2])
         )
         self.assertFalse(stream.complete)
@@ -187,7 +187,9 @@
             exchange.write_chunk(event(1) + told)
             await exchange.break_off()
 
-        stream, first, (second,) = await self.read_past(tell_a_version_and_break, streaming([3], "second"))
+        stream, first, (second,) = await self.read_with_further_workers(
+            tell_a_version_and_break, streaming([3], "second")
+        )
         self.assertEqual((True, event(1) + told + event(3)), (stream.complete, stream.body))
         self.assertEqual("2", second.requests[0].headers["last-event-id"])
         self.assertEqual(seal_of(first.requests[0], "first"), stream.headers["X-Seal"])
@@ -199,10 +201,10 @@
         first_release = asyncio.Event()
         first_worker = await self.start_worker(delayed_until(first, first_release))
         reading = asyncio.create_task(self.read_stream(RESUMED))
-        await within(first_worker.request_came.wait())
+        await within(first_worker.request_received.wait())
         second_worker = await self.start_worker(second)
         first_release.set()
-        await within(second_worker.request_came.wait())
+        await within(second_worker.request_received.wait())
         third_worker = await self.start_worker(streaming([3]))
         release.set()
         stream = await reading
@@ -213,18 +215,18 @@
         release = asyncio.Event()
         first = await self.start_worker(delayed_until(streaming_until_broken([13]), release))
         reading = asyncio.create_task(self.read_stream(RESUMED, Last_Event_Id="12"))
-        await within(first.request_came.wait())
+        await within(first.request_received.wait())
         second = await self.start_worker(streaming([14]))
         release.set()
         self.assertEqual((True, events(13, 14)), ((await reading).complete, reading.result().body))
         self.assertEqual("13", second.requests[0].headers["last-event-id"])
 
     async def test_a_resumption_without_further_events_is_whole(self) -> None:
-        stream, _, _ = await self.read_past(streaming_until_broken([1, 2]), streaming([]))
+        stream, _, _ = await self.read_with_further_workers(streaming_until_broken([1, 2]), streaming([]))
         self.assertEqual((True, events(1, 2)), (stream.complete, stream.body))
 
     async def test_a_rejection_while_resuming_is_not_the_end(self) -> None:
-        stream, _, others = await self.read_past(
+        stream, _, others = await self.read_with_further_workers(
             streaming_until_broken([1]), rejecting(503), rejecting(503), streaming([2])
         )
         if others[2].requests:
@@ -233,7 +235,7 @@
             self.assert_cut(stream, 1)
 
     async def test_no_more_workers_are_tried_than_the_route_allows(self) -> None:
-        stream, first, others = await self.read_past(
+        stream, first, others = await self.read_with_further_workers(
             streaming_until_broken([1]), *(streaming_until_broken([]) for _ in range(TRIES + 1))
         )
         self.assert_cut(stream, 1)
@@ -243,7 +245,9 @@
         answers = (responding(b"failed", 500), responding(b"whole"), responding(b"late", 504))
         for number, answer in enumerate(answers):
             with self.subTest(answer=number):
-                stream, first, (second,) = await self.read_past(streaming_until_broken([1, 2]), answer)
+                stream, first, (second,) = await self.read_with_further_workers(
+                    streaming_until_broken([1, 2]), answer
+                )
                 self.assert_cut(stream, 1, 2)
                 for worker in (first, second):
                     self.dispatcher.router.worker_gone(worker.id)
@@ -255,7 +259,7 @@
             exchange.write_chunk(event(3))
             exchange.write_chunk(b"")
 
-        stream, _, _ = await self.read_past(streaming_until_broken([1, 2]), stream_of_another)
+        stream, _, _ = await self.read_with_further_workers(streaming_until_broken([1, 2]), stream_of_another)
         self.assert_cut(stream, 1, 2)
 
     async def test_without_another_worker_the_stream_is_cut(self) -> None:
@@ -264,20 +268,20 @@
         self.assertEqual(1, len(worker.requests))
 
     async def test_a_break_before_the_first_event_loses_nothing(self) -> None:
-        stream, _, _ = await self.read_past(streaming_until_broken([]), streaming([1, 2]))
+        stream, _, _ = await self.read_with_further_workers(streaming_until_broken([]), streaming([1, 2]))
         if stream.complete:
             self.assertEqual(events(1, 2), stream.body)
         else:
             self.assertEqual(b"", stream.body)
 
     async def test_a_break_before_the_head_is_repeated_elsewhere(self) -> None:
-        stream, _, _ = await self.read_past(break_off, streaming([1, 2]))
+        stream, _, _ = await self.read_with_further_workers(break_off, streaming([1, 2]))
         self.assertEqual((True, events(1, 2)), (stream.complete, stream.body))
 
 
 class UnresumedStreamTests(StreamCase):
     async def test_a_broken_stream_is_cut_and_not_sent_again(self) -> None:
-        stream, first, (second,) = await self.read_past(
+        stream, first, (second,) = await self.read_with_further_workers(
             streaming_until_broken([1, 2]), streaming([3, 4]), prefix=STREAM
         )
         self.assert_cut(stream, 1, 2)
@@ -306,12 +310,14 @@
         self.assertTrue(stream.body.startswith(events(1, 2)))
 
     async def test_a_stream_that_breaks_before_its_first_event_is_cut(self) -> None:
-        stream, _, (second,) = await self.read_past(streaming_until_broken([]), streaming([1]), prefix=STREAM)
+        stream, _, (second,) = await self.read_with_further_workers(
+            streaming_until_broken([]), streaming([1]), prefix=STREAM
+        )
         self.assert_cut(stream)
         self.assertEqual([], second.requests)
 
     async def test_a_stream_that_goes_on_beyond_the_deadline_is_cut(self) -> None:
-        silence = Silence()
+        silence = UnresponsiveWorker()
 
         async def stream_and_fall_silent(exchange: Exchange) -> None:
             begin_stream(exchange)
@@ -320,28 +326,32 @@
 
         await self.start_worker(stream_and_fall_silent)
         self.assert_cut(await self.read_stream(STREAM, X_Time_Left="600"), 1)
-        await within(silence.abandoned.wait())
+        await within(silence.connection_closed.wait())
 
 
 class StreamBudgetTests(StreamCase):
     budget = NO_BUDGET
 
     async def test_without_budget_a_broken_stream_is_cut(self) -> None:
-        stream, _, (second,) = await self.read_past(streaming_until_broken([1, 2]), streaming([3]))
+        stream, _, (second,) = await self.read_with_further_workers(
+            streaming_until_broken([1, 2]), streaming([3])
+        )
         self.assert_cut(stream, 1, 2)
         self.assertEqual([], second.requests)
 
 
 class LeavingClientTests(StreamCase):
-    async def assert_freed(self, behaviour: Behaviour, silence: Silence, prefix: str) -> None:
+    async def assert_worker_is_released(
+        self, behaviour: Behaviour, silence: UnresponsiveWorker, prefix: str
+    ) -> None:
         """The worker's connection closes once the client left, and nobody else gets the request."""
         worker = await self.start_worker(behaviour)
         reading = asyncio.create_task(self.read_stream(prefix))
-        await within(silence.began.wait())
+        await within(silence.request_received.wait())
         spare = await self.start_worker(streaming([1]))
         reading.cancel()
-        await within(silence.abandoned.wait())
-        await within(self.no_request_in_flight())
+        await within(silence.connection_closed.wait())
+        await within(self.wait_for_no_request_in_flight())
         self.assertEqual(0, self.dispatcher.pool.get(worker.id).in_flight)
         self.assertEqual([], spare.requests)
         for each in (worker, spare):
@@ -350,13 +360,15 @@
     async def test_a_client_that_leaves_before_the_first_event_frees_the_slot(self) -> None:
         for prefix in (STREAM, RESUMED):
             with self.subTest(prefix=prefix):
-                silence = Silence()
+                silence = UnresponsiveWorker()
 
-                async def send_the_head_only(exchange: Exchange, silence: Silence = silence) -> None:
+                async def send_the_head_only(
+                    exchange: Exchange, silence: UnresponsiveWorker = silence
+                ) -> None:
                     begin_stream(exchange)
                     await silence(exchange)
 
-                await self.assert_freed(send_the_head_only, silence, prefix)
+                await self.assert_worker_is_released(send_the_head_only, silence, prefix)
 
     async def test_a_write_to_a_client_that_has_left_is_no_error_of_the_dispatcher(self) -> None:
         """The client's connection may close before its handler is told."""
@@ -367,21 +379,21 @@
             self.assertNoLogs("aiohttp.server", "ERROR"),
         ):
             stream = await self.read_stream(STREAM)
-            await self.no_request_in_flight()
+            await self.wait_for_no_request_in_flight()
         self.assertEqual(1, write.call_count)
         self.assert_cut(stream)
 
     async def test_a_client_that_leaves_between_events_frees_the_slot(self) -> None:
         for prefix in (STREAM, RESUMED):
             with self.subTest(prefix=prefix):
-                silence = Silence()
+                silence = UnresponsiveWorker()
 
-                async def send_one_event(exchange: Exchange, silence: Silence = silence) -> None:
+                async def send_one_event(exchange: Exchange, silence: UnresponsiveWorker = silence) -> None:
                     begin_stream(exchange)
                     exchange.write_chunk(event(1))
                     await silence(exchange)
 
-                await self.assert_freed(send_one_event, silence, prefix)
+                await self.assert_worker_is_released(send_one_event, silence, prefix)
 
 
 if __name__ == "__main__":
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -16,7 +16,7 @@
 ANSWER = HEAD + b"Keep-Alive: timeout=%d\r\n\r\nok"
 
 
-class KeepingWorker:
+class KeepAliveWorker:
     """Answers each request, tells how long it keeps idle connections, and counts connections."""
 
     def __init__(self, limit: int) -> None:
@@ -39,9 +39,9 @@
 
 
 class IdleConnectionTests(unittest.IsolatedAsyncioTestCase):
-    async def connections_after(self, limit: int, pause: float) -> int:
+    async def count_connections(self, limit: int, pause: float) -> int:
         """How many connections two requests take with a pause between them, by the connector's clock."""
-        worker = KeepingWorker(limit)
+        worker = KeepAliveWorker(limit)
         address = await worker.start()
         self.addCleanup(worker.server.close)
         client = UpstreamClient(256)
@@ -55,11 +55,11 @@
 
     async def test_a_connection_is_kept_for_as_long_as_the_worker_keeps_it(self) -> None:
         longer = upstream.DEFAULT_IDLE_LIMIT + 2.0
-        self.assertEqual(1, await self.connections_after(10, longer))
+        self.assertEqual(1, await self.count_connections(10, longer))
 
     async def test_a_connection_that_the_worker_may_be_closing_is_not_used(self) -> None:
-        self.assertEqual(2, await self.connections_after(10, 10.0 - upstream.IDLE_MARGIN / 2))
-        self.assertEqual(2, await self.connections_after(2, 2.0))
+        self.assertEqual(2, await self.count_connections(10, 10.0 - upstream.IDLE_MARGIN / 2))
+        self.assertEqual(2, await self.count_connections(2, 2.0))
 
     def test_the_limit_is_read_where_it_is_sound(self) -> None:
         self.assertEqual(10.0, read_idle_limit("timeout=10"))
--- a/tests/test_modelplacement_loads.py
+++ b/tests/test_modelplacement_loads.py
@@ -29,11 +29,11 @@
 }
 
 
-def new_planner(loads_per_s: float = LOADS_PER_S, models: Mapping[str, ModelSpec] = MODELS) -> LoadPlanner:
+def create_planner(loads_per_s: float = LOADS_PER_S, models: Mapping[str, ModelSpec] = MODELS) -> LoadPlanner:
     return LoadPlanner(models, loads_per_s, WINDOW_S, OVER)
 
 
-def weights(
+def worker_report(
     worker: str,
     models: Mapping[str, frozenset[str]],
     size_mb: float = 300.0,
@@ -46,15 +46,15 @@
     )
 
 
-def holding(*models: str) -> dict[str, frozenset[str]]:
+def models_without_adapters(*models: str) -> dict[str, frozenset[str]]:
     return {model: frozenset() for model in models}
 
 
-def waiting(count: int = 1, oldest_wait_s: float = 0.5) -> Demand:
+def waiting_demand(count: int = 1, oldest_wait_s: float = 0.5) -> Demand:
     return Demand(0.1, count, oldest_wait_s, 0.0)
 
 
-def asked(rate: float, busy: float = 0.0) -> Demand:
+def steady_demand(rate: float, busy: float = 0.0) -> Demand:
     return Demand(rate, 0, 0.0, busy)
 
 
@@ -70,22 +70,22 @@
     models: dict[str, set[str]] = field(default_factory=dict)
     sequence: int = 0
     order: LoadOrder | None = None
-    late: LoadOrder | None = None  # sent, not yet arrived
+    delayed_order: LoadOrder | None = None  # sent, not yet arrived
 
     def report(self, now: float) -> WorkerWeights:
         models = {model: frozenset(adapters) for model, adapters in self.models.items()}
-        return weights(self.name, models, self.size_mb, self.order is not None, self.sequence, now)
+        return worker_report(self.name, models, self.size_mb, self.order is not None, self.sequence, now)
 
     def receive(self, order: LoadOrder) -> bool:
         if self.order is not None or order.if_sequence != self.sequence:
             return False
         if order.is_load:
-            self.check(order.key)
+            self.check_limits(order.key)
         self.sequence += 1
         self.order = order
         return True
 
-    def check(self, key: WeightsKey) -> None:
+    def check_limits(self, key: WeightsKey) -> None:
         used = sum(MODELS[m].size_mb + len(a) * MODELS[m].adapter_mb for m, a in self.models.items())
         assert used + MODELS[key.model].size_of(key) <= self.size_mb, "ordered beyond the memory"
         if key.adapter:
@@ -94,7 +94,7 @@
         else:
             assert key.model not in self.models, "a model that is there already"
 
-    def finish(self) -> None:
+    def finish_order(self) -> None:
         if self.order is None:
             return
         key = self.order.key
@@ -118,12 +118,12 @@
 )
 
 
-class Limits(unittest.TestCase):
+class LimitTests(unittest.TestCase):
     @given(st.data())
     @settings(deadline=None, max_examples=80)
     def test_memory_slots_and_rate_hold_under_any_reports_and_outcomes(self, data: st.DataObject) -> None:
         """Orders get lost, arrive late, are refused; reports are old; the primary changes."""
-        planner = new_planner()
+        planner = create_planner()
         workers = [
             UnreliableWorker(f"w{i}", data.draw(st.sampled_from([150.0, 220.0, 300.0]))) for i in range(3)
         ]
@@ -135,9 +135,9 @@
             now += data.draw(st.sampled_from([0.05, 0.3, 1.1]))
             for worker in workers:
                 event = data.draw(st.sampled_from(["nothing", "finish", "report", "both", "old report"]))
-                self.deliver_late(worker, loads, now)
+                self.deliver_delayed_order(worker, loads, now)
                 if event in ("finish", "both"):
-                    worker.finish()
+                    worker.finish_order()
                 if event in ("report", "both"):
                     old[worker.name] = known[worker.name]
                     known[worker.name] = worker.report(now)
@@ -148,10 +148,10 @@
             self.assertEqual(len({order.worker for order in orders}), len(orders))
             for order in orders:
                 worker = next(w for w in workers if w.name == order.worker)
-                self.send(planner, worker, order, data.draw(st.sampled_from(range(6))), loads, now)
+                self.deliver(planner, worker, order, data.draw(st.sampled_from(range(6))), loads, now)
         self.assertLessEqual(most_in_window(loads, WINDOW_S), LOADS_PER_S * WINDOW_S * OVER + 3)
 
-    def send(
+    def deliver(
         self,
         planner: LoadPlanner,
         worker: UnreliableWorker,
@@ -164,7 +164,7 @@
         if fate == 0:  # lost on its way
             planner.record_outcome(now, order, None)
         elif fate == 1:  # arrives after its sender gave up
-            worker.late = order
+            worker.delayed_order = order
             planner.record_outcome(now, order, None)
         elif fate == 2:  # refused at the door
             planner.record_outcome(now, order, False)
@@ -177,10 +177,14 @@
             elif taken:  # the answer is lost
                 planner.record_outcome(now, order, None)
 
-    def deliver_late(self, worker: UnreliableWorker, loads: list[float], now: float) -> None:
-        if worker.late is not None and worker.receive(worker.late) and worker.late.loads_model:
+    def deliver_delayed_order(self, worker: UnreliableWorker, loads: list[float], now: float) -> None:
+        if (
+            worker.delayed_order is not None
+            and worker.receive(worker.delayed_order)
+            and worker.delayed_order.loads_model
+        ):
             loads.append(now)
-        worker.late = None
+        worker.delayed_order = None
 
     @given(st.lists(st.floats(0.0, 0.4), max_size=200), st.floats(0.5, 5.0))
     @settings(deadline=None, max_examples=60)
@@ -195,34 +199,34 @@
         self.assertLessEqual(most_in_window(taken, 5.0), 2 + rate * 5.0 + 1e-6)
 
     def test_a_new_primary_begins_with_an_empty_bucket(self) -> None:
-        workers = [weights("w0", {}), weights("w1", {})]
-        self.assertEqual(new_planner().plan(100.0, workers, {WeightsKey("m0"): waiting()}, {}), [])
+        workers = [worker_report("w0", {}), worker_report("w1", {})]
+        self.assertEqual(create_planner().plan(100.0, workers, {WeightsKey("m0"): waiting_demand()}, {}), [])
 
     def test_a_primary_that_takes_over_again_begins_with_an_empty_bucket(self) -> None:
-        planner = new_planner()
+        planner = create_planner()
         planner.plan(0.0, [], {}, {})
         planner.begin_tenure(100.0)
-        demand = {WeightsKey("m0"): waiting()}
-        self.assertEqual(planner.plan(100.1, [weights("w0", {})], demand, {}), [])
-        self.assertEqual(len(planner.plan(101.0, [weights("w0", {})], demand, {})), 1)
+        demand = {WeightsKey("m0"): waiting_demand()}
+        self.assertEqual(planner.plan(100.1, [worker_report("w0", {})], demand, {}), [])
+        self.assertEqual(len(planner.plan(101.0, [worker_report("w0", {})], demand, {})), 1)
 
 
-class UnknownOutcomes(unittest.TestCase):
+class UnknownOutcomeTests(unittest.TestCase):
     key = WeightsKey("m0")
 
     def setUp(self) -> None:
-        self.planner = new_planner()
-        self.planner.plan(0.0, [weights("w0", {})], {}, {})
+        self.planner = create_planner()
+        self.planner.plan(0.0, [worker_report("w0", {})], {}, {})
         (self.order,) = self.plan(2.0)
 
     def plan(self, now: float, *workers: WorkerWeights) -> list[LoadOrder]:
-        demand = {self.key: waiting(), WeightsKey("m1"): waiting()}
-        return self.planner.plan(now, workers or [weights("w0", {}, reported=now)], demand, {})
+        demand = {self.key: waiting_demand(), WeightsKey("m1"): waiting_demand()}
+        return self.planner.plan(now, workers or [worker_report("w0", {}, reported=now)], demand, {})
 
     def test_no_other_order_before_a_report_tells(self) -> None:
         self.planner.record_outcome(2.1, self.order, None)
         self.assertEqual(self.plan(2.9), [])
-        self.assertEqual(self.plan(3.5, weights("w0", {}, reported=2.9)), [])
+        self.assertEqual(self.plan(3.5, worker_report("w0", {}, reported=2.9)), [])
 
     def test_an_equal_sequence_a_second_later_means_that_it_was_not_taken(self) -> None:
         self.planner.record_outcome(2.1, self.order, None)
@@ -230,25 +234,25 @@
 
     def test_a_newer_sequence_frees_the_worker_once_the_order_is_over(self) -> None:
         self.planner.record_outcome(2.1, self.order, None)
-        self.assertEqual(self.plan(2.3, weights("w0", {}, busy=True, sequence=1)), [])
-        done = weights("w0", holding(self.order.key.model), sequence=1)
+        self.assertEqual(self.plan(2.3, worker_report("w0", {}, busy=True, sequence=1)), [])
+        done = worker_report("w0", models_without_adapters(self.order.key.model), sequence=1)
         self.assertEqual([(o.is_load, o.if_sequence) for o in self.plan(2.8, done)], [(True, 1)])
 
     def test_a_report_older_than_a_known_one_gives_no_order(self) -> None:
         self.planner.record_outcome(2.1, self.order, True)
-        self.plan(2.8, weights("w0", {}, busy=True, sequence=1))
-        self.assertEqual(self.plan(5.0, weights("w0", {}, sequence=0)), [])
+        self.plan(2.8, worker_report("w0", {}, busy=True, sequence=1))
+        self.assertEqual(self.plan(5.0, worker_report("w0", {}, sequence=0)), [])
 
     def test_an_older_report_of_an_order_in_progress_does_not_hide_what_it_loaded(self) -> None:
         """The same sequence was reported idle since: this worker holds the model by now."""
         book = OrderBook(MODELS)
-        idle = weights("w0", holding("m0", "m2"), size_mb=260.0, sequence=3)
+        idle = worker_report("w0", models_without_adapters("m0", "m2"), size_mb=260.0, sequence=3)
         book.settle_by_reports(10.0, [idle])
         order = LoadOrder("w0", True, WeightsKey("m0", "a1"), 3)
         book.record_sending(10.0, order)
         book.record_outcome(10.0, order, True)
         self.assertEqual(book.project(10.5, idle).next_sequence, 4)
-        older = weights("w0", holding("m0"), size_mb=260.0, busy=True, sequence=3)
+        older = worker_report("w0", models_without_adapters("m0"), size_mb=260.0, busy=True, sequence=3)
         book.settle_by_reports(10.5, [older])
         self.assertIsNone(book.project(10.5, older).next_sequence)
 
@@ -263,7 +267,7 @@
     def test_a_refused_order_is_given_again_on_a_newer_report(self) -> None:
         self.planner.record_outcome(2.1, self.order, False)
         self.assertEqual(self.plan(2.2), [])
-        self.assertEqual(len(self.plan(2.5, weights("w0", {}, sequence=4))), 1)
+        self.assertEqual(len(self.plan(2.5, worker_report("w0", {}, sequence=4))), 1)
 
     def test_what_was_taken_is_expected_before_a_report_shows_it(self) -> None:
         self.planner.record_outcome(2.1, self.order, True)
@@ -271,9 +275,9 @@
         self.assertEqual(self.planner.expected_loads(3.0), {"w0": frozenset({self.order.key})})
 
 
-class Models(unittest.TestCase):
+class ModelTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.planner = new_planner()
+        self.planner = create_planner()
         self.planner.plan(-10.0, [], {}, {})
 
     def plan(
@@ -286,135 +290,163 @@
         return orders
 
     def test_a_waiting_model_takes_free_room_at_once(self) -> None:
-        workers = [weights("w0", holding("m0", "m1", "m4")), weights("w1", holding("m0"))]
+        workers = [
+            worker_report("w0", models_without_adapters("m0", "m1", "m4")),
+            worker_report("w1", models_without_adapters("m0")),
+        ]
         self.assertEqual(
-            self.plan(0.0, workers, {WeightsKey("m3"): waiting()}),
+            self.plan(0.0, workers, {WeightsKey("m3"): waiting_demand()}),
             [LoadOrder("w1", True, WeightsKey("m3"), 0)],
         )
 
     def test_the_longest_wait_comes_first(self) -> None:
-        demand = {WeightsKey("m3"): waiting(oldest_wait_s=0.2), WeightsKey("m2"): waiting(oldest_wait_s=0.4)}
-        (order,) = self.plan(0.0, [weights("w0", {}, size_mb=130.0)], demand)
+        demand = {
+            WeightsKey("m3"): waiting_demand(oldest_wait_s=0.2),
+            WeightsKey("m2"): waiting_demand(oldest_wait_s=0.4),
+        }
+        (order,) = self.plan(0.0, [worker_report("w0", {}, size_mb=130.0)], demand)
         self.assertEqual(order.key, WeightsKey("m2"))
 
     def test_the_place_follows_its_eviction_and_nobody_else_takes_the_room(self) -> None:
-        full = weights("w0", holding("m0", "m1", "m4"))
-        (evict,) = self.plan(0.0, [full], {WeightsKey("m2"): waiting(), WeightsKey("m0"): asked(5.0)})
+        full = worker_report("w0", models_without_adapters("m0", "m1", "m4"))
+        (evict,) = self.plan(
+            0.0, [full], {WeightsKey("m2"): waiting_demand(), WeightsKey("m0"): steady_demand(5.0)}
+        )
         self.assertFalse(evict.is_load)
         self.assertNotEqual(evict.key, WeightsKey("m0"))
         left = {model: held for model, held in full.models.items() if model != evict.key.model}
-        demand = {WeightsKey("m2"): waiting(), WeightsKey("m3"): waiting(oldest_wait_s=9.0)}
-        orders = self.plan(0.5, [weights("w0", left, sequence=1)], demand)
+        demand = {WeightsKey("m2"): waiting_demand(), WeightsKey("m3"): waiting_demand(oldest_wait_s=9.0)}
+        orders = self.plan(0.5, [worker_report("w0", left, sequence=1)], demand)
         self.assertEqual(orders, [LoadOrder("w0", True, WeightsKey("m2"), 1)])
 
     def test_the_last_copy_in_demand_stays(self) -> None:
-        workers = [weights("w0", holding("m0", "m1")), weights("w1", holding("m0", "m4"))]
+        workers = [
+            worker_report("w0", models_without_adapters("m0", "m1")),
+            worker_report("w1", models_without_adapters("m0", "m4")),
+        ]
         workers = [replace(worker, size_mb=200.0) for worker in workers]
-        demand = {WeightsKey("m1"): asked(2.0), WeightsKey("m4"): asked(2.0), WeightsKey("m3"): waiting()}
+        demand = {
+            WeightsKey("m1"): steady_demand(2.0),
+            WeightsKey("m4"): steady_demand(2.0),
+            WeightsKey("m3"): waiting_demand(),
+        }
         (order,) = self.plan(0.0, workers, demand)
         self.assertEqual((order.is_load, order.key), (False, WeightsKey("m0")))
 
     def test_a_model_that_is_waited_for_is_never_evicted(self) -> None:
-        worker = weights("w0", holding("m0"), size_mb=130.0)
-        demand = {WeightsKey("m0"): waiting(3), WeightsKey("m2"): waiting(5, 9.0)}
+        worker = worker_report("w0", models_without_adapters("m0"), size_mb=130.0)
+        demand = {WeightsKey("m0"): waiting_demand(3), WeightsKey("m2"): waiting_demand(5, 9.0)}
         self.assertEqual(self.plan(0.0, [worker], demand), [])
 
     def test_room_is_made_ahead_when_models_are_often_waited_for(self) -> None:
-        workers = [weights(f"w{i}", holding("m0", "m1", "m4")) for i in range(6)]
-        self.assertEqual(self.plan(0.0, workers, {WeightsKey("m0"): asked(0.1)}), [])
+        workers = [worker_report(f"w{i}", models_without_adapters("m0", "m1", "m4")) for i in range(6)]
+        self.assertEqual(self.plan(0.0, workers, {WeightsKey("m0"): steady_demand(0.1)}), [])
         orders = []
         for step, model in enumerate(("m2", "m3", "m5")):
-            orders += self.plan(1.0 + step, workers, {WeightsKey(model): waiting()})
+            orders += self.plan(1.0 + step, workers, {WeightsKey(model): waiting_demand()})
         evictions = [order for order in orders if not order.is_load]
         self.assertGreater(len(evictions), 3)  # one for each of those that waited, and more
 
     def test_one_eviction_is_better_than_two(self) -> None:
         """m5 goes first by its name, but m2 needs the room of a larger model anyway."""
-        worker = weights("w0", holding("m0", "m4", "m5"), size_mb=250.0)
-        (order,) = self.plan(0.0, [worker], {WeightsKey("m2"): waiting(), WeightsKey("m0"): asked(5.0)})
+        worker = worker_report("w0", models_without_adapters("m0", "m4", "m5"), size_mb=250.0)
+        (order,) = self.plan(
+            0.0, [worker], {WeightsKey("m2"): waiting_demand(), WeightsKey("m0"): steady_demand(5.0)}
+        )
         self.assertEqual((order.is_load, order.key), (False, WeightsKey("m4")))
 
     def test_a_model_just_loaded_stays_for_a_while(self) -> None:
-        (order,) = self.plan(0.0, [weights("w0", {}, size_mb=130.0)], {WeightsKey("m0"): waiting()})
-        loaded = weights("w0", holding("m0"), size_mb=130.0, sequence=1)
-        self.assertEqual(self.plan(0.6, [loaded], {WeightsKey("m2"): waiting()}), [])
-        self.assertEqual(len(self.plan(3.0, [loaded], {WeightsKey("m2"): waiting()})), 1)
+        (order,) = self.plan(
+            0.0, [worker_report("w0", {}, size_mb=130.0)], {WeightsKey("m0"): waiting_demand()}
+        )
+        loaded = worker_report("w0", models_without_adapters("m0"), size_mb=130.0, sequence=1)
+        self.assertEqual(self.plan(0.6, [loaded], {WeightsKey("m2"): waiting_demand()}), [])
+        self.assertEqual(len(self.plan(3.0, [loaded], {WeightsKey("m2"): waiting_demand()})), 1)
 
     def test_the_least_recently_used_of_idle_copies_goes(self) -> None:
-        worker = weights("w0", holding("m0", "m1", "m4"))
+        worker = worker_report("w0", models_without_adapters("m0", "m1", "m4"))
         for now, model in ((0.0, "m1"), (10.0, "m0"), (20.0, "m4")):
-            self.plan(now, [worker], {WeightsKey(model): asked(0.1)})
-        (order,) = self.plan(100.0, [worker], {WeightsKey("m3"): waiting()})
+            self.plan(now, [worker], {WeightsKey(model): steady_demand(0.1)})
+        (order,) = self.plan(100.0, [worker], {WeightsKey("m3"): waiting_demand()})
         self.assertEqual((order.is_load, order.key), (False, WeightsKey("m1")))
 
     def test_a_worker_that_held_the_model_before_is_preferred(self) -> None:
-        self.plan(0.0, [weights("w0", {}), weights("w1", holding("m3"))], {})
-        workers = [weights("w0", {}), weights("w1", {}, sequence=1)]
-        (order,) = self.plan(10.0, workers, {WeightsKey("m3"): waiting()})
+        self.plan(0.0, [worker_report("w0", {}), worker_report("w1", models_without_adapters("m3"))], {})
+        workers = [worker_report("w0", {}), worker_report("w1", {}, sequence=1)]
+        (order,) = self.plan(10.0, workers, {WeightsKey("m3"): waiting_demand()})
         self.assertEqual(order.worker, "w1")
 
     def test_a_busy_model_gets_copies_by_its_slots_in_use(self) -> None:
-        workers = [weights(f"w{i}", holding("m0") if not i else {}) for i in range(6)]
+        workers = [worker_report(f"w{i}", models_without_adapters("m0") if not i else {}) for i in range(6)]
         placed = []
-        demand = {WeightsKey("m0"): asked(3.0, busy=9.0)}
+        demand = {WeightsKey("m0"): steady_demand(3.0, busy=9.0)}
         for step in range(20):
             placed += self.plan(step * 0.5, workers, demand)
             held = {order.worker for order in placed}
             workers = [
-                weights(f"w{i}", holding("m0") if not i or f"w{i}" in held else {}, sequence=f"w{i}" in held)
+                worker_report(
+                    f"w{i}",
+                    models_without_adapters("m0") if not i or f"w{i}" in held else {},
+                    sequence=f"w{i}" in held,
+                )
                 for i in range(6)
             ]
         self.assertEqual(len(placed), 3)
         self.assertEqual({order.key for order in placed}, {WeightsKey("m0")})
 
     def test_a_model_with_more_than_a_request_a_second_gets_a_second_copy(self) -> None:
-        workers = [weights("w0", holding("m0")), weights("w1", {})]
-        self.assertEqual(len(self.plan(0.0, workers, {WeightsKey("m0"): asked(1.5)})), 1)
-        self.assertEqual(len(self.plan(0.0, workers, {WeightsKey("m0"): asked(0.5)})), 0)
+        workers = [worker_report("w0", models_without_adapters("m0")), worker_report("w1", {})]
+        self.assertEqual(len(self.plan(0.0, workers, {WeightsKey("m0"): steady_demand(1.5)})), 1)
+        self.assertEqual(len(self.plan(0.0, workers, {WeightsKey("m0"): steady_demand(0.5)})), 0)
 
     def test_steady_demand_gives_no_orders(self) -> None:
         """Without anyone waiting, orders only cost: demand that wanders a little moves nothing."""
-        workers = [weights("w0", holding("m0", "m1", "m4")), weights("w1", holding("m0", "m1", "m5"))]
+        workers = [
+            worker_report("w0", models_without_adapters("m0", "m1", "m4")),
+            worker_report("w1", models_without_adapters("m0", "m1", "m5")),
+        ]
         orders = []
         for step in range(200):
             swing = 1.0 + 0.3 * (step % 7 - 3) / 3
             demand = {
-                WeightsKey("m0"): asked(4.0 * swing, 6.0 * swing),
-                WeightsKey("m1"): asked(1.6 * swing, 1.0),
+                WeightsKey("m0"): steady_demand(4.0 * swing, 6.0 * swing),
+                WeightsKey("m1"): steady_demand(1.6 * swing, 1.0),
             }
             orders += self.plan(step * 0.2, workers, demand)
         self.assertEqual(orders, [])
 
     def test_draining_workers_get_no_orders_and_count_for_nothing(self) -> None:
-        leaving = replace(weights("w0", holding("m3")), draining=True)
-        (order,) = self.plan(0.0, [leaving, weights("w1", {})], {WeightsKey("m3"): waiting()})
+        leaving = replace(worker_report("w0", models_without_adapters("m3")), draining=True)
+        (order,) = self.plan(0.0, [leaving, worker_report("w1", {})], {WeightsKey("m3"): waiting_demand()})
         self.assertEqual(order.worker, "w1")
 
     def test_simultaneous_loads_are_bounded(self) -> None:
-        self.assertEqual(new_planner(4.2, {"m": ModelSpec("m", 1.0, 0.6, 0, 1.0)}).simultaneous, 3)
-        self.assertEqual(new_planner(2.1, {"m": ModelSpec("m", 1.0, 3.2, 0, 1.0)}).simultaneous, 7)
-        workers = [weights(f"w{i}", {}) for i in range(6)]
-        demand = {WeightsKey(model): waiting() for model in MODELS}
+        self.assertEqual(create_planner(4.2, {"m": ModelSpec("m", 1.0, 0.6, 0, 1.0)}).simultaneous, 3)
+        self.assertEqual(create_planner(2.1, {"m": ModelSpec("m", 1.0, 3.2, 0, 1.0)}).simultaneous, 7)
+        workers = [worker_report(f"w{i}", {}) for i in range(6)]
+        demand = {WeightsKey(model): waiting_demand() for model in MODELS}
         orders = []
         for step in range(40):
             orders += self.plan(step * 0.05, workers, demand)
         self.assertEqual(len(orders), self.planner.simultaneous)
 
     def test_a_model_that_the_configuration_dropped_gives_way(self) -> None:
-        worker = weights("w0", holding("m0", "unknown"))
-        (order,) = self.plan(0.0, [worker], {WeightsKey("m3"): waiting(), WeightsKey("m0"): asked(1.0)})
+        worker = worker_report("w0", models_without_adapters("m0", "unknown"))
+        (order,) = self.plan(
+            0.0, [worker], {WeightsKey("m3"): waiting_demand(), WeightsKey("m0"): steady_demand(1.0)}
+        )
         self.assertEqual((order.is_load, order.key), (False, WeightsKey("unknown")))
 
     def test_a_new_configuration_keeps_pending_orders(self) -> None:
-        (order,) = self.plan(0.0, [weights("w0", {})], {WeightsKey("m3"): waiting()})
+        (order,) = self.plan(0.0, [worker_report("w0", {})], {WeightsKey("m3"): waiting_demand()})
         self.planner.reconfigure(MODELS | {"m9": ModelSpec("m9", 10.0, 1.0, 0, 1.0)}, LOADS_PER_S)
         self.assertEqual(self.planner.pending_orders(), [order])
-        self.assertEqual(self.plan(0.1, [weights("w0", {})], {WeightsKey("m9"): waiting()}), [])
+        self.assertEqual(self.plan(0.1, [worker_report("w0", {})], {WeightsKey("m9"): waiting_demand()}), [])
 
 
-class Adapters(unittest.TestCase):
+class AdapterTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.planner = new_planner()
+        self.planner = create_planner()
         self.planner.plan(-10.0, [], {}, {})
 
     def plan(
@@ -423,21 +455,27 @@
         return self.planner.plan(now, workers, demand, {})
 
     def test_an_adapter_goes_to_the_holder_with_the_fewest(self) -> None:
-        workers = [weights("w0", {"m0": frozenset({"a1"})}), weights("w1", holding("m0")), weights("w2", {})]
-        orders = self.plan(0.0, workers, {WeightsKey("m0", "a2"): waiting()})
+        workers = [
+            worker_report("w0", {"m0": frozenset({"a1"})}),
+            worker_report("w1", models_without_adapters("m0")),
+            worker_report("w2", {}),
+        ]
+        orders = self.plan(0.0, workers, {WeightsKey("m0", "a2"): waiting_demand()})
         self.assertEqual(orders, [LoadOrder("w1", True, WeightsKey("m0", "a2"), 0)])
 
     def test_the_model_comes_before_its_adapter(self) -> None:
         key = WeightsKey("m0", "a2")
-        (order,) = self.plan(0.0, [weights("w0", {})], {key: waiting()})
+        (order,) = self.plan(0.0, [worker_report("w0", {})], {key: waiting_demand()})
         self.assertEqual(order.key, WeightsKey("m0"))
         self.planner.record_outcome(0.0, order, True)
-        (order,) = self.plan(0.7, [weights("w0", holding("m0"), sequence=1)], {key: waiting()})
+        (order,) = self.plan(
+            0.7, [worker_report("w0", models_without_adapters("m0"), sequence=1)], {key: waiting_demand()}
+        )
         self.assertEqual(order.key, key)
 
     def test_the_next_adapter_need_not_wait_for_a_report(self) -> None:
-        worker = weights("w0", holding("m1"))
-        demand = {WeightsKey("m1", f"a{i}"): waiting() for i in range(1, 6)}
+        worker = worker_report("w0", models_without_adapters("m1"))
+        demand = {WeightsKey("m1", f"a{i}"): waiting_demand() for i in range(1, 6)}
         orders: list[LoadOrder] = []
         for step in range(10):
             for order in self.plan(step * 0.15, [worker], demand):
@@ -447,40 +485,43 @@
         self.assertEqual(len({order.key for order in orders}), ADAPTER_SLOTS)
 
     def test_the_least_recently_used_adapter_gives_way(self) -> None:
-        worker = weights("w0", {"m1": frozenset({"a1", "a2", "a3"})})
+        worker = worker_report("w0", {"m1": frozenset({"a1", "a2", "a3"})})
         for now, name in ((0.0, "a2"), (5.0, "a1"), (9.0, "a3")):
-            self.plan(now, [worker], {WeightsKey("m1", name): asked(0.1)})
-        (order,) = self.plan(30.0, [worker], {WeightsKey("m1", "a4"): waiting()})
+            self.plan(now, [worker], {WeightsKey("m1", name): steady_demand(0.1)})
+        (order,) = self.plan(30.0, [worker], {WeightsKey("m1", "a4"): waiting_demand()})
         self.assertEqual((order.is_load, order.key), (False, WeightsKey("m1", "a2")))
         self.planner.record_outcome(30.0, order, True)
-        left = weights("w0", {"m1": frozenset({"a1", "a3"})}, sequence=1)
-        (order,) = self.plan(30.4, [left], {WeightsKey("m1", "a4"): waiting()})
+        left = worker_report("w0", {"m1": frozenset({"a1", "a3"})}, sequence=1)
+        (order,) = self.plan(30.4, [left], {WeightsKey("m1", "a4"): waiting_demand()})
         self.assertEqual((order.is_load, order.key), (True, WeightsKey("m1", "a4")))
 
     def test_an_adapter_gets_no_second_place(self) -> None:
-        workers = [weights("w0", {"m0": frozenset({"a1"})}), weights("w1", holding("m0"))]
-        self.assertEqual(self.plan(0.0, workers, {WeightsKey("m0", "a1"): asked(5.0)}), [])
+        workers = [
+            worker_report("w0", {"m0": frozenset({"a1"})}),
+            worker_report("w1", models_without_adapters("m0")),
+        ]
+        self.assertEqual(self.plan(0.0, workers, {WeightsKey("m0", "a1"): steady_demand(5.0)}), [])
 
     def test_the_memory_of_adapters_counts(self) -> None:
-        worker = weights("w0", {"m0": frozenset({"a1"})}, size_mb=139.0)
-        orders = self.plan(0.0, [worker], {WeightsKey("m0", "a2"): asked(5.0)})
+        worker = worker_report("w0", {"m0": frozenset({"a1"})}, size_mb=139.0)
+        orders = self.plan(0.0, [worker], {WeightsKey("m0", "a2"): steady_demand(5.0)})
         self.assertEqual(orders, [LoadOrder("w0", False, WeightsKey("m0", "a1"), 0)])
 
     def test_many_adapters_bring_more_copies_of_their_model(self) -> None:
-        workers = [weights("w0", holding("m1")), weights("w1", {})]
-        demand = {WeightsKey("m1", f"a{i}"): asked(0.1) for i in range(1, 9)}
+        workers = [worker_report("w0", models_without_adapters("m1")), worker_report("w1", {})]
+        demand = {WeightsKey("m1", f"a{i}"): steady_demand(0.1) for i in range(1, 9)}
         orders = self.plan(0.0, workers, demand)
         self.assertIn(LoadOrder("w1", True, WeightsKey("m1"), 0), orders)
 
 
-class ClosedLoop(unittest.TestCase):
+class ClosedLoopTests(unittest.TestCase):
     """The numbers of the deployments; the limits of workers are checked by the simulation itself.
 
     The planner gives busy models more copies than this simulation rewards, for it does not model that
     reading prompts holds up streams: rare models come later here, busy ones are nearly always there.
     """
 
-    def run_days(self, simulations: list[Simulation]) -> list[Simulation]:
+    def run_simulations(self, simulations: list[Simulation]) -> list[Simulation]:
         for simulation in simulations:
             simulation.run(40.0)
             site = simulation.site
@@ -488,22 +529,22 @@
             self.assertLess(most_in_window(simulation.store_loads, WINDOW_S), ceiling - 3)
         return simulations
 
-    def share(self, days: list[Simulation], kind: str, seconds: float) -> float:
+    def mean_share_within(self, days: list[Simulation], kind: str, seconds: float) -> float:
         return sum(day.share_within(kind, seconds) for day in days) / len(days)
 
     def test_kvadrat(self) -> None:
-        days = self.run_days([Simulation(kvadrat(), seed) for seed in range(3)])
-        self.assertGreater(self.share(days, "recap", 1.0), 0.6)
-        self.assertGreater(self.share(days, "recap", 1.25), 0.86)
-        self.assertGreater(self.share(days, "translation", 0.3), 0.95)
-        self.assertGreater(self.share(days, "question", 0.3), 0.9)
+        days = self.run_simulations([Simulation(kvadrat(), seed) for seed in range(3)])
+        self.assertGreater(self.mean_share_within(days, "recap", 1.0), 0.6)
+        self.assertGreater(self.mean_share_within(days, "recap", 1.25), 0.86)
+        self.assertGreater(self.mean_share_within(days, "translation", 0.3), 0.95)
+        self.assertGreater(self.mean_share_within(days, "question", 0.3), 0.9)
         self.assertGreater(min(day.value() for day in days), 0.93)
 
     def test_irama(self) -> None:
-        days = self.run_days([Simulation(irama(), seed) for seed in range(3)])
-        self.assertGreater(self.share(days, "festival", 4.0), 0.7)
-        self.assertGreater(self.share(days, "season", 0.3), 0.89)
-        self.assertGreater(self.share(days, "note", 0.3), 0.81)
+        days = self.run_simulations([Simulation(irama(), seed) for seed in range(3)])
+        self.assertGreater(self.mean_share_within(days, "festival", 4.0), 0.7)
+        self.assertGreater(self.mean_share_within(days, "season", 0.3), 0.89)
+        self.assertGreater(self.mean_share_within(days, "note", 0.3), 0.81)
         self.assertGreater(min(day.value() for day in days), 0.89)
 
 
--- a/tests/test_modelplacement_simulation.py
+++ b/tests/test_modelplacement_simulation.py
@@ -29,11 +29,11 @@
     rate: float
     run_s: float
     models: tuple[int, ...]
-    only_now: int  # how many of the models are asked for at a time; 0: all
+    models_at_a_time: int  # how many of the models are asked for at a time; 0: all
     adapter_share: float = 0.0
-    aim_s: float = 1.0
-    worth: float = 1.0
-    late_worth: float = 0.5
+    target_s: float = 1.0
+    value: float = 1.0
+    late_value: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +43,13 @@
     workers: int
     worker_mb: float
     models: tuple[ModelSpec, ...]
-    warm_s: float
+    disk_load_s: float
     loads_per_s: float
-    at_once: int
+    simultaneous_loads: int
     classes: tuple[RequestClass, ...]
-    rare: str
-    shift_count: int
-    shift_s: float = 10.0
+    rare_class: str
+    models_per_shift: int
+    shift_interval_s: float = 10.0
 
 
 @dataclass(slots=True)
@@ -115,19 +115,19 @@
         self.specs = {spec.name: spec for spec in site.models}
         self.planner = LoadPlanner(self.specs, site.loads_per_s)
         self.workers = {f"w{i}": SimulatedWorker(f"w{i}", site.worker_mb, 8) for i in range(site.workers)}
-        self.known: dict[str, WorkerWeights] = {}
-        self.read_at: dict[str, float] = {}
+        self.known_reports: dict[str, WorkerWeights] = {}
+        self.report_read_at: dict[str, float] = {}
         self.waiting: list[Request] = []
         self.rates: dict[WeightsKey, float] = {}
-        self.busy: dict[WeightsKey, float] = {}
+        self.busy_slots: dict[WeightsKey, float] = {}
         self.now = 0.0
         self.waits: dict[str, list[float]] = {kind.name: [] for kind in site.classes}
         self.orders: Counter[str] = Counter()
         self.store_loads: list[float] = []
-        self.current: dict[str, tuple[int, ...]] = {}
-        self._place_initially()
+        self.requested_models: dict[str, tuple[int, ...]] = {}
+        self._load_initial_models()
 
-    def _place_initially(self) -> None:
+    def _load_initial_models(self) -> None:
         """Busy models on several workers, every other model on one, as far as there is room."""
         names = list(self.specs)
         wanted = names[:4] * 3 + names[4:]
@@ -143,39 +143,39 @@
     def run(self, seconds: float) -> None:
         for tick in range(round(seconds / TICK_S)):
             self.now = tick * TICK_S
-            if tick % round(self.site.shift_s / TICK_S) == 0:
-                self._shift()
-            self._work()
+            if tick % round(self.site.shift_interval_s / TICK_S) == 0:
+                self._shift_demand()
+            self._advance_workers()
             self._read_reports()
-            self._arrive()
-            self._dispatch()
-            self._plan()
+            self._add_arrivals()
+            self._dispatch_requests()
+            self._send_orders()
 
-    def _shift(self) -> None:
+    def _shift_demand(self) -> None:
         """Demand moves: some of the models asked for give way to others."""
         for kind in self.site.classes:
-            if not kind.only_now:
-                self.current[kind.name] = kind.models
+            if not kind.models_at_a_time:
+                self.requested_models[kind.name] = kind.models
                 continue
-            current = list(self.current.get(kind.name, kind.models[: kind.only_now]))
+            current = list(self.requested_models.get(kind.name, kind.models[: kind.models_at_a_time]))
             others = [model for model in kind.models if model not in current]
             if self.now > 0.0:
-                for model in self.shift_random.sample(others, self.site.shift_count):
+                for model in self.shift_random.sample(others, self.site.models_per_shift):
                     current[self.shift_random.randrange(len(current))] = model
-            self.current[kind.name] = tuple(current)
-        hot = [kind for kind in self.site.classes if kind.only_now]
+            self.requested_models[kind.name] = tuple(current)
+        hot = [kind for kind in self.site.classes if kind.models_at_a_time]
         for kind in hot[1:]:
-            self.current[kind.name] = self.current[hot[0].name]
+            self.requested_models[kind.name] = self.requested_models[hot[0].name]
 
-    def _work(self) -> None:
+    def _advance_workers(self) -> None:
         loading = [w for w in self.workers.values() if w.order and w.from_store]
-        slowdown = max(1.0, len(loading) / self.site.at_once)
+        slowdown = max(1.0, len(loading) / self.site.simultaneous_loads)
         for worker in self.workers.values():
             worker.runs = [run for run in worker.runs if run[0] > self.now]
             if worker.order:
-                self._advance(worker, slowdown)
+                self._advance_order(worker, slowdown)
 
-    def _advance(self, worker: SimulatedWorker, slowdown: float) -> None:
+    def _advance_order(self, worker: SimulatedWorker, slowdown: float) -> None:
         order = worker.order
         assert order is not None
         if not order.is_load:
@@ -202,26 +202,28 @@
             worker.reports.append((self.now, worker.report(self.now)))
             every = REPORT_PENDING_EVERY_S if worker.name in pending else REPORT_EVERY_S
             if (
-                self.now - self.read_at.get(worker.name, -math.inf) < every - 1e-9
-                and worker.name in self.known
+                self.now - self.report_read_at.get(worker.name, -math.inf) < every - 1e-9
+                and worker.name in self.known_reports
             ):
                 continue
-            self.read_at[worker.name] = self.now
+            self.report_read_at[worker.name] = self.now
             while len(worker.reports) > 1 and worker.reports[1][0] <= self.now - REPORT_LAG_S:
                 worker.reports.popleft()
-            self.known[worker.name] = worker.reports[0][1]
+            self.known_reports[worker.name] = worker.reports[0][1]
 
-    def _arrive(self) -> None:
+    def _add_arrivals(self) -> None:
         for kind in self.site.classes:
             for _ in range(self._poisson(kind.rate * TICK_S)):
-                self.waiting.append(Request(self._key(kind), kind, self.now))
+                self.waiting.append(Request(self._draw_key(kind), kind, self.now))
         decay = math.exp(-TICK_S / SMOOTHING_S)
         self.rates = {key: rate * decay for key, rate in self.rates.items() if rate > 1e-3}
-        self.busy = {key: busy * decay for key, busy in self.busy.items() if busy > 1e-3}
+        self.busy_slots = {key: busy * decay for key, busy in self.busy_slots.items() if busy > 1e-3}
         for request in self.waiting:
             if request.arrived == self.now:
                 self.rates[request.key] = self.rates.get(request.key, 0.0) + 1.0 / SMOOTHING_S
-                self.busy[request.key] = self.busy.get(request.key, 0.0) + request.kind.run_s / SMOOTHING_S
+                self.busy_slots[request.key] = (
+                    self.busy_slots.get(request.key, 0.0) + request.kind.run_s / SMOOTHING_S
+                )
 
     def _poisson(self, mean: float) -> int:
         count, product, limit = 0, self.random.random(), math.exp(-mean)
@@ -230,25 +232,25 @@
             product *= self.random.random()
         return count
 
-    def _key(self, kind: RequestClass) -> WeightsKey:
-        models = self.current[kind.name]
-        model = self.site.models[models[self._skewed(len(models), 0.4)]]
+    def _draw_key(self, kind: RequestClass) -> WeightsKey:
+        models = self.requested_models[kind.name]
+        model = self.site.models[models[self._draw_rank(len(models), 0.4)]]
         if model.adapters and self.random.random() < kind.adapter_share:
-            return WeightsKey(model.name, f"a{self._skewed(model.adapters, 0.3) + 1}")
+            return WeightsKey(model.name, f"a{self._draw_rank(model.adapters, 0.3) + 1}")
         return WeightsKey(model.name)
 
-    def _skewed(self, count: int, skew: float) -> int:
+    def _draw_rank(self, count: int, skew: float) -> int:
         weights = [1.0 / (rank + 1) ** skew for rank in range(count)]
         return self.random.choices(range(count), weights)[0]
 
-    def _dispatch(self) -> None:
+    def _dispatch_requests(self) -> None:
         """Requests go to a worker that is known to hold their weights and does."""
         still: list[Request] = []
         for request in self.waiting:
             holders = [
                 worker
                 for name, worker in self.workers.items()
-                if self.known[name].holds(request.key) and worker.holds(request.key)
+                if self.known_reports[name].holds(request.key) and worker.holds(request.key)
             ]
             if holders:
                 worker = min(holders, key=lambda w: (len(w.runs), w.name))
@@ -260,18 +262,18 @@
                 still.append(request)
         self.waiting = still
 
-    def _plan(self) -> None:
+    def _send_orders(self) -> None:
         demand: dict[WeightsKey, Demand] = {}
         waiting = Counter(r.key for r in self.waiting)
         oldest = {r.key: r.arrived for r in reversed(self.waiting)}
         for key in self.rates.keys() | waiting.keys():
             wait = self.now - oldest.get(key, self.now)
-            demand[key] = Demand(self.rates.get(key, 0.0), waiting[key], wait, self.busy.get(key, 0.0))
-        for order in self.planner.plan(self.now, list(self.known.values()), demand, {}):
+            demand[key] = Demand(self.rates.get(key, 0.0), waiting[key], wait, self.busy_slots.get(key, 0.0))
+        for order in self.planner.plan(self.now, list(self.known_reports.values()), demand, {}):
             self.planner.record_sending(self.now, order)
-            self.planner.record_outcome(self.now, order, self._take(order))
+            self.planner.record_outcome(self.now, order, self._accept_order(order))
 
-    def _take(self, order: LoadOrder) -> bool:
+    def _accept_order(self, order: LoadOrder) -> bool:
         worker = self.workers[order.worker]
         if worker.order is not None or worker.sequence != order.if_sequence:
             self.orders["refused"] += 1
@@ -284,7 +286,7 @@
             self._check_room(worker, order)
         spec = self.specs[order.key.model]
         worker.work_left = (
-            0.01 if order.key.adapter else spec.load_s if worker.from_store else self.site.warm_s
+            0.01 if order.key.adapter else spec.load_s if worker.from_store else self.site.disk_load_s
         )
         if worker.from_store:
             self.store_loads.append(self.now)
@@ -307,8 +309,10 @@
         for kind in self.site.classes:
             begin_s = 0.25 if kind.run_s < 1.0 else 0.08  # network and prefill
             for wait in self.waits[kind.name]:
-                owed += kind.worth
-                earned += kind.worth if wait + begin_s <= kind.aim_s else kind.late_worth if wait < 5 else 0.0
+                owed += kind.value
+                earned += (
+                    kind.value if wait + begin_s <= kind.target_s else kind.late_value if wait < 5 else 0.0
+                )
         orders = sum(count for what, count in self.orders.items() if what != "refused")
         return (earned - 0.36 * len(self.store_loads) - 0.036 * orders) / owed
 
--- a/tests/test_modelplacement_table.py
+++ b/tests/test_modelplacement_table.py
@@ -19,7 +19,7 @@
 LONG_AGO = -10 * RAMP_S
 
 
-def weights(
+def worker_report(
     worker: str,
     models: Mapping[str, frozenset[str]] | None = None,
     size_mb: float = 300.0,
@@ -32,7 +32,7 @@
     )
 
 
-def specs(count: int = 8) -> dict[str, ModelSpec]:
+def model_specs(count: int = 8) -> dict[str, ModelSpec]:
     """Models of two sizes, with adapters of two sizes."""
     return {
         f"m{i}": ModelSpec(f"m{i}", 100.0 if i % 2 else 80.0, 1.0, 9, 5.0 if i % 2 else 2.0)
@@ -40,8 +40,8 @@
     }
 
 
-def fleet(count: int) -> list[WorkerWeights]:
-    return [weights(f"w{i}") for i in range(count)]
+def worker_reports(count: int) -> list[WorkerWeights]:
+    return [worker_report(f"w{i}") for i in range(count)]
 
 
 keys = st.builds(
@@ -54,15 +54,15 @@
     return sum(models[key.model].size_of(key) for key in wanted)
 
 
-class TableProperties(unittest.TestCase):
+class TablePropertyTests(unittest.TestCase):
     @given(st.integers(1, 12), st.lists(counts, min_size=1, max_size=4))
     @settings(deadline=None, max_examples=80)
     def test_fractions_sum_to_one_and_room_is_respected(
         self, workers: int, steps: list[dict[WeightsKey, float]]
     ) -> None:
-        models = specs()
+        models = model_specs()
         table = PlacementTable(models)
-        present = fleet(workers)
+        present = worker_reports(workers)
         for step, demand in enumerate(steps):
             for key, amount in demand.items():
                 table.record(key, amount, float(step))
@@ -84,8 +84,8 @@
     ) -> None:
         tables = []
         for _ in range(2):
-            table = PlacementTable(specs())
-            present = fleet(workers)
+            table = PlacementTable(model_specs())
+            present = worker_reports(workers)
             items = list(demand.items())
             random.shuffle(present)
             random.shuffle(items)
@@ -124,7 +124,7 @@
         self.assertEqual(sorted(chosen.values()), sorted(names))
 
 
-class TableScenarios(unittest.TestCase):
+class TableScenarioTests(unittest.TestCase):
     def test_a_group_gets_workers_by_its_demand(self) -> None:
         models = {
             "large": ModelSpec("large", 200.0, 1, 0, 1.0),
@@ -133,94 +133,94 @@
         table = PlacementTable(models)
         table.record(WeightsKey("large"), 30.0, 0.0)
         table.record(WeightsKey("small"), 10.0, 0.0)
-        table.step(1.0, fleet(8))
+        table.step(1.0, worker_reports(8))
         large, small = table.fractions(WeightsKey("large")), table.fractions(WeightsKey("small"))
         self.assertEqual((len(large), len(small)), (6, 2))
         self.assertFalse({w for w, _ in large} & {w for w, _ in small})
 
     def test_a_key_with_most_of_the_demand_gets_most_of_many_workers(self) -> None:
-        table = PlacementTable(specs())
+        table = PlacementTable(model_specs())
         table.record(WeightsKey("m1"), 300.0, 0.0)
         table.record(WeightsKey("m0"), 100.0, 0.0)
-        table.step(1.0, fleet(200))
+        table.step(1.0, worker_reports(200))
         fractions = table.fractions(WeightsKey("m1"))
         self.assertEqual(len(fractions), 150)
         self.assertLess(max(f for _, f in fractions), 2.0 / 150)
 
     def test_a_step_without_demand_keeps_the_table(self) -> None:
-        table = PlacementTable(specs())
+        table = PlacementTable(model_specs())
         table.record(WeightsKey("m1"), 5.0, 0.0)
-        table.step(1.0, fleet(4))
+        table.step(1.0, worker_reports(4))
         before = table.fractions(WeightsKey("m1"))
-        table.step(2.0, fleet(4))
+        table.step(2.0, worker_reports(4))
         self.assertEqual(table.fractions(WeightsKey("m1")), before)
 
     def test_steady_demand_keeps_every_key_where_it_is(self) -> None:
-        table = PlacementTable(specs())
+        table = PlacementTable(model_specs())
         tables = []
         for step in range(6):
             for index in range(8):
                 table.record(WeightsKey(f"m{index}"), 1.0 + index, float(step))
-            table.step(step + 1.0, fleet(6))
+            table.step(step + 1.0, worker_reports(6))
             tables.append({f"m{i}": sorted(table.fractions(WeightsKey(f"m{i}"))) for i in range(8)})
         for name, fractions in tables[-1].items():
             self.assertEqual([w for w, _ in fractions], [w for w, _ in tables[-2][name]])
 
     def test_workers_that_hold_the_weights_come_first(self) -> None:
-        present = [weights(f"w{i}") for i in range(5)] + [weights("holder", {"m1": frozenset()})]
-        table = PlacementTable(specs())
+        present = [worker_report(f"w{i}") for i in range(5)] + [worker_report("holder", {"m1": frozenset()})]
+        table = PlacementTable(model_specs())
         for index in range(8):
             table.record(WeightsKey(f"m{index}"), 1.0, 0.0)
         table.step(1.0, present)
         self.assertIn("holder", [worker for worker, _ in table.fractions(WeightsKey("m1"))])
 
     def test_a_worker_that_is_gone_leaves_its_part_to_the_others(self) -> None:
-        table = PlacementTable(specs())
+        table = PlacementTable(model_specs())
         table.record(WeightsKey("m1"), 5.0, 0.0)
-        table.step(1.0, fleet(4))
+        table.step(1.0, worker_reports(4))
         gone = table.fractions(WeightsKey("m1"))[0][0]
-        table.step(2.0, [worker for worker in fleet(4) if worker.worker != gone])
+        table.step(2.0, [worker for worker in worker_reports(4) if worker.worker != gone])
         fractions = table.fractions(WeightsKey("m1"))
         self.assertNotIn(gone, dict(fractions))
         self.assertAlmostEqual(sum(dict(fractions).values()), 1.0)
 
     def test_a_draining_worker_gets_nothing(self) -> None:
-        table = PlacementTable(specs())
+        table = PlacementTable(model_specs())
         table.record(WeightsKey("m1"), 5.0, 0.0)
-        table.step(1.0, [weights("w0"), weights("w1", draining=True)])
+        table.step(1.0, [worker_report("w0"), worker_report("w1", draining=True)])
         self.assertEqual(table.fractions(WeightsKey("m1")), (("w0", 1.0),))
         self.assertEqual(table.fractions(WeightsKey("m2")), (("w0", 1.0),))
 
     def test_a_new_worker_takes_less_until_it_is_warm(self) -> None:
         def share(age: float) -> float:
-            table = PlacementTable(specs())
+            table = PlacementTable(model_specs())
             table.record(WeightsKey("m1"), 20.0, 0.0)
-            table.step(1.0, [weights("old"), weights("new", started=1.0 - age)])
+            table.step(1.0, [worker_report("old"), worker_report("new", started=1.0 - age)])
             return dict(table.fractions(WeightsKey("m1"))).get("new", 0.0)
 
         self.assertLess(share(0.0), share(RAMP_S / 2))
         self.assertLess(share(RAMP_S / 2), share(RAMP_S))
 
     def test_a_key_without_counts_has_one_worker_in_the_range_of_its_group(self) -> None:
-        table = PlacementTable(specs())
+        table = PlacementTable(model_specs())
         for index in (1, 3):
             table.record(WeightsKey(f"m{index}"), 10.0, 0.0)
         table.record(WeightsKey("m0"), 20.0, 0.0)
-        table.step(1.0, fleet(8))
+        table.step(1.0, worker_reports(8))
         busy = {w for index in (1, 3) for w, _ in table.fractions(WeightsKey(f"m{index}"))}
         ((worker, fraction),) = table.fractions(WeightsKey("m5"))
         self.assertIn(worker, busy)
         self.assertEqual(fraction, 1.0)
 
     def test_no_workers_give_no_fractions(self) -> None:
-        table = PlacementTable(specs())
+        table = PlacementTable(model_specs())
         table.record(WeightsKey("m1"), 1.0, 0.0)
         table.step(1.0, [])
         self.assertEqual(table.fractions(WeightsKey("m1")), ())
 
     def test_operating_points_fall_on_trouble_and_rise_slowly(self) -> None:
-        table = PlacementTable(specs())
-        group = specs()["m1"].size_mb
+        table = PlacementTable(model_specs())
+        group = model_specs()["m1"].size_mb
         seed = table.operating_points.for_group(group)
         for outcome in (Outcome.LATE, Outcome.FULL, Outcome.FAILED, Outcome.TIMED_OUT):
             table.record_outcome("w0", WeightsKey("m1"), outcome, 0.0)
@@ -230,7 +230,7 @@
             table.record_outcome("w0", WeightsKey("m1"), Outcome.OK, 1.0)
         self.assertLess(fallen, table.operating_points.for_group(group))
         self.assertLess(table.operating_points.for_group(group), seed)
-        self.assertEqual(table.operating_points.for_group(specs()["m0"].size_mb), seed)
+        self.assertEqual(table.operating_points.for_group(model_specs()["m0"].size_mb), seed)
 
 
 WHOLE_PROMPT_SECONDS = 0.24
@@ -241,7 +241,7 @@
     return Candidate(worker, 0, running, 0, 64, same_zone, prefill=prefill)
 
 
-class Selection(unittest.TestCase):
+class SelectionTests(unittest.TestCase):
     key = WeightsKey("m1")
 
     def choose(
