--- a/tests/fake_worker.py
+++ b/tests/fake_worker.py
@@ -1,7 +1,7 @@
-"""A scripted worker on a raw loopback socket: it writes exactly the bytes that a test wants on the wire.
+"""A scripted worker on a raw loopback socket, which writes exactly the bytes that a test specifies.
 
-The model worker of `rookwood.lab` behaves as real workers do; this one is for answers that no HTTP server
-library would send. Each request that comes is handled by the next behaviour of the script.
+The emulated worker of `rookwood.lab` behaves like a real one. This one is for responses that no HTTP server
+library would send. Each request is handled by the next behaviour of the script.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from rookwood.lab.raw_server import HOST as HOST
 from rookwood.lab.raw_server import RawServer
 
-WAIT_LIMIT = 4.0  # seconds after which a test that waits for something fails
+WAIT_LIMIT = 4.0  # seconds after which a wait in a test fails
 STREAM_TYPE = "text/event-stream"
 
 
 @dataclass(frozen=True)
 class ReceivedRequest:
-    """A request as it came over the wire; header names are in lower case."""
+    """A request as it was received; header names are in lower case."""
 
     method: str
     target: str
@@ -31,12 +31,12 @@
 
     @property
     def id(self) -> str:
-        """The id of the client's try."""
+        """The id of the request, from X-Try-Id."""
         return self.headers.get("x-try-id", "")
 
 
 class Exchange:
-    """One request at the worker, and the means to answer it."""
+    """One request at the worker, with the methods for responding to it."""
 
     def __init__(
         self, request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -50,12 +50,12 @@
         self._writer.write(data)
 
     def write_head(self, status: int, headers: Mapping[str, str]) -> None:
-        """Send the head of an answer."""
+        """Send the head of a response."""
         lines = [f"HTTP/1.1 {status} Status", *(f"{name}: {value}" for name, value in headers.items())]
         self.write("\r\n".join([*lines, "", ""]).encode())
 
     def write_chunk(self, data: bytes) -> None:
-        """Send one chunk of a chunked body; an empty one ends it."""
+        """Send one chunk of a chunked body; an empty one ends the body."""
         self.write(encode_chunk(data))
 
     async def caller_closed(self) -> None:
@@ -84,12 +84,12 @@
 
 
 async def within(awaitable: Awaitable[Result]) -> Result:
-    """Wait for something that comes soon; raises TimeoutError where it does not."""
+    """Await something that should happen soon; raises TimeoutError after `WAIT_LIMIT`."""
     return await asyncio.wait_for(awaitable, WAIT_LIMIT)
 
 
 class FakeWorker(RawServer):
-    """Answers requests by a script; the last behaviour of the script serves all further requests."""
+    """Responds to requests by a script; the last behaviour of the script serves all further requests."""
 
     def __init__(self, *script: Behaviour, id: str = "i-1") -> None:
         super().__init__()
@@ -107,7 +107,7 @@
         models: Sequence[HeldModel] = (),
         address: str | None = None,
     ) -> WorkerRecord:
-        """The record under which the dispatcher knows this worker."""
+        """The record with which a dispatcher knows this worker."""
         return WorkerRecord(
             id=self.id,
             service=service,
@@ -120,11 +120,11 @@
         )
 
     def requests_of(self, request_id: str) -> list[ReceivedRequest]:
-        """The requests that came for one try of a client."""
+        """The received requests with one request id: the attempts that reached this worker."""
         return [request for request in self.requests if request.id == request_id]
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Handle each request that comes by the next behaviour."""
+        """Handle each request of a connection with the next behaviour."""
         self.connections += 1
         while True:
             await self._serve(reader, writer)
@@ -138,7 +138,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
-    """Read one request; its body may have a length or come in chunks."""
+    """Read one request; its body may have a length or be chunked."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.rstrip().split("\r\n")
     method, target, _ = first.split(" ")
@@ -165,12 +165,15 @@
 
 
 def seal_of(request: ReceivedRequest, worker: str = "w") -> str:
-    """The stamp that a worker puts on its answer to a request."""
+    """The seal that a worker puts on its response to a request."""
     return f"seal-{worker}-{request.id}"
 
 
 def response_bytes(request: ReceivedRequest, body: bytes, status: int = 200, **changes: str | None) -> bytes:
-    """The bytes of an answer; `changes` set headers by name (with _ for -), or drop those that are None."""
+    """The bytes of a complete response.
+
+    `changes` set headers by name, with _ for -, or remove those that are None.
+    """
     headers: dict[str, str | None] = {
         "X-Try-Id": request.id,
         "X-Seal": seal_of(request),
@@ -183,7 +186,7 @@
 
 
 def responding(body: bytes = b"answer", status: int = 200, **changes: str | None) -> Behaviour:
-    """Give a whole answer, with the headers of `whole_answer`."""
+    """Send a complete response, with the headers of `response_bytes`."""
 
     async def answer(exchange: Exchange) -> None:
         exchange.write(response_bytes(exchange.request, body, status, **changes))
@@ -197,7 +200,7 @@
 
 
 def delayed_until(behaviour: Behaviour, release: asyncio.Event) -> Behaviour:
-    """Behave so once the test sets the event."""
+    """Apply the behaviour once the test sets the event."""
 
     async def wait_and_behave(exchange: Exchange) -> None:
         await release.wait()
@@ -207,19 +210,19 @@
 
 
 async def break_off(exchange: Exchange) -> None:
-    """Close the connection without a word once the request was read."""
+    """Close the connection without a response after the request was read."""
     await exchange.break_off()
 
 
 @dataclass
 class UnresponsiveWorker:
-    """Answers nothing; `abandoned` is set once the caller has closed the connection."""
+    """Never responds; `connection_closed` is set once the caller has closed the connection."""
 
     request_received: asyncio.Event = field(default_factory=asyncio.Event)
     connection_closed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def __call__(self, exchange: Exchange) -> None:
-        """Wait for the caller to leave."""
+        """Wait until the caller closes the connection."""
         self.request_received.set()
         await exchange.caller_closed()
         self.connection_closed.set()
@@ -243,7 +246,7 @@
 
 
 def streaming(numbers: Sequence[int], worker: str = "w") -> Behaviour:
-    """Send a whole stream of these events."""
+    """Send a complete stream of these events."""
 
     async def stream(exchange: Exchange) -> None:
         begin_stream(exchange, worker)
@@ -255,7 +258,7 @@
 
 
 def streaming_until_broken(numbers: Sequence[int], worker: str = "w", partial: bytes = b"") -> Behaviour:
-    """Send these events and the beginning of a further one, then break off."""
+    """Send these events and the bytes `partial` of a further one, then close the connection."""
 
     async def stream(exchange: Exchange) -> None:
         begin_stream(exchange, worker)
@@ -269,7 +272,7 @@
 
 
 def streaming_unframed_until_reset(numbers: Sequence[int], worker: str = "w") -> Behaviour:
-    """Send these events in a body that ends with its connection, then reset it."""
+    """Send these events in a body that ends with its connection, then reset the connection."""
 
     async def stream(exchange: Exchange) -> None:
         headers = {
--- a/tests/test_dataplane_counts.py
+++ b/tests/test_dataplane_counts.py
@@ -1,4 +1,4 @@
-"""What a dispatcher counts of its requests, of its feed's traffic and of the configurations it hears of."""
+"""The counts of a dispatcher: its requests by outcome, and the traffic of its feed."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 def status(sequence: int) -> Status:
-    """A primary that has committed this position of epoch 1."""
+    """The status of a primary that has committed this sequence in epoch 1."""
     return Status(CONTROL, 1, CONTROL, True, True, 1, sequence, 1, (CONTROL,))
 
 
 class RequestCountsTest(StreamCase):
-    """Outcomes of real requests."""
+    """The counted outcomes of requests to a dispatcher."""
 
     def ended_requests(self) -> list[EndedRequests]:
-        """All requests that ended."""
+        """The counts of all ended requests."""
         return list(self.dispatcher.proxy.counts.ended_requests())
 
-    async def test_answers_count_by_status_whoever_they_are_from(self) -> None:
+    async def test_responses_of_workers_and_of_the_dispatcher_count_by_status(self) -> None:
         await self.start_worker(responding(), responding(b"failed", 500))
         await self.send(MUTATING, "try-1")
         await self.send(MUTATING, "try-2")
@@ -50,7 +50,7 @@
         )
         self.assertEqual(self.dispatcher.proxy.counts.attempts, 2)
 
-    async def test_whole_and_cut_streams_are_told_apart(self) -> None:
+    async def test_complete_and_cut_streams_are_counted_separately(self) -> None:
         await self.start_worker(streaming([1, 2]), streaming_until_broken([1]))
         self.assertTrue((await self.read_stream(STREAM, "try-1")).complete)
         self.assertFalse((await self.read_stream(STREAM, "try-2")).complete)
@@ -76,7 +76,7 @@
 
 
 class FeedTrafficTest(FeedCase):
-    """Both ends of a link count the same bytes, under the kind of the other end."""
+    """Both ends of a link count the same bytes, by the kind of the other end."""
 
     async def test_both_directions_are_counted_by_kind_of_peer(self) -> None:
         fetch = FetchConfiguration(7, False)
--- a/tests/test_dataplane_end.py
+++ b/tests/test_dataplane_end.py
@@ -1,4 +1,4 @@
-"""The end of a dispatcher: clients that send at every moment between SIGTERM and the end of the process."""
+"""The shutdown of a dispatcher: clients send requests throughout the time from SIGTERM to its end."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 from tests.test_dataplane_program import DataPlaneCase
 from tests.test_dataplane_proxy import MUTATING, SITE, STREAM
 
-GRACE = 4.0
-NOTICE = 0.5
+GRACE = 4.0  # seconds from SIGTERM to the end of the process
+NOTICE = 0.5  # seconds until the platform sends no new connections
 MARGINS = {
     "CLOSING_MARGIN": 1.5,
     "EXIT_MARGIN": 1.2,
     "FIRST_REQUEST_LIMIT": 0.05,
     "DRAIN_POLL_INTERVAL": 0.01,
 }
-STREAM_TIME = 0.4
+STREAM_TIME = 0.4  # seconds
 EVENTS = 4
 SENDING_TIMES = 60
 SENDING_INTERVAL = GRACE / SENDING_TIMES
@@ -58,12 +58,12 @@
     STREAM: (STREAM_TIME / EVENTS, STREAM_TIME * (EVENTS - 1) / EVENTS),
     MUTATING: (0.0, 0.0),
 }
-STALL = 0.8  # seconds; several times the reserve of a process that was not held up
-MIN_MEASURED_SHARE = 0.9  # clocks of two ends
+STALL = 0.8  # seconds; several times the reserve of a process without a recent stall
+MIN_MEASURED_SHARE = 0.9  # of an intended duration; the two ends' clocks may differ a little
 
 
 async def sleep_until(at: float) -> None:
-    """Wait for a time of the event loop's clock."""
+    """Wait until a time of the event loop's clock."""
     loop = asyncio.get_running_loop()
     reached = loop.create_future()
     loop.call_at(at, reached.set_result, None)
@@ -71,7 +71,7 @@
 
 
 def paced_stream(seconds: float, count: int) -> Behaviour:
-    """A stream whose events are spread over a time."""
+    """A stream whose events are spread evenly over `seconds`."""
 
     async def stream(exchange: Exchange) -> None:
         began = asyncio.get_running_loop().time()
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class ClientExchange:
-    """What a client saw of one request: all bytes that came until the connection's end."""
+    """One request of a client, with all bytes received until the end of the connection."""
 
     request_id: str
     sent_at: float
@@ -94,12 +94,12 @@
 
     @property
     def status(self) -> int:
-        """The status of the answer; 0 where nothing came."""
+        """The status of the response; 0 if there was none."""
         return int(self.response.split(b" ", 2)[1]) if self.response else 0
 
     @property
     def is_complete(self) -> bool:
-        """Whether the answer came to its end."""
+        """Whether the response came to its end."""
         head, _, body = self.response.partition(b"\r\n\r\n")
         if b"chunked" in head:
             return body.endswith(b"0\r\n\r\n")
@@ -108,21 +108,21 @@
 
     @property
     def head(self) -> bytes:
-        """The head in lower case."""
+        """The head of the response in lower case."""
         return self.response.partition(b"\r\n\r\n")[0].lower()
 
 
 @dataclass(frozen=True)
 class ShutdownRun:
-    """What clients sent at every moment of the grace."""
+    """The exchanges of clients that sent requests throughout the grace period."""
 
     began: float
-    over_open_connections: list[ClientExchange]  # over connections that were open before
+    over_open_connections: list[ClientExchange]  # on connections opened before SIGTERM
     over_new_connections: list[ClientExchange]
 
 
 class Client:
-    """A client's connection of raw bytes."""
+    """A client's connection for raw bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -130,7 +130,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the dispatcher has not closed the connection yet, as far as is known here."""
+        """Whether the client has not seen the connection's end yet."""
         return not self.reader.at_eof() and not self.writer.is_closing()
 
     def write(self, data: bytes) -> None:
@@ -138,7 +138,7 @@
         self.writer.write(data)
 
     async def read_to_end(self) -> bytes:
-        """All that comes until the end of the connection."""
+        """All bytes until the end of the connection."""
         received = b""
         try:
             while data := await self.reader.read(65536):
@@ -150,7 +150,7 @@
 
 
 def request_bytes(target: str, request_id: str, body: bytes = REQUEST_BODY) -> bytes:
-    """A whole request."""
+    """The bytes of a complete request."""
     lines = [
         f"POST {target} HTTP/1.1",
         f"Host: {SITE}",
@@ -178,33 +178,33 @@
         self.enterContext(mock.patch.object(program, "INGRESS_NOTICE", NOTICE))
 
     def record_connections(self) -> Callable[[ClientConnection, asyncio.BaseTransport], None]:
-        """What takes a connection in, and notes it; one that comes after the end meets no process."""
+        """A `connection_made` that records transports, and aborts connections after the process has ended."""
         connection_made = ClientConnection.connection_made
 
-        def noting(connection: ClientConnection, transport: asyncio.BaseTransport) -> None:
+        def record(connection: ClientConnection, transport: asyncio.BaseTransport) -> None:
             connection_made(connection, transport)
             assert isinstance(transport, asyncio.Transport)
             self.server_transports.append(transport)
             if self.process_ended:
                 transport.abort()
 
-        return noting
+        return record
 
     def abort_all_connections(self, task: object) -> None:
-        """Close all sockets, as the end of the process does that the dispatcher would have to itself."""
+        """Abort all connections, as the end of the dispatcher's own process would."""
         self.process_ended = True
         for transport in self.server_transports:
             transport.abort()
 
     def record_requests(self) -> Callable[[Proxy, web.BaseRequest], Awaitable[web.StreamResponse]]:
-        """The handler of requests, which notes all that the process has read."""
+        """A `Proxy.handle` that records the ids of all requests that the dispatcher has read."""
         handle = Proxy.handle
 
-        async def noting(proxy: Proxy, request: web.BaseRequest) -> web.StreamResponse:
+        async def record(proxy: Proxy, request: web.BaseRequest) -> web.StreamResponse:
             self.received_requests.add(request.headers["X-Try-Id"])
             return await handle(proxy, request)
 
-        return noting
+        return record
 
     def make_settings(self) -> NodeSettings:
         settings = super().make_settings()
@@ -215,9 +215,10 @@
         return Client(*await asyncio.open_connection(HOST, address.port))
 
     async def start_worker_and_warm_up(self, target: str, behaviour: Behaviour) -> FakeWorker:
-        """A worker, and a dispatcher that has learned how long its requests take.
+        """Start a worker, and send it requests from which the dispatcher learns their duration.
 
-        What it learns are the times that the worker means to take, so that a busy machine changes nothing.
+        The dispatcher learns the intended durations instead of the measured ones, so that the test does not
+        depend on the load of the machine.
         """
         worker = await self.start_worker(FakeWorker(behaviour))
         await self.publish_until_ready()
@@ -226,12 +227,15 @@
                 DurationMeter, "observe", self.observe_intended_durations(*INTENDED_DURATIONS[target])
             )
         )
-        lessons = (self.send(target, f"lesson-{number}") for number in range(WARM_UP_REQUESTS))
-        await within(asyncio.gather(*lessons))
+        requests = (self.send(target, f"lesson-{number}") for number in range(WARM_UP_REQUESTS))
+        await within(asyncio.gather(*requests))
         return worker
 
     def observe_intended_durations(self, head: float, rest: float) -> Callable[..., None]:
-        """What observes an attempt; the times that were measured are never shorter than those intended."""
+        """A `DurationMeter.observe` that replaces the measured durations by the intended ones.
+
+        It checks that the measured durations are not shorter than those.
+        """
         observe = DurationMeter.observe
 
         def observing(
@@ -247,14 +251,14 @@
         return observing
 
     def send_sigterm(self) -> float:
-        """SIGTERM; returns the time of it."""
+        """Send SIGTERM; returns the time."""
         os.kill(os.getpid(), signal.SIGTERM)
         return asyncio.get_running_loop().time()
 
     async def send_over_open_connection(
         self, client: Client, target: str, request_id: str, at: float
     ) -> ClientExchange | None:
-        """Send over an open connection; None if the dispatcher closed it before."""
+        """Send over an open connection; None if the dispatcher has closed it already."""
         await sleep_until(at)
         if not client.is_open:
             return None
@@ -264,7 +268,7 @@
     async def send_over_new_connection(
         self, target: str, request_id: str, at: float
     ) -> ClientExchange | None:
-        """Send over a connection of its own; None if the dispatcher listens no more."""
+        """Send over a new connection; None if the dispatcher no longer listens."""
         await sleep_until(at)
         try:
             client = await self.connect()
@@ -274,7 +278,7 @@
         return ClientExchange(request_id, at, await asyncio.wait_for(client.read_to_end(), 2 * GRACE))
 
     async def send_throughout_grace(self, target: str) -> ShutdownRun:
-        """Send at every moment of the grace, over old and new connections."""
+        """Send requests throughout the grace period, over open connections and over new ones."""
         old = [await self.connect() for _ in range(SENDING_TIMES)]
         loop = asyncio.get_running_loop()
         ends: list[float] = []
@@ -291,67 +295,70 @@
         outcomes = await asyncio.wait_for(asyncio.gather(*olds, *news), 3 * GRACE)
         await within(self.running)
         self.assertLessEqual(ends[0] - began, GRACE + self.lag.lost_between(began, ends[0]))
-        old_ones = [outcome for outcome in outcomes[:SENDING_TIMES] if outcome is not None]
-        new_ones = [outcome for outcome in outcomes[SENDING_TIMES:] if outcome is not None]
-        return ShutdownRun(began, old_ones, new_ones)
+        old_exchanges = [outcome for outcome in outcomes[:SENDING_TIMES] if outcome is not None]
+        new_exchanges = [outcome for outcome in outcomes[SENDING_TIMES:] if outcome is not None]
+        return ShutdownRun(began, old_exchanges, new_exchanges)
 
-    def check_exchanges(self, play: ShutdownRun, worker: FakeWorker) -> None:
-        """What reached the worker was answered whole; whatever else was answered was refused with a time.
+    def check_exchanges(self, run: ShutdownRun, worker: FakeWorker) -> None:
+        """Each request that reached the worker got a complete 200; any other response is a proper rejection.
 
-        A request that reached the worker may fail where this process, which plays all sides, got no processor
-        for longer than it left for stalls. That a refusal is true, and a failure told, holds even then.
+        A request that reached the worker may fail if this process, which runs all sides of the test, stalled
+        for longer than the reserve. Even then, a rejected request has not reached the worker, and a failure
+        has its status.
         """
-        for one in play.over_open_connections + play.over_new_connections:
-            with self.subTest(request=one.request_id):
-                reached = bool(worker.requests_of(one.request_id))
-                if reached and not self.was_stalled(one, play):
-                    self.assertEqual(200, one.status)
-                    self.assertTrue(one.is_complete)
-                if one.request_id in self.received_requests and not self.was_stalled(one, play):
-                    self.assertTrue(one.response)
-                if one.response:
-                    self.check_response(one, reached, self.was_stalled(one, play))
-
-    def check_response(self, one: ClientExchange, reached: bool, stalled: bool) -> None:
-        """A refusal is whole and tells when to come back; what reached the worker is never refused."""
-        self.assertIn(b"connection: close", one.head)
+        for exchange in run.over_open_connections + run.over_new_connections:
+            with self.subTest(request=exchange.request_id):
+                reached = bool(worker.requests_of(exchange.request_id))
+                if reached and not self.was_stalled(exchange, run):
+                    self.assertEqual(200, exchange.status)
+                    self.assertTrue(exchange.is_complete)
+                if exchange.request_id in self.received_requests and not self.was_stalled(exchange, run):
+                    self.assertTrue(exchange.response)
+                if exchange.response:
+                    self.check_response(exchange, reached, self.was_stalled(exchange, run))
+
+    def check_response(self, exchange: ClientExchange, reached: bool, stalled: bool) -> None:
+        """A rejection is complete and has Retry-After; a request that reached the worker is not rejected."""
+        self.assertIn(b"connection: close", exchange.head)
         if reached:
-            self.assertIn(one.status, (200, 502))
-        elif not (stalled and one.status == 502):  # sent, and cut off before it reached the worker
-            self.assertEqual((503, True), (one.status, one.is_complete))
-            self.assertIn(b"retry-after", one.head)
+            self.assertIn(exchange.status, (200, 502))
+        elif not (stalled and exchange.status == 502):  # sent, and cut off before it reached the worker
+            self.assertEqual((503, True), (exchange.status, exchange.is_complete))
+            self.assertIn(b"retry-after", exchange.head)
 
-    def was_stalled(self, one: ClientExchange, play: ShutdownRun) -> bool:
-        """Whether this process got no processor for longer than it leaves for stalls, since it was sent."""
-        closes_at = play.began + GRACE - program.CLOSING_MARGIN
-        return self.lag.lost_between(one.sent_at, closes_at) > closing.STALL_RESERVE
+    def was_stalled(self, exchange: ClientExchange, run: ShutdownRun) -> bool:
+        """Whether this process stalled for longer than the reserve after the request was sent."""
+        closes_at = run.began + GRACE - program.CLOSING_MARGIN
+        return self.lag.lost_between(exchange.sent_at, closes_at) > closing.STALL_RESERVE
 
-    async def test_streams_at_every_moment_are_answered_whole_or_refused_at_once(self) -> None:
+    async def test_streams_requested_at_any_time_are_complete_or_rejected_at_once(self) -> None:
         worker = await self.start_worker_and_warm_up(STREAM, paced_stream(STREAM_TIME, EVENTS))
-        play = await self.send_throughout_grace(STREAM)
-        self.check_exchanges(play, worker)
-        began, old, new = play.began, play.over_open_connections, play.over_new_connections
-        early = [one for one in old + new if one.sent_at - began < NOTICE - SENDING_INTERVAL]
-        self.assertEqual({200}, {one.status for one in early if one.response})
-        for one in old + new:
-            if not one.response:  # its connection was closed at the same moment
-                self.assertGreaterEqual(one.sent_at - began, NOTICE - SENDING_INTERVAL)
-        self.assertIn(503, {one.status for one in new})
-
-    async def test_short_requests_are_served_until_the_last_moments(self) -> None:
+        run = await self.send_throughout_grace(STREAM)
+        self.check_exchanges(run, worker)
+        began, old, new = run.began, run.over_open_connections, run.over_new_connections
+        early = [exchange for exchange in old + new if exchange.sent_at - began < NOTICE - SENDING_INTERVAL]
+        self.assertEqual({200}, {exchange.status for exchange in early if exchange.response})
+        for exchange in old + new:
+            if not exchange.response:  # its connection was closed at the same moment
+                self.assertGreaterEqual(exchange.sent_at - began, NOTICE - SENDING_INTERVAL)
+        self.assertIn(503, {exchange.status for exchange in new})
+
+    async def test_short_requests_are_served_until_shortly_before_the_end(self) -> None:
         worker = await self.start_worker_and_warm_up(MUTATING, responding())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
-        play = await self.send_throughout_grace(MUTATING)
-        self.check_exchanges(play, worker)
-        served = [one.sent_at - play.began for one in play.over_new_connections if one.status == 200]
+        run = await self.send_throughout_grace(MUTATING)
+        self.check_exchanges(run, worker)
+        served = [
+            exchange.sent_at - run.began for exchange in run.over_new_connections if exchange.status == 200
+        ]
         self.assertTrue(served)
         self.assertGreater(max(served), GRACE / 2 - closing.STALL_SAFETY_FACTOR * self.lag.longest)
-        held = ClientExchange("held", play.began, await within(holding.read_to_end()))
+        held = ClientExchange("held", run.began, await within(holding.read_to_end()))
         self.assertEqual((503, True), (held.status, held.is_complete))
         self.assertEqual([], worker.requests_of("held"))
 
-    async def test_a_short_request_just_before_the_end_is_refused_as_a_stall_would_cut_it(self) -> None:
+    async def test_a_short_request_is_rejected_when_a_stall_could_cut_it(self) -> None:
         worker = await self.start_worker_and_warm_up(MUTATING, responding())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
@@ -365,7 +372,7 @@
         await within(self.running)
 
     def watch_for_stall(self, least: float) -> asyncio.Event:
-        """An event that is set once the dispatcher has noticed a stall that lasted so many seconds."""
+        """An event that is set once the dispatcher has measured a stall of at least `least` seconds."""
         noticed = asyncio.Event()
         observe = LoopMeter.observe
 
@@ -377,10 +384,10 @@
         self.enterContext(mock.patch.object(LoopMeter, "observe", observing))
         return noticed
 
-    async def test_a_process_that_was_held_up_lately_leaves_more_time_for_the_next_stall(self) -> None:
+    async def test_a_process_with_a_recent_stall_reserves_more_time_for_the_next_one(self) -> None:
         worker = await self.start_worker_and_warm_up(MUTATING, responding())
         noticed = self.watch_for_stall(STALL / 2)
-        time.sleep(STALL)  # the loop gets no processor
+        time.sleep(STALL)  # blocks the event loop
         await within(noticed.wait())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
@@ -392,7 +399,7 @@
         self.assertEqual([], worker.requests_of("late"))
         await within(self.running)
 
-    async def test_idle_connections_are_closed_once_the_platform_noticed(self) -> None:
+    async def test_idle_connections_are_closed_once_the_platform_has_noticed_the_shutdown(self) -> None:
         await self.start_worker_and_warm_up(MUTATING, responding())
         idle = [await self.connect() for _ in range(5)]
         began = self.send_sigterm()
@@ -402,7 +409,7 @@
         await within(self.running)
         self.assertLess(asyncio.get_running_loop().time() - began, GRACE / 2)
 
-    async def test_a_request_half_read_is_not_cut_when_idle_connections_are_closed(self) -> None:
+    async def test_a_partly_received_request_is_not_cut_when_idle_connections_are_closed(self) -> None:
         await self.start_worker_and_warm_up(MUTATING, responding())
         for cut_at in (10, -1):
             client = await self.connect()
@@ -423,7 +430,7 @@
             self.assertEqual((200, True), (answer.status, answer.is_complete))
         await within(self.running)
 
-    async def test_a_long_answer_is_flushed_to_a_slow_reader_before_the_process_ends(self) -> None:
+    async def test_a_long_response_is_flushed_to_a_slow_reader_before_the_process_ends(self) -> None:
         body = b"x" * 4_000_000
         await self.start_worker_and_warm_up(MUTATING, responding(body))
         client = await self.connect()
@@ -434,7 +441,7 @@
         self.assertEqual((200, True), (answer.status, answer.is_complete))
         await within(self.running)
 
-    async def test_an_answer_is_waited_for_after_the_listener_was_closed(self) -> None:
+    async def test_a_response_is_awaited_after_the_listener_was_closed(self) -> None:
         self.enterContext(mock.patch.object(program, "FIRST_REQUEST_LIMIT", GRACE / 4))
         release = asyncio.Event()
         worker = await self.start_delayed_worker(release)
@@ -450,7 +457,7 @@
         await within(self.running)
 
     async def wait_for_closed_listener(self) -> None:
-        """Wait until new connections are refused."""
+        """Wait until the dispatcher refuses new connections."""
         while True:
             try:
                 (await self.connect()).writer.close()
@@ -458,13 +465,13 @@
                 return
 
     async def start_delayed_worker(self, release: asyncio.Event) -> FakeWorker:
-        """A worker that answers once the test says so."""
+        """Start a worker that responds once the test sets `release`."""
         worker = await self.start_worker(FakeWorker(delayed_until(responding(), release)))
         await self.publish_until_ready()
         return worker
 
-    async def test_a_request_under_way_at_the_very_end_gets_a_failure_that_is_whole(self) -> None:
-        """It was sent before SIGTERM and lasts longer than all others: it may have run."""
+    async def test_a_request_in_flight_at_the_closing_time_gets_a_complete_error_response(self) -> None:
+        """It was sent to a worker before SIGTERM, so it may have run."""
         worker = await self.start_delayed_worker(asyncio.Event())
         client = await self.connect()
         client.write(request_bytes(MUTATING, "held"))
@@ -476,13 +483,13 @@
 
 
 class ClosingTimeTests(unittest.IsolatedAsyncioTestCase):
-    def test_what_is_under_way_ends_within_the_last_sixth_of_the_grace(self) -> None:
-        """A request that is cut sooner, or whose answer is not flushed after it, counts as lost."""
+    def test_requests_in_flight_are_ended_within_the_last_sixth_of_the_grace(self) -> None:
+        """A request that is cut earlier, or whose response is not flushed afterwards, counts as lost."""
         self.assertLess(program.CLOSING_MARGIN, Bounds().grace / 6)
         self.assertLess(0.0, program.EXIT_MARGIN)
         self.assertLess(program.EXIT_MARGIN, program.CLOSING_MARGIN)
 
-    async def test_scopes_end_at_a_closing_time_that_is_set_later(self) -> None:
+    async def test_scopes_expire_at_a_closing_time_that_is_set_later(self) -> None:
         loop = asyncio.get_running_loop()
         closing_time = ClosingTime()
         never = loop.create_future()
@@ -496,7 +503,7 @@
         self.assertEqual(closing.STALL_RESERVE, ClosingTime.stall_reserve(0.0))
         self.assertEqual(closing.STALL_SAFETY_FACTOR * 0.5, ClosingTime.stall_reserve(0.5))
 
-    async def test_only_what_ends_in_time_is_allowed(self) -> None:
+    async def test_only_durations_that_end_before_the_closing_time_are_allowed(self) -> None:
         closing_time = ClosingTime()
         self.assertTrue(closing_time.allows_duration(1e9, 0.0))
         closing_time.set(10.0, 2.0)
@@ -510,19 +517,19 @@
 
 
 def routed(route: str = "r", tokens: str = "100,50") -> RoutedRequest:
-    """A request that came at time 0 and has 15 s."""
+    """A request that arrived at time 0 with 15 s left."""
     headers = CIMultiDict({"X-Tokens": tokens})
     found = replace(ROUTE, name=route)
     return RoutedRequest("id", "POST", STREAM, found, "models", None, (), headers, b"", 0.0, 15.0)
 
 
 class DurationTests(unittest.TestCase):
-    def test_an_unknown_kind_may_take_all_its_time(self) -> None:
+    def test_without_samples_the_estimate_is_all_time_left(self) -> None:
         meter = DurationMeter()
         self.assertEqual(15.0, meter.likely_bound(routed(), 0.0))
         self.assertEqual(5.0, meter.upper_bound(routed(), 10.0))
 
-    def test_the_answers_tokens_scale_the_expectation(self) -> None:
+    def test_the_output_tokens_scale_the_estimate(self) -> None:
         meter = DurationMeter()
         for _ in range(20):
             meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
@@ -530,7 +537,7 @@
         self.assertAlmostEqual(1.1, short, delta=0.1)
         self.assertAlmostEqual(2.1, long, delta=0.1)
 
-    def test_a_route_without_requests_is_judged_by_its_service(self) -> None:
+    def test_a_route_without_requests_has_the_estimate_of_its_service(self) -> None:
         meter = DurationMeter()
         for _ in range(20):
             meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
@@ -544,7 +551,7 @@
         meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
         self.assertLess(meter.upper_bound(routed(), 0.0), 15.0)
 
-    def test_the_longest_counts_for_the_upper_bound_and_is_forgotten(self) -> None:
+    def test_the_longest_duration_raises_the_upper_bound_and_decays(self) -> None:
         estimate = DurationEstimate()
         estimate.observe(9.0, 0.0)
         for _ in range(60):
@@ -555,7 +562,7 @@
 
 
 class ClientServerTests(unittest.IsolatedAsyncioTestCase):
-    """Fails when the attributes of aiohttp's handler on which the module relies change."""
+    """These tests fail if the private attributes of aiohttp's handler that the module uses change."""
 
     async def asyncSetUp(self) -> None:
         self.release = asyncio.Event()
@@ -585,7 +592,7 @@
         self.server.close_idle(0.0)
         self.assertEqual(b"", await within(client.read_to_end()))
 
-    async def test_a_connection_with_part_of_a_head_stays(self) -> None:
+    async def test_a_connection_with_a_partly_received_head_stays_open(self) -> None:
         self.release.set()
         client = await self.connect()
         whole = request_bytes("/", "id")
@@ -596,7 +603,7 @@
         client.write(whole[20:])
         self.assertIn(b"200", await within(client.reader.readline()))
 
-    async def test_a_connection_whose_request_is_answered_stays(self) -> None:
+    async def test_a_connection_with_a_request_in_progress_stays_open(self) -> None:
         client = await self.connect()
         client.write(request_bytes("/", "id"))
         await within(self.request_received.wait())
@@ -629,7 +636,7 @@
         return response
 
     def connect_in_each_iteration(self) -> None:
-        """Open a connection with a whole request in this turn of the event loop, and in each that follows."""
+        """Open a connection with a complete request in this and each further iteration of the event loop."""
         if not self.connecting:
             return
         try:
@@ -641,7 +648,10 @@
         asyncio.get_running_loop().call_soon(self.connect_in_each_iteration)
 
     async def stop_listener_after(self, connections: int) -> None:
-        """Close the listener among connections; errors of the event loop, such as lost ones, are failures."""
+        """Close the listener while connections are opened.
+
+        Errors that the event loop reports, such as a lost connection, are failures.
+        """
         self.connect_in_each_iteration()
         while len(self.clients) < connections:
             await asyncio.sleep(0)
@@ -654,16 +664,16 @@
         for answer in answered:
             self.assertIn(b" 200 ", answer)
 
-    async def test_no_accepted_connection_is_lost_by_a_stop_in_the_turn_of_an_accept(self) -> None:
+    async def test_no_connection_is_lost_by_a_stop_in_the_iteration_of_an_accept(self) -> None:
         await self.stop_listener_after(10)
 
-    async def test_no_accepted_connection_is_lost_by_a_stop_in_the_turn_after_an_accept(self) -> None:
-        """Each accept takes in the connections of two turns, so the other one is tested too."""
+    async def test_no_connection_is_lost_by_a_stop_in_the_iteration_after_an_accept(self) -> None:
+        """Each accept covers the connections of two iterations, so both are tested."""
         await self.stop_listener_after(11)
 
     @staticmethod
     async def read_all(client: socket.socket) -> bytes:
-        """All that comes until the end; nothing from a connection that was never accepted."""
+        """All bytes until the end of the connection; none if it was never accepted."""
         client.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=client)
         return await Client(reader, writer).read_to_end()
--- a/tests/test_dataplane_parts.py
+++ b/tests/test_dataplane_parts.py
@@ -1,4 +1,4 @@
-"""The data plane's parts without sockets: event splitting, retry budget, routing inputs, demand, headers."""
+"""The data plane's parts that need no sockets: events, retry budget, splits, headers, demand, traffic."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 
 def split_stream(*pieces: bytes) -> list[Event]:
-    """The events of a stream that comes in these pieces."""
+    """The events of a stream that arrives in these pieces."""
     splitter = EventSplitter()
     return [event for piece in pieces for event in splitter.feed(piece)]
 
 
 class EventSplitterTests(unittest.TestCase):
-    def test_whole_stream_gives_its_events_unchanged(self) -> None:
+    def test_a_complete_stream_gives_its_events_unchanged(self) -> None:
         events = split_stream(STREAM)
         self.assertEqual(STREAM, b"".join(event.raw for event in events))
         self.assertEqual(STREAM_IDS, [event.id for event in events])
@@ -56,19 +56,19 @@
     def test_single_bytes_give_the_same_events(self) -> None:
         self.assertEqual(split_stream(STREAM), split_stream(*(bytes([byte]) for byte in STREAM)))
 
-    def test_an_event_comes_with_its_last_byte_and_not_before(self) -> None:
+    def test_an_event_is_returned_with_its_last_byte_and_not_before(self) -> None:
         splitter = EventSplitter()
         self.assertEqual([], splitter.feed(b"id: 1\ndata: one\n"))
         self.assertTrue(splitter.has_partial_event)
         self.assertEqual([Event(b"id: 1\ndata: one\n\n", b"1")], splitter.feed(b"\n"))
         self.assertFalse(splitter.has_partial_event)
 
-    def test_a_rest_after_whole_events_is_partial(self) -> None:
+    def test_bytes_after_the_last_complete_event_are_a_partial_event(self) -> None:
         splitter = EventSplitter()
         splitter.feed(b"id: 1\n\nid: 2")
         self.assertTrue(splitter.has_partial_event)
 
-    def test_an_event_that_never_ends_is_refused(self) -> None:
+    def test_an_event_that_never_ends_is_an_error(self) -> None:
         splitter = EventSplitter()
         with self.assertRaises(OversizedEventError):
             splitter.feed(b"data: " + bytes(MAX_EVENT_SIZE))
@@ -76,26 +76,26 @@
 
 class RetryBudgetTests(unittest.TestCase):
     def spend_all(self, budget: RetryBudget, service: str, now: float) -> int:
-        """Take repeats until one is denied."""
-        taken = 0
+        """Spend retries until one is denied; returns their number."""
+        spent = 0
         while budget.try_spend(service, now):
-            taken += 1
-        return taken
+            spent += 1
+        return spent
 
-    def test_a_budget_of_nothing_allows_nothing(self) -> None:
+    def test_an_empty_budget_allows_no_retry(self) -> None:
         budget = RetryBudget(ratio=0.0, window=10.0, slack=0.0)
         budget.record_request(SERVICE, 0.0)
         self.assertFalse(budget.try_spend(SERVICE, 0.0))
 
-    def test_repeats_stay_within_the_share_of_requests_and_the_allowance(self) -> None:
+    def test_retries_stay_within_the_share_of_requests_and_the_allowance(self) -> None:
         budget = RetryBudget(ratio=0.2, window=10.0, slack=10.0)
         for _ in range(100):
             budget.record_request(SERVICE, 0.0)
-        taken = self.spend_all(budget, SERVICE, 1.0)
-        self.assertGreater(taken, 0)
-        self.assertLessEqual(taken, 0.2 * 100 + 10.0)
+        spent = self.spend_all(budget, SERVICE, 1.0)
+        self.assertGreater(spent, 0)
+        self.assertLessEqual(spent, 0.2 * 100 + 10.0)
 
-    def test_more_requests_allow_more_repeats(self) -> None:
+    def test_more_requests_allow_more_retries(self) -> None:
         budget = RetryBudget(ratio=0.2, window=10.0, slack=10.0)
         self.spend_all(budget, SERVICE, 0.0)
         for _ in range(100):
@@ -112,12 +112,12 @@
         self.assertGreater(total, 0)
         self.assertLessEqual(total, slack)
 
-    def test_services_have_budgets_of_their_own(self) -> None:
+    def test_each_service_has_its_own_budget(self) -> None:
         budget = RetryBudget(ratio=0.0, window=10.0, slack=10.0)
         first = self.spend_all(budget, SERVICE, 0.0)
         self.assertEqual(first, self.spend_all(budget, "other", 0.0))
 
-    def test_repeats_come_back_when_the_window_has_passed(self) -> None:
+    def test_retries_are_available_again_when_the_window_has_passed(self) -> None:
         budget = RetryBudget(ratio=0.0, window=10.0, slack=10.0)
         first = self.spend_all(budget, SERVICE, 0.0)
         self.assertFalse(budget.try_spend(SERVICE, 9.9))
@@ -129,31 +129,31 @@
             budget.record_request(SERVICE, 0.0)
         self.assertFalse(budget.try_spend(SERVICE, 10.1))
 
-    def test_no_window_holds_more_repeats_than_its_requests_allow(self) -> None:
+    def test_no_window_contains_more_retries_than_its_requests_allow(self) -> None:
         ratio, window, slack = 0.2, 2.0, 6.0
         budget = RetryBudget(ratio, window, slack)
         requests: list[float] = []
-        repeats: list[float] = []
+        retries: list[float] = []
         for step in range(1200):
             now = step * 0.01
             if step % 300 < 150:  # a burst, then a pause
                 requests.append(now)
                 budget.record_request(SERVICE, now)
             while budget.try_spend(SERVICE, now):
-                repeats.append(now)
-        for end in repeats:
-            count = sum(end - window < time <= end for time in repeats)
-            asked = sum(end - window <= time <= end for time in requests)
-            self.assertLessEqual(count, ratio * asked + slack)
+                retries.append(now)
+        for end in retries:
+            retry_count = sum(end - window < time <= end for time in retries)
+            request_count = sum(end - window <= time <= end for time in requests)
+            self.assertLessEqual(retry_count, ratio * request_count + slack)
 
 
 def route_with(*shares: ServiceShare) -> Route:
-    """A route that is split like this."""
+    """A route that is split into these shares."""
     return Route("r", "host", "/p/", RouteKind.SAFE, 1000, 500, 0, shares, 1, False, False, 0)
 
 
 class SplitTests(unittest.TestCase):
-    def test_an_undivided_route_has_one_service(self) -> None:
+    def test_a_route_without_a_split_has_one_service(self) -> None:
         splitter, route = RouteSplitter(), route_with(ServiceShare("first", 1.0))
         self.assertEqual({"first"}, {splitter.choose(route) for _ in range(50)})
 
@@ -165,7 +165,7 @@
                 {"first" if point < 0.5 else "second"}, {service_at(route, point) for _ in range(5)}
             )
 
-    def test_services_get_their_weights(self) -> None:
+    def test_services_get_requests_by_their_weights(self) -> None:
         splitter, route = (
             RouteSplitter(Random(1)),
             route_with(*(ServiceShare(*item) for item in WEIGHTS.items())),
@@ -175,20 +175,20 @@
             share = weight / sum(WEIGHTS.values())
             self.assertAlmostEqual(share, counts[name] / REQUESTS, delta=SHORT_TOLERANCE)
 
-    def test_a_service_of_weight_zero_gets_nothing(self) -> None:
+    def test_a_service_of_weight_zero_gets_no_request(self) -> None:
         splitter, route = RouteSplitter(), route_with(ServiceShare("none", 0.0), ServiceShare("all", 1.0))
         self.assertEqual({"all"}, {splitter.choose(route) for _ in range(500)})
         self.assertEqual({"all"}, {service_at(route, number / 500) for number in range(500)})
 
-    def test_each_window_over_all_dispatchers_is_near_the_weights(self) -> None:
-        """With unequal loads, restarts within the window, and other weights before it."""
+    def test_in_each_window_the_shares_over_all_dispatchers_are_near_the_weights(self) -> None:
+        """The dispatchers have unequal loads, restart within the window, and had other weights before it."""
         for dispatchers, tolerance in ((1, 0.01), (8, 0.03), (70, 0.06)):
             for weights in ((50, 50), (90, 10), (30, 70), (1, 2, 3)):
                 with self.subTest(dispatchers=dispatchers, weights=weights):
                     self.assertLess(self.largest_deviation(dispatchers, weights), tolerance)
 
     def largest_deviation(self, dispatchers: int, weights: tuple[int, ...]) -> float:
-        """How far a service's share lies off its weight in the worst of many windows."""
+        """The largest difference between a service's share and its weight in any of many windows."""
         random = Random(dispatchers)
         route = route_with(*(ServiceShare(str(n), weight) for n, weight in enumerate(weights)))
         before = route_with(*(ServiceShare(str(n), 1.0) for n in range(len(weights))))
@@ -205,8 +205,8 @@
                 worst = max(worst, abs(counts[str(number)] / WINDOW - weight / sum(weights)))
         return worst
 
-    def test_requests_that_take_turns_with_others_are_split_as_well(self) -> None:
-        """Every second, third or fifth request of a route may be of one kind."""
+    def test_every_nth_request_of_a_route_is_split_evenly_as_well(self) -> None:
+        """Requests of one kind may come at regular places among the requests of a route."""
         route = route_with(ServiceShare("first", 50), ServiceShare("second", 50))
         for period in (2, 3, 5, 8):
             splitter = RouteSplitter(Random(period))
@@ -215,7 +215,7 @@
 
 
 class HeaderTests(unittest.TestCase):
-    def test_headers_of_a_single_connection_are_not_passed(self) -> None:
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
         headers = CIMultiDict(
             {
                 "Connection": "keep-alive, X-Hop",
@@ -229,11 +229,11 @@
         )
         self.assertEqual({"X-Kept": "2"}, dict(end_to_end(CIMultiDictProxy(headers))))
 
-    def test_repeated_headers_are_all_passed(self) -> None:
+    def test_repeated_headers_are_all_forwarded(self) -> None:
         headers = CIMultiDict([("X-Many", "1"), ("X-Many", "2")])
         self.assertEqual(["1", "2"], end_to_end(CIMultiDictProxy(headers)).getall("X-Many"))
 
-    def test_headers_named_in_any_connection_header_are_not_passed(self) -> None:
+    def test_headers_named_in_any_connection_header_are_not_forwarded(self) -> None:
         headers = CIMultiDict([("Connection", "X-First"), ("Connection", "X-Second"), ("X-Second", "1")])
         self.assertEqual({}, dict(end_to_end(CIMultiDictProxy(headers))))
 
@@ -248,21 +248,21 @@
         self.assertEqual(ServiceKey(SERVICE, "small", ""), read_weights_key(SERVICE, "small"))
         self.assertIsNone(read_weights_key(SERVICE, None))
 
-    def test_prompt_parts_are_told_apart_by_what_goes_before(self) -> None:
+    def test_prompt_parts_are_identified_together_with_the_parts_before_them(self) -> None:
         first = read_prompt_parts("small", "5c1e07a2:800,91bd3f06:410")
         second = read_prompt_parts("small", "e4402b7d:800,91bd3f06:410")
         self.assertEqual([800, 410], [part.tokens for part in first])
         self.assertNotEqual(first[1].prefix_id, second[1].prefix_id)
         self.assertEqual(first[:1], read_prompt_parts("small", "5c1e07a2:800,broken,91bd3f06:410"))
 
-    def test_prompt_parts_belong_to_their_weights(self) -> None:
+    def test_prompt_parts_are_identified_together_with_their_weights(self) -> None:
         text = "5c1e07a2:800"
         self.assertNotEqual(
             read_prompt_parts("small", text)[0].prefix_id, read_prompt_parts("small/a1", text)[0].prefix_id
         )
         self.assertEqual(read_prompt_parts("small", text), read_prompt_parts("small", text))
 
-    def test_told_load_is_read_where_it_is_sound(self) -> None:
+    def test_reported_load_is_read_only_if_it_is_well_formed(self) -> None:
         self.assertEqual(ReportedLoad(3, 0, 8), read_load(CIMultiDict({"X-Load": "3,0,8"})))
         for text in ("", "3,0", "3,0,8,1", "a,b,c"):
             self.assertIsNone(read_load(CIMultiDict({"X-Load": text})))
@@ -273,7 +273,7 @@
         self.first_waits: list[ServiceKey] = []
         self.meter = DemandMeter(self.first_waits.append)
 
-    def test_only_the_first_waiting_request_calls_for_the_weights(self) -> None:
+    def test_only_the_first_waiting_request_triggers_a_report(self) -> None:
         self.meter.begin_wait(KEY, 1.0)
         self.meter.begin_wait(KEY, 2.0)
         self.assertEqual([KEY], self.first_waits)
@@ -290,31 +290,31 @@
         self.assertEqual((SERVICE, "small", "a1"), (demand.service, demand.model, demand.adapter))
         self.assertEqual((2, 2.5), (demand.waiting, demand.oldest_wait))
 
-    def test_the_rate_follows_the_requests_and_fades(self) -> None:
+    def test_the_rate_follows_the_requests_and_decays(self) -> None:
         for step in range(1000):
             self.meter.record_request(KEY, step * 0.1)
         steady = self.meter.demand_for(KEY, 100.0).rate
         self.assertAlmostEqual(10.0, steady, delta=1.0)
         self.assertLess(self.meter.demand_for(KEY, 110.0).rate, steady / 2)
 
-    def test_a_key_that_nobody_asks_for_is_no_longer_reported(self) -> None:
+    def test_a_key_without_recent_requests_is_no_longer_reported(self) -> None:
         self.meter.record_request(KEY, 0.0)
         self.assertEqual((), self.meter.all_demand(1000.0))
 
 
 class WorkerTrafficTests(unittest.TestCase):
-    def test_a_told_load_counts_for_a_while(self) -> None:
+    def test_a_reported_load_is_used_for_a_limited_time(self) -> None:
         traffic = WorkerTraffic(in_flight=1)
         traffic.record_load(3, 2, 8, 10.0)
         self.assertEqual(5, traffic.load(10.1))
         self.assertEqual(1, traffic.load(60.0))
 
-    def test_own_requests_count_where_they_are_more(self) -> None:
+    def test_the_dispatchers_own_requests_count_if_they_are_more_than_reported(self) -> None:
         traffic = WorkerTraffic(in_flight=9)
         traffic.record_load(1, 0, 8, 10.0)
         self.assertEqual(9, traffic.load(10.0))
 
-    def test_repeated_failures_are_avoided_longer_each_time(self) -> None:
+    def test_a_worker_is_avoided_longer_after_each_failure(self) -> None:
         traffic = WorkerTraffic()
         traffic.record_failure(0.0)
         first = traffic.avoided_until
@@ -324,7 +324,7 @@
         traffic.record_success()
         self.assertLess(traffic.avoided_until, 0.0)
 
-    def test_a_kept_connection_is_free_for_a_while_after_a_whole_answer(self) -> None:
+    def test_an_idle_connection_is_expected_for_a_while_after_a_complete_response(self) -> None:
         traffic = WorkerTraffic()
         self.assertFalse(traffic.has_idle_connection(100.0, 8.5))
         traffic.last_completed_at = 100.0
--- a/tests/test_dataplane_program.py
+++ b/tests/test_dataplane_program.py
@@ -51,7 +51,7 @@
 
 
 class ControlMachine:
-    """A primary that serves one configuration and a list of workers."""
+    """A control-plane primary that serves one configuration and a list of workers."""
 
     def __init__(self) -> None:
         self.records: list[WorkerRecord] = []
@@ -65,16 +65,16 @@
         self.server = FeedServer(self)
 
     def status(self) -> Status:
-        """What it tells of itself."""
+        """The machine's status."""
         sequence = self.sequence if self.source else 0
         return Status(CONTROL_IP, 1, CONTROL_IP, self.fresh, True, 1, sequence, 1, (CONTROL_IP,))
 
     def initial_messages(self, connection: Connection) -> Iterable[Message]:
-        """Status and workers."""
+        """The status and the full list of workers."""
         return self.status(), WorkerUpdates(tuple(self.records), complete=True)
 
     def message_received(self, connection: Connection, message: Message) -> None:
-        """Give out the configuration; keep reports of demand."""
+        """Answer fetch requests and heartbeats, and collect demand reports."""
         if isinstance(message, FetchConfiguration):
             self.fetch_requests.append(message)
             connection.send(
@@ -89,10 +89,10 @@
             self.demand_reports.put_nowait(message)
 
     def subscriber_lost(self, connection: Connection) -> None:
-        """Nothing to do."""
+        """Ignore the end of a link."""
 
     def publish_next_configuration(self) -> None:
-        """Have a further configuration in force, and tell of it."""
+        """Put the next version of the configuration in force and announce it."""
         document = json.loads(self.source)
         self.source = json.dumps({**document, "ver": document["ver"] + 1}).encode()
         self.sequence += 1
@@ -100,7 +100,7 @@
 
 
 class DataPlaneCase(unittest.IsolatedAsyncioTestCase):
-    """A dispatcher that runs, and the control machine that feeds it."""
+    """A running dispatcher and the control machine that feeds it."""
 
     async def asyncSetUp(self) -> None:
         self.enterContext(mock.patch.object(program, "INGRESS_NOTICE", SHORT_INGRESS_NOTICE))
@@ -117,7 +117,7 @@
         await within(self.wait_until_listening())
 
     def make_settings(self) -> NodeSettings:
-        """Settings with free ports."""
+        """Settings with free ports on the loopback addresses."""
         first_port = find_free_port(CONTROL_IP) - 1
         document = {
             "hostname": "e1",
@@ -131,13 +131,13 @@
         return parse_settings(document)
 
     async def stop_dispatcher(self) -> None:
-        """End it as the platform does."""
+        """End the dispatcher with SIGTERM, as the platform does."""
         if not self.running.done():
             os.kill(os.getpid(), signal.SIGTERM)
         await within(self.running)
 
     async def wait_until_listening(self) -> None:
-        """Wait until the dispatcher answers."""
+        """Wait until the dispatcher answers the readiness check."""
         while True:
             try:
                 await self.readiness_status()
@@ -146,19 +146,19 @@
                 await asyncio.sleep(0)
 
     async def readiness_status(self) -> int:
-        """The status of its readiness check."""
+        """The status of the dispatcher's readiness check."""
         async with self.client.get(f"http://{self.settings.listen['readyz']}/readyz") as response:
             return response.status
 
     async def start_worker(self, worker: FakeWorker, service: str = SERVICE) -> FakeWorker:
-        """Start a worker and tell the dispatcher of it."""
+        """Start a worker and add it to the control machine's list."""
         await worker.start()
         self.addAsyncCleanup(worker.stop)
         self.control.records.append(worker.record(service))
         return worker
 
     async def publish_until_ready(self) -> None:
-        """Tell the dispatcher of configuration and workers, and wait until it is ready."""
+        """Publish the configuration and the workers until the dispatcher is ready."""
         self.control.source = json.dumps(CONFIGURATION).encode()
         self.control.server.broadcast(WorkerUpdates(tuple(self.control.records), complete=True))
         self.control.server.broadcast(self.control.status())
@@ -171,7 +171,7 @@
         await within(ready())
 
     async def send(self, target: str, request_id: str = "try-1", **headers: str) -> tuple[int, bytes]:
-        """Send a request; further headers by name, with _ for -."""
+        """Send a request, with further headers by name and _ for -; returns the status and the body."""
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         sent = {"Host": SITE, "X-Try-Id": request_id, "X-Time-Left": "3000", **named}
         url = f"http://{self.settings.listen['edge']}{target}"
@@ -180,7 +180,7 @@
 
 
 class DataPlaneTests(DataPlaneCase):
-    async def test_it_is_ready_once_it_has_configuration_and_workers(self) -> None:
+    async def test_it_is_ready_once_it_has_a_configuration_and_workers(self) -> None:
         self.assertEqual(503, await self.readiness_status())
         status, _ = await self.send(SAFE)
         self.assertEqual(503, status)
@@ -188,8 +188,8 @@
         await self.publish_until_ready()
         self.assertEqual((200, b"answer"), await self.send(MUTATING))
 
-    async def test_it_says_that_there_is_no_route_once_a_heartbeat_was_answered(self) -> None:
-        """What a control machine tells unasked may have been on its way for any time."""
+    async def test_an_unknown_route_is_not_found_once_a_heartbeat_was_answered(self) -> None:
+        """An unsolicited message may have been in transit for any time, so it proves no position."""
         self.control.answers_heartbeats = False
         await self.start_worker(FakeWorker(responding()))
         await self.publish_until_ready()
@@ -203,7 +203,9 @@
 
         await within(no_route())
 
-    async def test_it_serves_nothing_of_a_control_machine_that_lost_its_primary(self) -> None:
+    async def test_it_does_not_use_the_configuration_of_a_machine_without_contact_to_its_primary(
+        self,
+    ) -> None:
         self.control.fresh = False
         await self.check_configuration_is_not_served()
         self.assertEqual([], self.control.fetch_requests)
@@ -211,16 +213,16 @@
         await self.publish_until_ready()
         self.assertEqual((200, b"answer"), await self.send(MUTATING))
 
-    async def test_it_serves_nothing_of_a_primary_that_no_majority_confirms(self) -> None:
+    async def test_it_does_not_use_a_configuration_that_no_majority_confirms(self) -> None:
         self.control.confirms_configuration = False
         await self.check_configuration_is_not_served()
-        self.assertEqual({True}, {question.confirm for question in self.control.fetch_requests})
+        self.assertEqual({True}, {fetch.confirm for fetch in self.control.fetch_requests})
         self.control.confirms_configuration = True
         await self.publish_until_ready()
         self.assertEqual((200, b"answer"), await self.send(MUTATING))
 
     async def check_configuration_is_not_served(self) -> None:
-        """Tell of a configuration that must not be served, and see that it is not."""
+        """Announce a configuration that the dispatcher must not use, and check that it does not."""
         await self.start_worker(FakeWorker(responding()))
         self.control.source = json.dumps(CONFIGURATION).encode()
         self.control.server.broadcast(WorkerUpdates(tuple(self.control.records), complete=True))
@@ -230,14 +232,14 @@
             self.assertEqual(503, status)
         self.assertEqual(503, await self.readiness_status())
 
-    async def test_a_request_before_the_configuration_is_answered_when_it_is_there(self) -> None:
+    async def test_a_request_before_the_first_configuration_is_served_once_it_arrives(self) -> None:
         await self.start_worker(FakeWorker(responding()))
         sending = asyncio.create_task(self.send(MUTATING))
         await self.publish_until_ready()
         self.assertEqual((200, b"answer"), await within(sending))
 
     async def test_headers_within_the_limit_are_served(self) -> None:
-        """A long prompt is told in one header, which may take up most of `hdr-bytes`."""
+        """The parts of a long prompt are listed in one header, which may take up most of `hdr-bytes`."""
         worker = await self.start_worker(FakeWorker(responding()))
         await self.publish_until_ready()
         parts = ",".join(f"{number:08x}:16" for number in range(HEADER_LIMIT // 12))
@@ -258,7 +260,7 @@
         status, _ = await sending
         self.assertEqual(503, status)
 
-    async def test_what_is_under_way_at_sigterm_is_finished(self) -> None:
+    async def test_a_request_in_flight_at_sigterm_is_finished(self) -> None:
         release = asyncio.Event()
         worker = await self.start_worker(FakeWorker(delayed_until(responding(), release)))
         await self.publish_until_ready()
@@ -275,8 +277,8 @@
         self.assertEqual((200, b"answer"), await sending)
         await within(self.running)
 
-    async def test_a_request_that_waits_for_weights_is_refused_before_the_process_ends(self) -> None:
-        """Its wait could last beyond the time that the process has left after SIGTERM."""
+    async def test_a_request_that_waits_for_weights_is_rejected_before_the_process_ends(self) -> None:
+        """Its wait could last longer than the process does after SIGTERM."""
         margin = self.settings.bounds.grace - DRAIN_TIME
         self.enterContext(mock.patch.object(program, "CLOSING_MARGIN", margin))
         await self.start_worker(FakeWorker(responding()), MODEL_SERVICE)
@@ -288,16 +290,16 @@
         self.assertEqual(503, status)
         await within(self.running)
 
-    async def test_a_client_that_leaves_frees_the_worker(self) -> None:
-        silence = UnresponsiveWorker()
-        await self.start_worker(FakeWorker(silence))
+    async def test_a_request_is_cancelled_at_its_worker_when_its_client_leaves(self) -> None:
+        unresponsive = UnresponsiveWorker()
+        await self.start_worker(FakeWorker(unresponsive))
         await self.publish_until_ready()
         sending = asyncio.create_task(self.send(MUTATING))
-        await within(silence.request_received.wait())
+        await within(unresponsive.request_received.wait())
         sending.cancel()
-        await within(silence.connection_closed.wait())
+        await within(unresponsive.connection_closed.wait())
 
-    async def test_the_configuration_stays_in_force_when_the_control_plane_is_lost(self) -> None:
+    async def test_the_configuration_stays_in_force_without_the_control_plane(self) -> None:
         await self.start_worker(FakeWorker(responding()))
         await self.publish_until_ready()
         await self.control.server.stop()
@@ -306,14 +308,14 @@
 
 
 class KeptConnectionTests(DataPlaneCase):
-    """A connection that a client keeps is closed only while no request is under way on it."""
+    """A client's persistent connection is closed only while it has no request in flight."""
 
     async def asyncSetUp(self) -> None:
         self.enterContext(mock.patch.object(program, "CLIENT_KEEPALIVE", SHORT_KEEPALIVE))
         await super().asyncSetUp()
 
     async def open_connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A client's connection of raw bytes."""
+        """A client's connection for raw bytes."""
         address = self.settings.listen["edge"]
         reader, writer = await asyncio.open_connection(address.ip, address.port)
         self.addCleanup(writer.close)
@@ -321,20 +323,20 @@
 
     @staticmethod
     def send_over(writer: asyncio.StreamWriter, request_id: str) -> None:
-        """Send a request that can't be repeated over an open connection."""
+        """Send a request that must not be retried over an open connection."""
         headers = {"Host": SITE, "X-Try-Id": request_id, "X-Time-Left": "3000", "Content-Length": "1"}
         lines = [f"POST {MUTATING} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
         writer.write("\r\n".join([*lines, "", "q"]).encode())
 
-    async def test_no_request_is_cut_by_the_idle_time_sighup_or_a_configuration(self) -> None:
+    async def test_no_request_is_cut_by_the_idle_limit_sighup_or_a_new_configuration(self) -> None:
         release, began = asyncio.Event(), asyncio.Event()
 
-        async def answer_late(exchange: Exchange) -> None:
+        async def respond_late(exchange: Exchange) -> None:
             began.set()
             await release.wait()
             await responding(b"late")(exchange)
 
-        worker = await self.start_worker(FakeWorker(responding(), answer_late, responding()))
+        worker = await self.start_worker(FakeWorker(responding(), respond_late, responding()))
         await self.publish_until_ready()
         reader, writer = await self.open_connection()
         self.send_over(writer, "first")
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to workers: used again for as long as the workers say that they keep them."""
+"""Idle connections to workers are reused for as long as the workers say that they keep them."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class KeepAliveWorker:
-    """Answers each request, tells how long it keeps idle connections, and counts connections."""
+    """Responds to each request, stating how long it keeps idle connections, and counts connections."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.connections = 0
 
     async def start(self) -> str:
-        """Listen; returns the address."""
+        """Start to listen; returns the address."""
         self.server = await asyncio.start_server(self._accept, HOST, 0)
         return f"{HOST}:{self.server.sockets[0].getsockname()[1]}"
 
@@ -40,7 +40,10 @@
 
 class IdleConnectionTests(unittest.IsolatedAsyncioTestCase):
     async def count_connections(self, limit: int, pause: float) -> int:
-        """How many connections two requests take with a pause between them, by the connector's clock."""
+        """The number of connections that two requests with a pause between them use.
+
+        The pause is simulated by patching the connector's clock.
+        """
         worker = KeepAliveWorker(limit)
         address = await worker.start()
         self.addCleanup(worker.server.close)
@@ -53,15 +56,15 @@
             self.assertIsInstance(await within(client.send(address, request(), deadline)), Complete)
         return worker.connections
 
-    async def test_a_connection_is_kept_for_as_long_as_the_worker_keeps_it(self) -> None:
-        longer = upstream.DEFAULT_IDLE_LIMIT + 2.0
-        self.assertEqual(1, await self.count_connections(10, longer))
+    async def test_a_connection_is_reused_for_as_long_as_the_worker_keeps_it(self) -> None:
+        beyond_default = upstream.DEFAULT_IDLE_LIMIT + 2.0
+        self.assertEqual(1, await self.count_connections(10, beyond_default))
 
-    async def test_a_connection_that_the_worker_may_be_closing_is_not_used(self) -> None:
+    async def test_a_connection_that_the_worker_may_be_closing_is_not_reused(self) -> None:
         self.assertEqual(2, await self.count_connections(10, 10.0 - upstream.IDLE_MARGIN / 2))
         self.assertEqual(2, await self.count_connections(2, 2.0))
 
-    def test_the_limit_is_read_where_it_is_sound(self) -> None:
+    def test_the_limit_is_read_only_if_it_is_well_formed(self) -> None:
         self.assertEqual(10.0, read_idle_limit("timeout=10"))
         self.assertEqual(5.0, read_idle_limit("max=100, timeout=5"))
         for text in ("", "timeout", "timeout=x", "xtimeout=5s", "timeout=99999999"):
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The log of losses: the stage in which a request lost its time, and the table that is made of it."""
+"""The loss log: the stage in which a request lost its time, and the table that `explain losses` prints."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def trace(*, waited: float = 0.0, first: float = 0.1, pause: float = 0.0) -> RequestTrace:
-    """A request that arrived at 10 s, waited, was sent, and got its events."""
+    """The trace of a request that arrived at 10 s, waited, was sent, and received two events."""
     made = RequestTrace(10.0)
     made.routed_at = 10.01
     made.begin_wait(10.01)
@@ -56,7 +56,7 @@
         self.assertIs(LossStage.STREAM, find_slowest_stage(trace(pause=4.0), 14.2))
         self.assertIs(LossStage.ROUTE, find_slowest_stage(RequestTrace(10.0), 12.0))
 
-    def test_a_wait_that_has_not_ended_counts(self) -> None:
+    def test_a_wait_that_has_not_ended_is_included(self) -> None:
         waiting = RequestTrace(10.0)
         waiting.routed_at = 10.1
         waiting.begin_wait(10.1)
@@ -64,14 +64,14 @@
         loss = describe_loss(REQUEST, waiting, RequestOutcome.ABANDONED, "", 12.4)
         self.assertEqual((2300.0, None, 0), (loss["weights_ms"], loss["worker"], loss["attempts"]))
 
-    def test_an_answer_in_time_is_no_loss(self) -> None:
+    def test_a_response_in_time_is_no_loss(self) -> None:
         self.assertIsNone(find_loss_reason(REQUEST, trace(first=0.3, pause=0.2), 11.0))
         self.assertEqual("late", find_loss_reason(REQUEST, trace(first=0.5), 11.0))
         self.assertEqual("pause", find_loss_reason(REQUEST, trace(pause=0.4), 11.0))
 
 
 class LossLogTests(unittest.TestCase):
-    def test_only_losses_are_written_and_only_where_asked_for(self) -> None:
+    def test_only_losses_are_written_and_only_if_enabled(self) -> None:
         with self.assertLogs("rookwood") as logs:
             LossLog(True).record_end(REQUEST, trace(first=0.5), RequestOutcome.ANSWERED, "", 11.0)
             LossLog(True).record_end(REQUEST, trace(first=0.1), RequestOutcome.ANSWERED, "", 11.0)
@@ -96,7 +96,7 @@
         self.file = Path(self.enterContext(tempfile.TemporaryDirectory())) / "log"
 
     def explain(self) -> tuple[int, str, str]:
-        """Run the command on the file: exit code, output, complaints."""
+        """Run the command on the file; returns the exit code, the output and the error output."""
         out, err = io.StringIO(), io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             code = explain.main(["losses", str(self.file)])
@@ -104,7 +104,7 @@
 
     @staticmethod
     def line(outcome: RequestOutcome, why: str, made: RequestTrace) -> str:
-        """A line as a dispatcher writes it, behind a time and a machine's name."""
+        """A line as a dispatcher writes it, after a time and the machine's name."""
         loss = describe_loss(REQUEST, made, outcome, why, 13.0)
         return f"  3.1 edge-1 {json.dumps({'levelname': 'INFO', 'message': LOSS_MESSAGE, **loss})}\n"
 
@@ -118,7 +118,7 @@
         self.assertEqual(["2", "r", "2", "answered", "late"], rows[1].split()[:5])
         self.assertIn("10: 3", rows)
 
-    def test_a_file_cut_short_is_told_in_one_line(self) -> None:
+    def test_a_truncated_file_is_reported_in_one_line(self) -> None:
         whole = self.line(RequestOutcome.REFUSED, "no worker", trace())
         self.file.write_text(whole + whole[:90], encoding="utf-8")
         code, out, err = self.explain()
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -1,4 +1,4 @@
-"""When clients are told to come back for a model that nobody holds."""
+"""The Retry-After times for requests whose model no worker holds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def route(target_ms: float, name: str = "r") -> Route:
-    """A route with this objective."""
+    """A route with this target time."""
     return Route(name, "h", "/p/", RouteKind.STREAM, 15_000, target_ms, 2, (), 1, False, False, 300)
 
 
@@ -23,17 +23,17 @@
         self.assertIsNone(ReturnTimes.find_return_time(route(4000), MODEL, 0.0, 10.0))
         self.assertIsNotNone(ReturnTimes.find_return_time(route(400), MODEL, 0.0, 10.0))
 
-    def test_a_load_that_is_under_way_is_over_sooner(self) -> None:
+    def test_the_time_is_shorter_while_a_load_is_in_progress(self) -> None:
         self.assertEqual(ORDER_TIME + LOAD_S, ReturnTimes.find_return_time(route(100), MODEL, 0.0, 15.0))
         self.assertEqual(
             ORDER_TIME + LOAD_S - 1.5, ReturnTimes.find_return_time(route(100), MODEL, 1.5, 15.0)
         )
         self.assertEqual(MIN_RETURN_TIME, ReturnTimes.find_return_time(route(100), MODEL, 9.0, 15.0))
 
-    def test_a_client_that_would_not_heed_the_time_waits(self) -> None:
+    def test_a_client_with_too_little_time_to_return_waits(self) -> None:
         self.assertIsNone(ReturnTimes.find_return_time(route(400), MODEL, 0.0, 5.0))
 
-    def test_who_has_less_time_than_others_of_its_route_has_come_before(self) -> None:
+    def test_a_client_with_less_time_than_others_of_its_route_is_not_on_its_first_try(self) -> None:
         times = ReturnTimes()
         self.assertTrue(times.looks_like_first_try(route(400), 15.5))
         self.assertFalse(times.looks_like_first_try(route(400), 13.0))
@@ -42,7 +42,7 @@
         self.assertTrue(times.looks_like_first_try(route(400), 20.0))
         self.assertFalse(times.looks_like_first_try(route(400), 15.5))
 
-    def test_the_oldest_wait_for_a_key(self) -> None:
+    def test_the_oldest_wait_for_a_key_is_measured(self) -> None:
         meter = DemandMeter(lambda key: None)
         self.assertEqual(0.0, meter.oldest_wait_seconds(KEY, 5.0))
         meter.begin_wait(KEY, 3.0)
