--- a/tests/test_dataplane_proxy.py
+++ b/tests/test_dataplane_proxy.py
@@ -1,4 +1,4 @@
-"""A dispatcher between a client and scripted workers: what is sent where, how often, what comes back."""
+"""A dispatcher between a client and scripted workers: which attempts it sends and how it responds."""
 
 from __future__ import annotations
 
@@ -53,18 +53,23 @@
 WORKER_DELAY_MS = 50
 ROUNDING_MS = 2
 SHORT_TIMEOUT_MS = 300
-RESPONSE_MARGIN = 0.5  # seconds after a route's timeout within which the answer is there
-CANCEL_LIMIT = 0.5  # seconds after a client's end within which the work behind it stops
+RESPONSE_MARGIN = 0.5  # seconds after a route's timeout by which the response must have arrived
+CANCEL_LIMIT = 0.5  # seconds after a client left by which its request must be cancelled at the worker
 SHORT_PATIENCE = 0.05  # seconds
 SHORT_CHECK = 0.01  # seconds
 CHECKS = 5
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # statuses that say that a request has not run and never will
+NOT_RUN_STATUSES = (
+    408,
+    421,
+    429,
+    503,
+)  # statuses that promise a client that its request has not run and will not run
 AMPLE_BUDGET = (1.0, 10.0, 1000.0)  # ratio, window, slack
 NO_BUDGET = (0.0, 10.0, 0.0)
 
 
 def route(prefix: str, kind: str, **changes: Any) -> dict[str, Any]:
-    """A route as the operator writes it."""
+    """A route as in the operator's configuration."""
     document = {
         "name": f"r-{prefix.strip('/')}",
         "host": SITE,
@@ -80,7 +85,7 @@
 
 
 def service(name: str, **changes: Any) -> dict[str, Any]:
-    """A service as the operator writes it."""
+    """A service as in the operator's configuration."""
     return {"name": name, "health": "/healthz", "max-conns": 64, "proto": "h1", "tls": False, **changes}
 
 
@@ -114,7 +119,7 @@
 
 @dataclass(frozen=True)
 class ReceivedResponse:
-    """An answer as the client got it."""
+    """A response as the client received it."""
 
     status: int
     headers: dict[str, str]
@@ -123,7 +128,7 @@
 
 @dataclass(frozen=True)
 class RetriedRequest:
-    """What became of a request whose first worker did not answer it."""
+    """The response to a request, and the two workers between which it could be retried."""
 
     response: ReceivedResponse
     first_worker: FakeWorker
@@ -141,12 +146,12 @@
     up_to_date_was_checked: asyncio.Event = field(default_factory=asyncio.Event)
 
     def is_up_to_date(self) -> bool:
-        """Whether the configuration is the newest."""
+        """Whether the dispatcher has the newest configuration; records that it was asked."""
         self.up_to_date_was_checked.set()
         return self.up_to_date
 
     async def start(self, budget: tuple[float, float, float]) -> None:
-        """Listen without a configuration."""
+        """Start to listen, without a configuration."""
         self.router = Router("e1", "z1", self.pool)
         self.client = UpstreamClient(256)
         demand = DemandMeter(self.keys_with_waits.put_nowait)
@@ -166,7 +171,7 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all connections."""
         await self.runner.cleanup()
         await self.client.close()
 
@@ -194,11 +199,11 @@
         self.dispatcher.router.configure(json.dumps(document).encode())
 
     def add_record(self, record: WorkerRecord) -> None:
-        """Tell the dispatcher of a worker."""
+        """Add a worker to the dispatcher's view, or update it."""
         self.dispatcher.router.worker_changed(record)
 
     async def start_worker(self, *script: Behaviour, known: bool = True) -> FakeWorker:
-        """A worker of the first service, known to the dispatcher unless stated otherwise."""
+        """Start a worker of the first service, which the dispatcher knows unless `known` is False."""
         worker = FakeWorker(*script, id=f"i-{next(self.numbers)}")
         await worker.start()
         self.addAsyncCleanup(worker.stop)
@@ -207,30 +212,30 @@
         return worker
 
     async def start_workers(self, number: int, *script: Behaviour) -> list[FakeWorker]:
-        """Workers with the same script."""
+        """Start several workers with the same script."""
         return [await self.start_worker(*script) for _ in range(number)]
 
     async def send_with_second_worker(
         self, behaviour: Behaviour, prefix: str, second: Behaviour
     ) -> RetriedRequest:
-        """Send a request that surely meets the first worker; the second one is known only after that."""
+        """Send a request that reaches a first worker; the second worker is added only after that."""
         release = asyncio.Event()
         first_worker = await self.start_worker(delayed_until(behaviour, release))
         sending = asyncio.create_task(self.send(prefix))
         await within(first_worker.request_received.wait())
         second_worker = await self.start_worker(second)
         release.set()
-        answer = await sending
+        response = await sending
         for worker in (first_worker, second_worker):
             self.dispatcher.router.worker_gone(worker.id)
-        return RetriedRequest(answer, first_worker, second_worker)
+        return RetriedRequest(response, first_worker, second_worker)
 
     def url(self, target: str) -> URL:
-        """The dispatcher's URL of a target, which is left as it is."""
+        """The URL of a target at the dispatcher; the target is not encoded further."""
         return URL(f"http://{HOST}:{self.dispatcher.port}{target}", encoded=True)
 
     def headers(self, request_id: str, **changes: str) -> dict[str, str]:
-        """A client's headers; further ones by name, with _ for -."""
+        """A client's headers, with further ones by name and _ for -."""
         named = {name.replace("_", "-"): value for name, value in changes.items()}
         return {"Host": SITE, "X-Try-Id": request_id, "X-Time-Left": "3000", **named}
 
@@ -242,7 +247,7 @@
         body: bytes | AsyncIterator[bytes] = b"question",
         **headers: str,
     ) -> ReceivedResponse:
-        """Send a request and read the whole answer."""
+        """Send a request and read the complete response."""
         data = None if method == "GET" else body
         async with self.client.request(
             method, self.url(target), data=data, headers=self.headers(request_id, **headers)
@@ -250,117 +255,121 @@
             return ReceivedResponse(response.status, dict(response.headers), await response.read())
 
     async def wait_for_no_request_in_flight(self) -> None:
-        """Wait until the dispatcher has ended all requests."""
+        """Wait until the dispatcher has no request in flight."""
         while self.dispatcher.proxy.in_flight:
             await asyncio.sleep(0)
 
-    def assert_rejected(self, answer: ReceivedResponse) -> None:
-        """The answer promises that nothing ran, and says when to come back."""
-        self.assertEqual(503, answer.status)
-        self.assertGreaterEqual(float(answer.headers["Retry-After"]), 0.0)
+    def assert_rejected(self, response: ReceivedResponse) -> None:
+        """The response is a 503, which promises that the request has not run, with a Retry-After."""
+        self.assertEqual(503, response.status)
+        self.assertGreaterEqual(float(response.headers["Retry-After"]), 0.0)
 
-    def assert_may_have_run(self, answer: ReceivedResponse) -> None:
-        """The answer is a failure that leaves open whether the request ran."""
-        self.assertGreaterEqual(answer.status, 500)
-        self.assertNotIn(answer.status, NOT_RUN_STATUSES)
+    def assert_may_have_run(self, response: ReceivedResponse) -> None:
+        """The response is an error that does not promise that the request has not run."""
+        self.assertGreaterEqual(response.status, 500)
+        self.assertNotIn(response.status, NOT_RUN_STATUSES)
 
 
 def count_requests(workers: list[FakeWorker], request_id: str = "try-1") -> int:
-    """How often one try of a client came to any of the workers."""
+    """The number of attempts of one request that reached any of the workers."""
     return sum(len(worker.requests_of(request_id)) for worker in workers)
 
 
 class ForwardingTests(DispatcherCase):
-    async def test_request_and_answer_pass_unchanged(self) -> None:
+    async def test_request_and_response_are_forwarded_unchanged(self) -> None:
         worker = await self.start_worker(responding(b"\x00\xffbytes", 201, X_Other="kept"))
         target = f"{MUTATING}a%2Fb/../c?x=%20y&&z=1+2"
-        answer = await self.send(target, method="PUT", body=b"\x00\xfe", X_Custom="passed")
+        response = await self.send(target, method="PUT", body=b"\x00\xfe", X_Custom="passed")
         (request,) = worker.requests
         self.assertEqual(("PUT", target, b"\x00\xfe"), (request.method, request.target, request.body))
         self.assertEqual("try-1", request.id)
         self.assertEqual("passed", request.headers["x-custom"])
         self.assertEqual(SITE, request.headers["host"])
-        self.assertEqual((201, b"\x00\xffbytes"), (answer.status, answer.body))
-        self.assertEqual(seal_of(request), answer.headers["X-Seal"])
-        self.assertEqual("try-1", answer.headers["X-Try-Id"])
-        self.assertEqual("kept", answer.headers["X-Other"])
+        self.assertEqual((201, b"\x00\xffbytes"), (response.status, response.body))
+        self.assertEqual(seal_of(request), response.headers["X-Seal"])
+        self.assertEqual("try-1", response.headers["X-Try-Id"])
+        self.assertEqual("kept", response.headers["X-Other"])
 
-    async def test_a_failure_of_the_worker_passes_unchanged(self) -> None:
+    async def test_an_error_response_of_the_worker_is_forwarded_unchanged(self) -> None:
         for status in (400, 404, 500, 504):
             with self.subTest(status=status):
                 worker = await self.start_worker(responding(b"failed", status))
-                answer = await self.send(MUTATING)
-                self.assertEqual((status, b"failed"), (answer.status, answer.body))
-                self.assertEqual(seal_of(worker.requests[0]), answer.headers["X-Seal"])
+                response = await self.send(MUTATING)
+                self.assertEqual((status, b"failed"), (response.status, response.body))
+                self.assertEqual(seal_of(worker.requests[0]), response.headers["X-Seal"])
                 self.dispatcher.router.worker_gone(worker.id)
 
-    async def test_a_chunked_body_arrives_whole(self) -> None:
+    async def test_a_chunked_request_body_arrives_complete(self) -> None:
         async def chunks() -> AsyncIterator[bytes]:
             for _ in range(3):
                 yield b"chunk"
 
         worker = await self.start_worker(responding())
-        answer = await self.send(MUTATING, body=chunks())
-        self.assertEqual(200, answer.status)
+        response = await self.send(MUTATING, body=chunks())
+        self.assertEqual(200, response.status)
         self.assertEqual([b"chunk" * 3], [request.body for request in worker.requests])
 
-    async def test_a_chunked_answer_arrives_whole(self) -> None:
-        async def answer_in_chunks(exchange: Exchange) -> None:
+    async def test_a_chunked_response_arrives_complete(self) -> None:
+        async def respond_in_chunks(exchange: Exchange) -> None:
             headers = {"X-Try-Id": exchange.request.id, "X-Seal": "s", "Transfer-Encoding": "chunked"}
             exchange.write_head(200, headers)
             for piece in (b"first", b"second", b""):
                 exchange.write_chunk(piece)
 
-        await self.start_worker(answer_in_chunks)
+        await self.start_worker(respond_in_chunks)
         self.assertEqual(b"firstsecond", (await self.send(SAFE)).body)
 
-    async def test_what_a_request_says_of_its_prompt_reaches_every_worker_unchanged(self) -> None:
-        told = {"X-Model": "small/a1", "X-Tokens": "1460,80", "X-Prompt-Prefix": "5c1e07a2:800,91bd3f06:410"}
+    async def test_the_headers_about_the_prompt_reach_every_worker_unchanged(self) -> None:
+        prompt = {
+            "X-Model": "small/a1",
+            "X-Tokens": "1460,80",
+            "X-Prompt-Prefix": "5c1e07a2:800,91bd3f06:410",
+        }
         for prefix in (SAFE, STREAM):
             workers = await self.start_workers(TRIES, rejecting(503))
             for worker in workers:
                 self.add_record(worker.record(SERVICE, models=(HeldModel("small", 1, frozenset({"a1"})),)))
-            headers = {**self.headers(f"try-{prefix}"), **told}
+            headers = {**self.headers(f"try-{prefix}"), **prompt}
             async with self.client.post(self.url(prefix), data=b"question", headers=headers) as response:
                 self.assertEqual(503, response.status)
             requests = [request for worker in workers for request in worker.requests]
             self.assertEqual(TRIES, len(requests))
             for request in requests:
                 self.assertEqual(f"try-{prefix}", request.id)
-                self.assertEqual(told, {name: request.headers[name.lower()] for name in told})
+                self.assertEqual(prompt, {name: request.headers[name.lower()] for name in prompt})
             for worker in workers:
                 self.dispatcher.router.worker_gone(worker.id)
 
-    async def test_each_send_names_the_worker_it_is_for(self) -> None:
+    async def test_each_attempt_names_its_worker(self) -> None:
         workers = await self.start_workers(2, rejecting(503))
         await self.send(MUTATING)
         for worker in workers:
             self.assertEqual([worker.id], [r.headers["x-want-instance"] for r in worker.requests])
 
-    async def test_workers_are_told_the_rank_of_the_route(self) -> None:
-        """The more urgent route comes first; on a worker with room a short prompt goes before all others."""
+    async def test_the_priority_header_follows_the_rank_of_the_route(self) -> None:
+        """The more urgent route goes first; at a worker with room, a short prompt goes before all others."""
         worker = await self.start_worker(responding())
         self.configure({**CONFIGURATION, "routes": [route(f"/rank-{n}/", "safe", prio=n) for n in range(9)]})
         traffic = self.dispatcher.pool.get(worker.id)
-        for busy in (False, True):  # what a worker told of its load counts for a while
+        for busy in (False, True):  # a reported load is used for a while
             for number in range(9):
                 if busy:
                     traffic.record_load(8, 0, 8, asyncio.get_running_loop().time())
                 await self.send(f"/rank-{number}/", f"{busy}-{number}")
-            told = [int(request.headers["priority"]) for request in worker.requests]
+            urgencies = [int(request.headers["priority"]) for request in worker.requests]
             worker.requests.clear()
-            self.assertEqual(sorted(told), told)
-            self.assertTrue(set(told) <= set(range(10)))
+            self.assertEqual(sorted(urgencies), urgencies)
+            self.assertTrue(set(urgencies) <= set(range(10)))
             if busy:
-                self.assertEqual(list(range(2, 10)), told[:8])
+                self.assertEqual(list(range(2, 10)), urgencies[:8])
             else:
-                self.assertEqual({1}, set(told))
+                self.assertEqual({1}, set(urgencies))
 
     async def test_the_time_left_is_never_more_than_client_or_route_allow(self) -> None:
         workers = await self.start_workers(TRIES, rejecting(429))
-        for told, most in (("800", 800), ("60000", TIMEOUT_MS)):
-            request_id = f"try-{told}"
-            await self.send(MUTATING, request_id, X_Time_Left=told)
+        for stated, most in (("800", 800), ("60000", TIMEOUT_MS)):
+            request_id = f"try-{stated}"
+            await self.send(MUTATING, request_id, X_Time_Left=stated)
             sent = [r.headers["x-time-left"] for worker in workers for r in worker.requests_of(request_id)]
             self.assertTrue(sent)
             for value in sent:
@@ -370,13 +379,13 @@
     async def test_the_time_left_is_reduced_by_the_time_that_has_passed(self) -> None:
         loop = asyncio.get_running_loop()
 
-        async def use_time_and_refuse(exchange: Exchange) -> None:
-            used = asyncio.Event()
-            loop.call_later(WORKER_DELAY_MS / 1000, used.set)
-            await used.wait()
+        async def reject_after_delay(exchange: Exchange) -> None:
+            delay_is_over = asyncio.Event()
+            loop.call_later(WORKER_DELAY_MS / 1000, delay_is_over.set)
+            await delay_is_over.wait()
             await rejecting(503)(exchange)
 
-        workers = await self.start_workers(2, use_time_and_refuse)
+        workers = await self.start_workers(2, reject_after_delay)
         began = loop.time()
         await self.send(MUTATING, X_Time_Left="2000")
         passed_ms = (loop.time() - began) * 1000
@@ -385,8 +394,8 @@
         self.assertLessEqual(second, first - WORKER_DELAY_MS + ROUNDING_MS)
         self.assertGreaterEqual(second, 2000 - passed_ms - ROUNDING_MS)
 
-    async def test_the_answer_comes_by_the_timeout_of_the_route(self) -> None:
-        """Also where the client would wait for longer, and whatever may be done with the request."""
+    async def test_the_response_comes_by_the_timeout_of_the_route(self) -> None:
+        """Even if the client would wait for longer, and for every kind of route."""
         routes = [{**item, "timeout-ms": SHORT_TIMEOUT_MS} for item in CONFIGURATION["routes"]]
         self.configure({**CONFIGURATION, "ver": 2, "routes": routes})
         loop = asyncio.get_running_loop()
@@ -394,18 +403,18 @@
             with self.subTest(prefix=prefix):
                 worker = await self.start_worker(UnresponsiveWorker())
                 lag, began = LoopLag(), loop.time()
-                answer = await self.send(prefix, X_Time_Left="60000")
+                response = await self.send(prefix, X_Time_Left="60000")
                 took = loop.time() - began
                 self.assertLess(took, SHORT_TIMEOUT_MS / 1000 + RESPONSE_MARGIN + lag.stop())
-                self.assert_may_have_run(answer)
+                self.assert_may_have_run(response)
                 self.dispatcher.router.worker_gone(worker.id)
 
-    async def test_the_answer_comes_by_the_deadline(self) -> None:
-        silent = UnresponsiveWorker()
-        await self.start_worker(silent)
-        answer = await self.send(MUTATING, X_Time_Left="400")
-        self.assert_may_have_run(answer)
-        await within(silent.connection_closed.wait())
+    async def test_the_response_comes_by_the_deadline(self) -> None:
+        unresponsive = UnresponsiveWorker()
+        await self.start_worker(unresponsive)
+        response = await self.send(MUTATING, X_Time_Left="400")
+        self.assert_may_have_run(response)
+        await within(unresponsive.connection_closed.wait())
 
 
 class RoutingTests(DispatcherCase):
@@ -415,21 +424,21 @@
         self.assertEqual(404, (await self.send(SAFE, Host="other.example")).status)
         self.assertEqual([], worker.requests)
 
-    async def test_a_route_is_served_from_its_configuration_on(self) -> None:
+    async def test_a_route_is_served_once_a_configuration_adds_it(self) -> None:
         await self.start_worker(responding())
         self.assertEqual(404, (await self.send("/later/")).status)
         routes = [*CONFIGURATION["routes"], route("/later/", "safe")]
         self.configure({**CONFIGURATION, "ver": 2, "routes": routes})
         self.assertEqual(200, (await self.send("/later/")).status)
 
-    async def test_an_unknown_route_is_refused_by_a_dispatcher_that_is_behind(self) -> None:
+    async def test_an_unknown_route_is_rejected_by_a_dispatcher_that_is_behind(self) -> None:
         worker = await self.start_worker(responding())
         self.dispatcher.up_to_date = False
         with mock.patch.object(route_matching, "ROUTE_PATIENCE", SHORT_PATIENCE):
             self.assert_rejected(await self.send("/nowhere/"))
         self.assertEqual([], worker.requests)
 
-    async def test_a_request_waits_for_the_configuration_that_has_its_route(self) -> None:
+    async def test_a_request_waits_for_a_configuration_with_its_route(self) -> None:
         await self.start_worker(responding())
         self.dispatcher.up_to_date = False
         sending = asyncio.create_task(self.send("/later/"))
@@ -438,7 +447,7 @@
         self.configure({**CONFIGURATION, "ver": 2, "routes": routes})
         self.assertEqual(200, (await sending).status)
 
-    async def test_a_body_over_the_limit_is_refused(self) -> None:
+    async def test_a_body_over_the_limit_is_rejected(self) -> None:
         async def chunks() -> AsyncIterator[bytes]:
             for _ in range(BODY_LIMIT // 1024 + 1):
                 yield bytes(1024)
@@ -449,17 +458,17 @@
         self.assertEqual([], worker.requests)
         self.assertEqual(200, (await self.send(MUTATING, body=bytes(BODY_LIMIT))).status)
 
-    async def test_nothing_runs_before_there_is_a_configuration(self) -> None:
-        bare = Dispatcher()
-        await bare.start(AMPLE_BUDGET)
-        self.addAsyncCleanup(bare.stop)
-        self.dispatcher.port = bare.port
+    async def test_a_request_is_rejected_before_there_is_a_configuration(self) -> None:
+        unconfigured = Dispatcher()
+        await unconfigured.start(AMPLE_BUDGET)
+        self.addAsyncCleanup(unconfigured.stop)
+        self.dispatcher.port = unconfigured.port
         self.assert_rejected(await self.send(MUTATING))
 
-    async def test_without_a_worker_the_request_is_refused_early(self) -> None:
+    async def test_without_a_worker_the_request_is_rejected(self) -> None:
         self.assert_rejected(await self.send(MUTATING))
 
-    async def test_a_draining_worker_gets_nothing(self) -> None:
+    async def test_a_draining_worker_gets_no_request(self) -> None:
         leaving = await self.start_worker(responding(), known=False)
         self.add_record(leaving.record(SERVICE, draining=True))
         self.assert_rejected(await self.send(SAFE))
@@ -468,14 +477,14 @@
             self.assertEqual(200, (await self.send(SAFE, f"try-{number}")).status)
         self.assertEqual((0, 20), (len(leaving.requests), len(staying.requests)))
 
-    async def test_a_worker_that_begins_to_drain_gets_nothing_more(self) -> None:
+    async def test_a_worker_that_begins_to_drain_gets_no_further_request(self) -> None:
         worker = await self.start_worker(responding())
         self.assertEqual(200, (await self.send(SAFE, "before")).status)
         self.add_record(worker.record(SERVICE, draining=True))
         self.assert_rejected(await self.send(SAFE, "after"))
         self.assertEqual([], worker.requests_of("after"))
 
-    async def test_a_worker_that_is_gone_gets_nothing_more(self) -> None:
+    async def test_a_worker_that_is_gone_gets_no_further_request(self) -> None:
         worker = await self.start_worker(responding())
         self.dispatcher.router.worker_gone(worker.id)
         self.assert_rejected(await self.send(SAFE))
@@ -491,16 +500,16 @@
         self.assertTrue(ids[0] and ids[1])
         self.assertEqual(set(), ids[0] & ids[1])
 
-    async def test_a_request_without_an_id_runs_nowhere(self) -> None:
+    async def test_a_request_without_an_id_reaches_no_worker(self) -> None:
         worker = await self.start_worker(responding())
-        answer = await self.send(SAFE, request_id="")
-        self.assertGreaterEqual(answer.status, 400)
+        response = await self.send(SAFE, request_id="")
+        self.assertGreaterEqual(response.status, 400)
         self.assertEqual([], worker.requests)
 
 
 class WeightsTests(DispatcherCase):
     async def start_holder(self, *models: HeldModel) -> FakeWorker:
-        """A worker of the service with models."""
+        """Start a worker of the service with models, which holds these."""
         worker = await self.start_worker(responding(), known=False)
         self.add_record(worker.record(MODEL_SERVICE, models=models))
         return worker
@@ -510,10 +519,10 @@
         plain = await self.start_holder(HeldModel("small", 1, frozenset()))
         adapted = await self.start_holder(HeldModel("small", 1, frozenset({"a1"})))
         for number in range(10):
-            answer = await self.send(MODELS, f"adapter-{number}", X_Model="small/a1")
-            self.assertEqual(200, answer.status)
-            answer = await self.send(MODELS, f"plain-{number}", X_Model="small")
-            self.assertEqual(200, answer.status)
+            response = await self.send(MODELS, f"adapter-{number}", X_Model="small/a1")
+            self.assertEqual(200, response.status)
+            response = await self.send(MODELS, f"plain-{number}", X_Model="small")
+            self.assertEqual(200, response.status)
         self.assertEqual([], bare.requests)
         self.assertTrue(all(request.id.startswith("plain") for request in plain.requests))
         self.assertEqual(10, sum(request.id.startswith("adapter") for request in adapted.requests))
@@ -538,7 +547,7 @@
         self.assertEqual(200, (await sending).status)
         self.assertEqual((1, 0), (len(plain.requests), len(holder.requests)))
 
-    async def test_a_request_whose_client_left_while_it_waited_is_sent_to_nobody(self) -> None:
+    async def test_a_request_whose_client_left_while_it_waited_reaches_no_worker(self) -> None:
         worker = await self.start_holder()
         sending = asyncio.create_task(self.send(MODELS, "left", X_Model="small"))
         await within(self.dispatcher.keys_with_waits.get())
@@ -550,20 +559,20 @@
         self.assertEqual(200, (await self.send(MODELS, "next", X_Model="small")).status)
         self.assertEqual(["next"], [request.id for request in worker.requests])
 
-    async def test_who_can_not_wait_for_a_load_is_told_at_once_when_to_come_back(self) -> None:
-        """The load takes longer than the objective. Who comes back is held; the load goes on meanwhile."""
+    async def test_a_request_that_cannot_wait_for_a_load_is_rejected_with_a_return_time(self) -> None:
+        """The load takes longer than the target time. When the client returns, its request is held."""
         worker = await self.start_holder()
-        answer = await self.send(URGENT_MODELS, X_Model="small", X_Time_Left="3000")
-        self.assert_rejected(answer)
+        response = await self.send(URGENT_MODELS, X_Model="small", X_Time_Left="3000")
+        self.assert_rejected(response)
         (load_s,) = (model["load-s"] for model in RUNTIME_MODELS)
-        self.assertAlmostEqual(ORDER_TIME + load_s, float(answer.headers["Retry-After"]), places=1)
+        self.assertAlmostEqual(ORDER_TIME + load_s, float(response.headers["Retry-After"]), places=1)
         key = ServiceKey(MODEL_SERVICE, "small", "")
         self.assertEqual(key, await within(self.dispatcher.keys_with_waits.get()))
         sending = asyncio.create_task(self.send(URGENT_MODELS, X_Model="small", X_Time_Left="2500"))
         self.add_record(replace(worker.record(MODEL_SERVICE), models=(HeldModel("small", 1, frozenset()),)))
         self.assertEqual(200, (await sending).status)
 
-    async def test_an_adapter_of_a_held_model_is_waited_for(self) -> None:
+    async def test_a_request_waits_for_an_adapter_of_a_resident_model(self) -> None:
         worker = await self.start_holder(HeldModel("small", 1, frozenset()))
         sending = asyncio.create_task(self.send(URGENT_MODELS, X_Model="small/a1", X_Time_Left="3000"))
         await within(self.dispatcher.keys_with_waits.get())
@@ -571,51 +580,51 @@
         self.add_record(replace(worker.record(MODEL_SERVICE), models=(adapted,)))
         self.assertEqual(200, (await sending).status)
 
-    async def test_weights_that_never_come_are_a_refusal(self) -> None:
+    async def test_a_request_whose_weights_are_never_loaded_is_rejected(self) -> None:
         await self.start_holder()
         self.assert_rejected(await self.send(MODELS, X_Model="small", X_Time_Left="200"))
 
 
 class RetryTests(DispatcherCase):
-    async def test_a_rejected_request_goes_to_another_worker(self) -> None:
+    async def test_a_rejected_request_is_retried_at_another_worker(self) -> None:
         for status in (503, 429, 421):
             for prefix in (SAFE, MUTATING, STREAM):
                 with self.subTest(status=status, prefix=prefix):
-                    outcome = await self.send_with_second_worker(rejecting(status), prefix, responding())
-                    self.assertEqual((200, b"answer"), (outcome.response.status, outcome.response.body))
+                    retried = await self.send_with_second_worker(rejecting(status), prefix, responding())
+                    self.assertEqual((200, b"answer"), (retried.response.status, retried.response.body))
                     self.assertEqual(
-                        (1, 1), (len(outcome.first_worker.requests), len(outcome.second_worker.requests))
+                        (1, 1), (len(retried.first_worker.requests), len(retried.second_worker.requests))
                     )
-                    wanted = outcome.second_worker.requests[0].headers["x-want-instance"]
-                    self.assertEqual(outcome.second_worker.id, wanted)
+                    wanted = retried.second_worker.requests[0].headers["x-want-instance"]
+                    self.assertEqual(retried.second_worker.id, wanted)
 
-    async def test_a_rejected_request_was_sent_all_the_same(self) -> None:
-        """`tries` is the largest number of workers to which one try may be sent, whatever they say."""
+    async def test_a_rejected_attempt_counts_as_an_attempt(self) -> None:
+        """`tries` bounds the number of workers to which one request may be sent, whatever the outcomes."""
         workers = await self.start_workers(3, rejecting(503))
         self.assert_rejected(await self.send(ONCE))
         self.assertEqual(1, count_requests(workers))
 
-    async def test_no_more_workers_are_tried_than_the_route_allows(self) -> None:
+    async def test_there_are_no_more_attempts_than_the_route_allows(self) -> None:
         workers = await self.start_workers(TRIES + 2, rejecting(503))
         self.assert_rejected(await self.send(MUTATING))
         self.assertEqual(TRIES, count_requests(workers))
 
-    async def test_one_worker_is_not_tried_twice(self) -> None:
+    async def test_a_request_is_not_sent_to_the_same_worker_twice(self) -> None:
         worker = await self.start_worker(rejecting(503))
         self.assert_rejected(await self.send(MUTATING))
         self.assertEqual(1, len(worker.requests))
 
-    async def test_a_safe_request_is_repeated_after_a_break(self) -> None:
-        outcome = await self.send_with_second_worker(break_off, SAFE, responding())
-        self.assertEqual((200, b"answer"), (outcome.response.status, outcome.response.body))
-        self.assertEqual((1, 1), (len(outcome.first_worker.requests), len(outcome.second_worker.requests)))
+    async def test_a_safe_request_is_retried_after_a_broken_connection(self) -> None:
+        retried = await self.send_with_second_worker(break_off, SAFE, responding())
+        self.assertEqual((200, b"answer"), (retried.response.status, retried.response.body))
+        self.assertEqual((1, 1), (len(retried.first_worker.requests), len(retried.second_worker.requests)))
 
-    async def test_a_safe_request_that_breaks_everywhere_fails(self) -> None:
+    async def test_a_safe_request_fails_if_every_attempt_breaks(self) -> None:
         workers = await self.start_workers(TRIES + 2, break_off)
         self.assertGreaterEqual((await self.send(SAFE)).status, 500)
         self.assertEqual(TRIES, count_requests(workers))
 
-    async def test_an_unrepeatable_request_is_never_sent_again_after_a_break(self) -> None:
+    async def test_an_unrepeatable_request_is_not_retried_after_a_broken_connection(self) -> None:
         for prefix in (MUTATING, STREAM):
             for method in ("POST", "GET", "PUT", "DELETE"):
                 with self.subTest(prefix=prefix, method=method):
@@ -625,7 +634,7 @@
                     for worker in workers:
                         self.dispatcher.router.worker_gone(worker.id)
 
-    async def test_an_unrepeatable_request_is_never_sent_again_on_a_kept_connection(self) -> None:
+    async def test_an_unrepeatable_request_is_not_retried_on_a_reused_connection(self) -> None:
         for method in ("GET", "PUT", "DELETE", "POST"):
             with self.subTest(method=method):
                 worker = await self.start_worker(responding(), break_off)
@@ -634,21 +643,21 @@
                 self.assertEqual(1, len(worker.requests_of("second")))
                 self.dispatcher.router.worker_gone(worker.id)
 
-    async def test_a_status_that_promises_is_not_passed_for_a_request_that_may_have_run(self) -> None:
+    async def test_a_not_run_status_is_not_forwarded_for_a_request_that_may_have_run(self) -> None:
         for status in NOT_RUN_STATUSES:
             if status == 421:  # a worker that says so has not run the request
                 continue
             for prefix in (MUTATING, STREAM):
                 with self.subTest(status=status, prefix=prefix):
                     workers = await self.start_workers(2, responding(b"busy", status))
-                    answer = await self.send(prefix)
-                    self.assert_may_have_run(answer)
-                    self.assertNotIn("X-Seal", answer.headers)
+                    response = await self.send(prefix)
+                    self.assert_may_have_run(response)
+                    self.assertNotIn("X-Seal", response.headers)
                     self.assertEqual(1, count_requests(workers))
                     for worker in workers:
                         self.dispatcher.router.worker_gone(worker.id)
 
-    async def test_a_worker_that_cannot_be_reached_costs_no_try(self) -> None:
+    async def test_a_failed_connection_does_not_count_as_an_attempt(self) -> None:
         ended = await self.start_worker(responding(), known=False)
         self.add_record(ended.record(SERVICE))
         await ended.stop()
@@ -657,7 +666,7 @@
             self.assertEqual(200, (await self.send(MUTATING, f"try-{number}")).status)
         self.assertEqual(8, len(serving.requests))
 
-    async def test_where_no_worker_can_be_reached_the_request_is_refused(self) -> None:
+    async def test_a_request_is_rejected_if_no_worker_can_be_reached(self) -> None:
         ended = await self.start_worker(responding())
         await ended.stop()
         self.assert_rejected(await self.send(MUTATING))
@@ -666,40 +675,40 @@
 class EmptyBudgetTests(DispatcherCase):
     budget = NO_BUDGET
 
-    async def test_without_budget_no_second_worker_is_tried(self) -> None:
+    async def test_without_budget_a_rejected_request_is_not_retried(self) -> None:
         workers = await self.start_workers(3, rejecting(503))
         self.assert_rejected(await self.send(MUTATING))
         self.assertEqual(1, count_requests(workers))
 
-    async def test_without_budget_a_broken_safe_request_fails(self) -> None:
+    async def test_without_budget_a_safe_request_fails_after_a_broken_connection(self) -> None:
         workers = await self.start_workers(3, break_off)
         self.assertGreaterEqual((await self.send(SAFE)).status, 500)
         self.assertEqual(1, count_requests(workers))
 
 
 class InvalidResponseTests(DispatcherCase):
-    """Answers that are not the worker's whole true answer never reach the client as a success."""
+    """A response that is not the worker's complete response to the request never looks like a success."""
 
     async def assert_never_forwarded(self, behaviour: Behaviour) -> None:
-        """An unrepeatable request fails without a promise, a safe one is answered by another worker."""
+        """An unrepeatable request fails as one that may have run; a safe one is retried at another worker."""
         for prefix in (MUTATING, STREAM):
-            outcome = await self.send_with_second_worker(behaviour, prefix, responding(b"sound"))
-            self.assert_may_have_run(outcome.response)
-            self.assertNotIn("X-Seal", outcome.response.headers)
+            retried = await self.send_with_second_worker(behaviour, prefix, responding(b"sound"))
+            self.assert_may_have_run(retried.response)
+            self.assertNotIn("X-Seal", retried.response.headers)
             self.assertEqual(
-                (1, 0), (len(outcome.first_worker.requests), len(outcome.second_worker.requests))
+                (1, 0), (len(retried.first_worker.requests), len(retried.second_worker.requests))
             )
-        outcome = await self.send_with_second_worker(behaviour, SAFE, responding(b"sound"))
-        self.assertEqual((200, b"sound"), (outcome.response.status, outcome.response.body))
-        self.assertEqual((1, 1), (len(outcome.first_worker.requests), len(outcome.second_worker.requests)))
+        retried = await self.send_with_second_worker(behaviour, SAFE, responding(b"sound"))
+        self.assertEqual((200, b"sound"), (retried.response.status, retried.response.body))
+        self.assertEqual((1, 1), (len(retried.first_worker.requests), len(retried.second_worker.requests)))
 
-    async def test_an_answer_to_another_request(self) -> None:
+    async def test_a_response_to_another_request(self) -> None:
         await self.assert_never_forwarded(responding(b"other", X_Try_Id="another"))
 
-    async def test_an_answer_without_an_id(self) -> None:
+    async def test_a_response_without_an_id(self) -> None:
         await self.assert_never_forwarded(responding(b"other", X_Try_Id=None))
 
-    async def test_a_failure_that_answers_another_request(self) -> None:
+    async def test_an_error_response_to_another_request(self) -> None:
         await self.assert_never_forwarded(responding(b"other", 500, X_Try_Id="another"))
 
     async def test_a_rejection_of_another_request(self) -> None:
@@ -741,10 +750,10 @@
 
         await self.assert_never_forwarded(cut)
 
-    async def test_an_answer_that_switches_protocols(self) -> None:
+    async def test_a_response_that_switches_protocols(self) -> None:
         await self.assert_never_forwarded(responding(b"", 101, Connection="upgrade", Upgrade="other"))
 
-    async def test_a_surplus_head_that_the_true_answer_continues(self) -> None:
+    async def test_a_surplus_head_that_the_actual_response_continues(self) -> None:
         async def join_heads(exchange: Exchange) -> None:
             exchange.write(b"HTTP/1.1 200 O" + response_bytes(exchange.request, b"failed", 500))
 
@@ -761,7 +770,7 @@
 
         await self.assert_never_forwarded(cut)
 
-    async def test_bytes_that_are_no_answer(self) -> None:
+    async def test_bytes_that_are_not_http(self) -> None:
         async def babble(exchange: Exchange) -> None:
             exchange.write(b"\x16\x03\x01\x02 not an answer\r\n\r\n")
             await exchange.break_off()
@@ -770,104 +779,104 @@
 
 
 class SurplusBytesTests(DispatcherCase):
-    """A worker sends more after a whole answer: the surplus belongs to no request."""
+    """A worker sends more bytes after a complete response; the surplus belongs to no request."""
 
     async def assert_own_response_or_failure(self, worker: FakeWorker, request_id: str) -> None:
-        """The request gets its own answer, or a failure; it is sent at most once."""
-        answer = await self.send(MUTATING, request_id)
-        if answer.status == 200:
-            self.assertEqual(f"for {request_id}".encode(), answer.body)
-            self.assertEqual(request_id, answer.headers["X-Try-Id"])
+        """The request gets its own response or an error, and reaches the worker at most once."""
+        response = await self.send(MUTATING, request_id)
+        if response.status == 200:
+            self.assertEqual(f"for {request_id}".encode(), response.body)
+            self.assertEqual(request_id, response.headers["X-Try-Id"])
         else:
-            self.assert_may_have_run(answer)
+            self.assert_may_have_run(response)
         self.assertLessEqual(len(worker.requests_of(request_id)), 1)
 
     @staticmethod
     async def send_own_response(exchange: Exchange) -> None:
-        """The right answer."""
+        """Respond to the request with a body that names it."""
         exchange.write(response_bytes(exchange.request, f"for {exchange.request.id}".encode()))
 
-    async def test_a_surplus_answer_at_once(self) -> None:
-        async def answer_twice(exchange: Exchange) -> None:
+    async def test_a_surplus_response_directly_after_a_response(self) -> None:
+        async def respond_twice(exchange: Exchange) -> None:
             await self.send_own_response(exchange)
             exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="surplus"))
 
-        worker = await self.start_worker(answer_twice, self.send_own_response)
-        answer = await self.send(MUTATING, "first")
-        self.assertEqual((200, b"for first"), (answer.status, answer.body))
+        worker = await self.start_worker(respond_twice, self.send_own_response)
+        response = await self.send(MUTATING, "first")
+        self.assertEqual((200, b"for first"), (response.status, response.body))
         for number in range(5):
             await self.assert_own_response_or_failure(worker, f"next-{number}")
 
-    async def test_a_surplus_answer_in_the_place_of_the_next(self) -> None:
-        async def answer_late_surplus_first(exchange: Exchange) -> None:
+    async def test_a_surplus_response_before_the_next_response(self) -> None:
+        async def send_surplus_then_own_response(exchange: Exchange) -> None:
             exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="first"))
             await self.send_own_response(exchange)
 
         worker = await self.start_worker(
-            self.send_own_response, answer_late_surplus_first, self.send_own_response
+            self.send_own_response, send_surplus_then_own_response, self.send_own_response
         )
         await self.assert_own_response_or_failure(worker, "first")
         await self.assert_own_response_or_failure(worker, "second")
         await self.assert_own_response_or_failure(worker, "third")
 
-    async def test_a_connection_is_not_used_again_after_an_answer_to_another_request(self) -> None:
-        """Its own answer is still to come there, and would be taken for that of the next request."""
-        left = asyncio.Event()
+    async def test_a_connection_is_not_reused_after_a_response_to_another_request(self) -> None:
+        """The request's own response may still arrive there, and would look like that of the next request."""
+        dispatcher_closed = asyncio.Event()
 
-        async def answer_another(exchange: Exchange) -> None:
+        async def respond_to_another_request(exchange: Exchange) -> None:
             exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="another"))
             await exchange.caller_closed()
-            left.set()
+            dispatcher_closed.set()
             raise ConnectionResetError
 
-        worker = await self.start_worker(answer_another, self.send_own_response)
+        worker = await self.start_worker(respond_to_another_request, self.send_own_response)
         self.assert_may_have_run(await self.send(MUTATING, "first"))
         self.assertEqual(200, (await self.send(MUTATING, "second")).status)
-        await within(left.wait())
+        await within(dispatcher_closed.wait())
         self.assertEqual(2, worker.connections)
 
-    async def test_bytes_on_an_idle_connection_end_it(self) -> None:
-        """The next request is sent on a new connection, so that it can't meet the surplus."""
-        surplus_sent = asyncio.Event()
+    async def test_bytes_on_an_idle_connection_close_it(self) -> None:
+        """The next request is sent on a new connection, where there is no surplus."""
+        dispatcher_closed = asyncio.Event()
 
-        async def answer_twice(exchange: Exchange) -> None:
+        async def send_surplus_when_idle(exchange: Exchange) -> None:
             await self.send_own_response(exchange)
             await within(answered.wait())
             exchange.write(b"HTTP/1.1 200 OK\r\nX-Part-Of-A-Surplus: ")
             await exchange.caller_closed()
-            surplus_sent.set()
+            dispatcher_closed.set()
             raise ConnectionResetError
 
         answered = asyncio.Event()
-        worker = await self.start_worker(answer_twice, self.send_own_response)
+        worker = await self.start_worker(send_surplus_when_idle, self.send_own_response)
         self.assertEqual(200, (await self.send(MUTATING, "first")).status)
         answered.set()
-        await within(surplus_sent.wait())
+        await within(dispatcher_closed.wait())
         self.assertEqual(200, (await self.send(MUTATING, "second")).status)
         self.assertEqual(2, worker.connections)
 
     async def test_bytes_beyond_the_length_of_a_body(self) -> None:
-        async def answer_more(exchange: Exchange) -> None:
+        async def respond_with_surplus_bytes(exchange: Exchange) -> None:
             await self.send_own_response(exchange)
             exchange.write(b"surplus bytes\r\n\r\n")
 
-        worker = await self.start_worker(answer_more, self.send_own_response)
+        worker = await self.start_worker(respond_with_surplus_bytes, self.send_own_response)
         for number in range(5):
             await self.assert_own_response_or_failure(worker, f"try-{number}")
 
-    async def test_every_request_after_surplus_gets_its_own_answer_when_safe(self) -> None:
-        async def answer_twice(exchange: Exchange) -> None:
+    async def test_every_safe_request_after_surplus_gets_its_own_response(self) -> None:
+        async def respond_twice(exchange: Exchange) -> None:
             await self.send_own_response(exchange)
             exchange.write(response_bytes(exchange.request, b"surplus", X_Try_Id="surplus"))
 
-        await self.start_workers(TRIES, answer_twice)
+        await self.start_workers(TRIES, respond_twice)
         for number in range(10):
-            answer = await self.send(SAFE, f"try-{number}")
-            self.assertEqual((200, f"for try-{number}".encode()), (answer.status, answer.body))
+            response = await self.send(SAFE, f"try-{number}")
+            self.assertEqual((200, f"for try-{number}".encode()), (response.status, response.body))
 
 
 class UnresponsiveWorkerTests(DispatcherCase):
-    """A worker from which nothing was heard for too long, by what the dispatcher is told of it."""
+    """Requests at a worker that counts as unresponsive whenever the dispatcher checks it."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -877,89 +886,89 @@
         self.enterContext(mock.patch.object(WorkerTraffic, "is_unresponsive", self.count_check))
 
     def count_check(self, now: float, since: float) -> bool:
-        """The worker counts as silent, whenever it is looked at."""
+        """Replaces `WorkerTraffic.is_unresponsive`: count the check and return True."""
         self.checks += 1
         if self.checks == CHECKS:
             self.checked_often.set()
         return True
 
     async def check_late_response_is_forwarded(self, prefix: str, spares: int) -> None:
-        """Send a request whose worker answers after many looks; nobody else gets it."""
+        """Send a request whose worker responds after many checks; no other worker gets the request."""
         self.checks = 0
         self.checked_often.clear()
         worker = await self.start_worker(delayed_until(responding(b"late"), self.checked_often))
         sending = asyncio.create_task(self.send(prefix))
         await within(worker.request_received.wait())
         others = await self.start_workers(spares, responding(b"other"))
-        answer = await sending
-        self.assertEqual((200, b"late"), (answer.status, answer.body))
+        response = await sending
+        self.assertEqual((200, b"late"), (response.status, response.body))
         self.assertEqual(0, count_requests(others))
         for each in (worker, *others):
             self.dispatcher.router.worker_gone(each.id)
 
-    async def test_silence_ends_no_answer_of_what_may_not_be_repeated(self) -> None:
+    async def test_an_unrepeatable_request_stays_at_an_unresponsive_worker(self) -> None:
         for prefix in (MUTATING, STREAM):
             with self.subTest(prefix=prefix):
                 await self.check_late_response_is_forwarded(prefix, spares=1)
 
-    async def test_silence_ends_no_answer_that_nobody_else_can_give(self) -> None:
+    async def test_a_request_stays_at_an_unresponsive_worker_if_there_is_no_other(self) -> None:
         for prefix in (SAFE, RESUMED):
             with self.subTest(prefix=prefix):
                 await self.check_late_response_is_forwarded(prefix, spares=0)
 
-    async def test_what_may_be_repeated_goes_to_another_worker(self) -> None:
+    async def test_a_repeatable_request_leaves_an_unresponsive_worker(self) -> None:
         for prefix in (SAFE, RESUMED):
             with self.subTest(prefix=prefix):
-                outcome = await self.send_with_second_worker(
+                retried = await self.send_with_second_worker(
                     UnresponsiveWorker(), prefix, responding(b"other")
                 )
-                self.assertEqual((200, b"other"), (outcome.response.status, outcome.response.body))
-                self.assertEqual(1, len(outcome.second_worker.requests))
+                self.assertEqual((200, b"other"), (retried.response.status, retried.response.body))
+                self.assertEqual(1, len(retried.second_worker.requests))
 
 
 class LeavingClientTests(DispatcherCase):
-    async def test_a_client_that_leaves_frees_the_worker(self) -> None:
+    async def test_a_request_is_cancelled_at_its_worker_when_its_client_leaves(self) -> None:
         for prefix in (SAFE, STREAM, RESUMED):
             with self.subTest(prefix=prefix):
-                silent = UnresponsiveWorker()
-                worker = await self.start_worker(silent)
+                unresponsive = UnresponsiveWorker()
+                worker = await self.start_worker(unresponsive)
                 sending = asyncio.create_task(self.send(prefix))
-                await within(silent.request_received.wait())
+                await within(unresponsive.request_received.wait())
                 self.assertEqual(1, self.dispatcher.pool.get(worker.id).in_flight)
                 sending.cancel()
-                await within(silent.connection_closed.wait())
+                await within(unresponsive.connection_closed.wait())
                 await within(self.wait_for_no_request_in_flight())
                 self.assertEqual(0, self.dispatcher.pool.get(worker.id).in_flight)
                 self.assertEqual(1, len(worker.requests))
                 self.dispatcher.router.worker_gone(worker.id)
 
-    async def test_work_stops_within_half_a_second_of_the_clients_end(self) -> None:
-        """However the client ends its connection: in order, or with a reset."""
+    async def test_a_request_is_cancelled_within_half_a_second_after_its_client_left(self) -> None:
+        """Whether the client closes its connection in order or resets it."""
         loop = asyncio.get_running_loop()
         for prefix in (SAFE, MUTATING, STREAM, RESUMED):
             for reset in (False, True):
                 with self.subTest(prefix=prefix, reset=reset):
-                    silent = UnresponsiveWorker()
-                    worker = await self.start_worker(silent)
+                    unresponsive = UnresponsiveWorker()
+                    worker = await self.start_worker(unresponsive)
                     _, writer = await asyncio.open_connection(HOST, self.dispatcher.port)
                     lines = [f"{name}: {value}" for name, value in self.headers("left").items()]
                     head = [f"POST {prefix} HTTP/1.1", *lines, "Content-Length: 1", "", "q"]
                     writer.write("\r\n".join(head).encode())
-                    await within(silent.request_received.wait())
+                    await within(unresponsive.request_received.wait())
                     if reset:
                         reset_at_close(writer)
                     lag, left_at = LoopLag(), loop.time()
                     writer.transport.abort()
-                    await within(silent.connection_closed.wait())
+                    await within(unresponsive.connection_closed.wait())
                     self.assertLess(loop.time() - left_at, CANCEL_LIMIT + lag.stop())
                     self.assertEqual(1, len(worker.requests))
                     self.dispatcher.router.worker_gone(worker.id)
 
 
 class KeptConnectionTests(DispatcherCase):
-    """A request on a kept connection gets an answer, and the connection serves the next one."""
+    """A request on a persistent connection gets a response, and the connection serves the next request."""
 
-    async def test_whatever_its_worker_does_a_request_is_answered_and_the_connection_kept(self) -> None:
+    async def test_the_clients_connection_is_kept_whatever_the_worker_does(self) -> None:
         async def babble(exchange: Exchange) -> None:
             exchange.write(b"not an answer\r\n\r\n")
             await exchange.break_off()
@@ -995,18 +1004,18 @@
 
 
 class DrainingDispatcherTests(DispatcherCase):
-    async def test_a_dispatcher_that_drains_still_answers_and_closes_the_connection(self) -> None:
+    async def test_a_draining_dispatcher_serves_a_request_and_closes_the_connection(self) -> None:
         await self.start_worker(responding())
         self.dispatcher.proxy.drain(asyncio.get_running_loop().time() + 2 * TIMEOUT_MS / 1000)
-        answer = await self.send(MUTATING)
-        self.assertEqual((200, "close"), (answer.status, answer.headers["Connection"].lower()))
+        response = await self.send(MUTATING)
+        self.assertEqual((200, "close"), (response.status, response.headers["Connection"].lower()))
 
-    async def test_a_stream_that_a_draining_dispatcher_begins_ends_whole(self) -> None:
+    async def test_a_stream_that_begins_at_a_draining_dispatcher_is_complete(self) -> None:
         await self.start_worker(streaming([1, 2, 3]))
         self.dispatcher.proxy.drain(asyncio.get_running_loop().time() + 2 * TIMEOUT_MS / 1000)
-        answer = await self.send(STREAM)
-        self.assertEqual((200, "close"), (answer.status, answer.headers["Connection"].lower()))
-        self.assertIn(b"piece 3", answer.body)
+        response = await self.send(STREAM)
+        self.assertEqual((200, "close"), (response.status, response.headers["Connection"].lower()))
+        self.assertIn(b"piece 3", response.body)
 
 
 if __name__ == "__main__":
