--- a/tests/test_modelplacement_loads.py
+++ b/tests/test_modelplacement_loads.py
@@ -1,4 +1,4 @@
-"""Load orders: limits that hold whatever the workers report, and what a planner does in given situations."""
+"""The planner of load orders: limits that hold for any reports, and its orders in given situations."""
 
 from __future__ import annotations
 
@@ -58,19 +58,19 @@
     return Demand(rate, 0, 0.0, busy)
 
 
-# A worker that may do anything the protocol allows.
+# A worker that may do everything the protocol allows.
 
 
 @dataclass(slots=True)
 class UnreliableWorker:
-    """Takes or refuses orders; its answers get lost; what it does is checked against its limits."""
+    """A worker whose responses may get lost; it checks each order against its memory and adapter slots."""
 
     name: str
     size_mb: float
     models: dict[str, set[str]] = field(default_factory=dict)
     sequence: int = 0
     order: LoadOrder | None = None
-    delayed_order: LoadOrder | None = None  # sent, not yet arrived
+    delayed_order: LoadOrder | None = None  # sent, but not arrived yet
 
     def report(self, now: float) -> WorkerWeights:
         models = {model: frozenset(adapters) for model, adapters in self.models.items()}
@@ -122,7 +122,7 @@
     @given(st.data())
     @settings(deadline=None, max_examples=80)
     def test_memory_slots_and_rate_hold_under_any_reports_and_outcomes(self, data: st.DataObject) -> None:
-        """Orders get lost, arrive late, are refused; reports are old; the primary changes."""
+        """Orders are lost, delayed or rejected, and reports are outdated."""
         planner = create_planner()
         workers = [
             UnreliableWorker(f"w{i}", data.draw(st.sampled_from([150.0, 220.0, 300.0]))) for i in range(3)
@@ -161,20 +161,20 @@
         now: float,
     ) -> None:
         planner.record_sending(now, order)
-        if fate == 0:  # lost on its way
+        if fate == 0:  # the order is lost
             planner.record_outcome(now, order, None)
-        elif fate == 1:  # arrives after its sender gave up
+        elif fate == 1:  # the order arrives after the sender's timeout
             worker.delayed_order = order
             planner.record_outcome(now, order, None)
-        elif fate == 2:  # refused at the door
+        elif fate == 2:  # the order is rejected
             planner.record_outcome(now, order, False)
         else:
-            taken = worker.receive(order)
-            if taken and order.loads_model:
+            accepted = worker.receive(order)
+            if accepted and order.loads_model:
                 loads.append(now)
             if fate != 3:
-                planner.record_outcome(now, order, taken)
-            elif taken:  # the answer is lost
+                planner.record_outcome(now, order, accepted)
+            elif accepted:  # the response is lost
                 planner.record_outcome(now, order, None)
 
     def deliver_delayed_order(self, worker: UnreliableWorker, loads: list[float], now: float) -> None:
@@ -191,12 +191,12 @@
     def test_tokens_bound_every_window(self, gaps: list[float], rate: float) -> None:
         bucket = TokenBucket(rate, 2.0)
         now = 0.0
-        taken = []
+        take_times = []
         for gap in gaps:
             now += gap
             if bucket.take(now):
-                taken.append(now)
-        self.assertLessEqual(most_in_window(taken, 5.0), 2 + rate * 5.0 + 1e-6)
+                take_times.append(now)
+        self.assertLessEqual(most_in_window(take_times, 5.0), 2 + rate * 5.0 + 1e-6)
 
     def test_a_new_primary_begins_with_an_empty_bucket(self) -> None:
         workers = [worker_report("w0", {}), worker_report("w1", {})]
@@ -223,28 +223,28 @@
         demand = {self.key: waiting_demand(), WeightsKey("m1"): waiting_demand()}
         return self.planner.plan(now, workers or [worker_report("w0", {}, reported=now)], demand, {})
 
-    def test_no_other_order_before_a_report_tells(self) -> None:
+    def test_there_is_no_further_order_before_a_report_settles_the_first(self) -> None:
         self.planner.record_outcome(2.1, self.order, None)
         self.assertEqual(self.plan(2.9), [])
         self.assertEqual(self.plan(3.5, worker_report("w0", {}, reported=2.9)), [])
 
-    def test_an_equal_sequence_a_second_later_means_that_it_was_not_taken(self) -> None:
+    def test_an_equal_sequence_a_second_later_means_that_the_order_was_not_accepted(self) -> None:
         self.planner.record_outcome(2.1, self.order, None)
         self.assertEqual([order.if_sequence for order in self.plan(3.2)], [0])
 
-    def test_a_newer_sequence_frees_the_worker_once_the_order_is_over(self) -> None:
+    def test_a_newer_sequence_allows_a_further_order_once_the_worker_is_idle(self) -> None:
         self.planner.record_outcome(2.1, self.order, None)
         self.assertEqual(self.plan(2.3, worker_report("w0", {}, busy=True, sequence=1)), [])
         done = worker_report("w0", models_without_adapters(self.order.key.model), sequence=1)
         self.assertEqual([(o.is_load, o.if_sequence) for o in self.plan(2.8, done)], [(True, 1)])
 
-    def test_a_report_older_than_a_known_one_gives_no_order(self) -> None:
+    def test_a_report_older_than_a_known_one_causes_no_order(self) -> None:
         self.planner.record_outcome(2.1, self.order, True)
         self.plan(2.8, worker_report("w0", {}, busy=True, sequence=1))
         self.assertEqual(self.plan(5.0, worker_report("w0", {}, sequence=0)), [])
 
-    def test_an_older_report_of_an_order_in_progress_does_not_hide_what_it_loaded(self) -> None:
-        """The same sequence was reported idle since: this worker holds the model by now."""
+    def test_a_busy_report_older_than_an_idle_one_does_not_hide_what_was_loaded(self) -> None:
+        """The worker has reported the same sequence without an order in progress, so it holds the model."""
         book = OrderBook(MODELS)
         idle = worker_report("w0", models_without_adapters("m0", "m2"), size_mb=260.0, sequence=3)
         book.settle_by_reports(10.0, [idle])
@@ -256,7 +256,7 @@
         book.settle_by_reports(10.5, [older])
         self.assertIsNone(book.project(10.5, older).next_sequence)
 
-    def test_an_order_to_a_worker_that_is_missing_for_a_while_stays_known(self) -> None:
+    def test_an_order_to_a_worker_that_is_missing_for_a_while_stays_pending(self) -> None:
         self.planner.record_outcome(2.1, self.order, None)
         self.planner.plan(2.3, [], {}, {})
         self.assertEqual(self.plan(2.5), [])
@@ -264,12 +264,12 @@
         self.planner.plan(60.0, [], {}, {})
         self.assertEqual(self.planner.pending_orders(), [])
 
-    def test_a_refused_order_is_given_again_on_a_newer_report(self) -> None:
+    def test_a_rejected_order_is_issued_again_after_a_newer_report(self) -> None:
         self.planner.record_outcome(2.1, self.order, False)
         self.assertEqual(self.plan(2.2), [])
         self.assertEqual(len(self.plan(2.5, worker_report("w0", {}, sequence=4))), 1)
 
-    def test_what_was_taken_is_expected_before_a_report_shows_it(self) -> None:
+    def test_an_accepted_load_is_expected_to_have_ended_before_a_report_shows_it(self) -> None:
         self.planner.record_outcome(2.1, self.order, True)
         self.assertEqual(self.planner.expected_loads(2.2), {})
         self.assertEqual(self.planner.expected_loads(3.0), {"w0": frozenset({self.order.key})})
@@ -289,7 +289,7 @@
             self.planner.record_outcome(now, order, True)
         return orders
 
-    def test_a_waiting_model_takes_free_room_at_once(self) -> None:
+    def test_a_model_that_requests_wait_for_is_loaded_into_free_memory_at_once(self) -> None:
         workers = [
             worker_report("w0", models_without_adapters("m0", "m1", "m4")),
             worker_report("w1", models_without_adapters("m0")),
@@ -307,19 +307,19 @@
         (order,) = self.plan(0.0, [worker_report("w0", {}, size_mb=130.0)], demand)
         self.assertEqual(order.key, WeightsKey("m2"))
 
-    def test_the_place_follows_its_eviction_and_nobody_else_takes_the_room(self) -> None:
+    def test_a_load_follows_its_eviction_and_no_other_model_takes_the_room(self) -> None:
         full = worker_report("w0", models_without_adapters("m0", "m1", "m4"))
         (evict,) = self.plan(
             0.0, [full], {WeightsKey("m2"): waiting_demand(), WeightsKey("m0"): steady_demand(5.0)}
         )
         self.assertFalse(evict.is_load)
         self.assertNotEqual(evict.key, WeightsKey("m0"))
-        left = {model: held for model, held in full.models.items() if model != evict.key.model}
+        remaining = {model: adapters for model, adapters in full.models.items() if model != evict.key.model}
         demand = {WeightsKey("m2"): waiting_demand(), WeightsKey("m3"): waiting_demand(oldest_wait_s=9.0)}
-        orders = self.plan(0.5, [worker_report("w0", left, sequence=1)], demand)
+        orders = self.plan(0.5, [worker_report("w0", remaining, sequence=1)], demand)
         self.assertEqual(orders, [LoadOrder("w0", True, WeightsKey("m2"), 1)])
 
-    def test_the_last_copy_in_demand_stays(self) -> None:
+    def test_the_last_copy_of_a_model_in_demand_is_not_evicted(self) -> None:
         workers = [
             worker_report("w0", models_without_adapters("m0", "m1")),
             worker_report("w1", models_without_adapters("m0", "m4")),
@@ -333,29 +333,29 @@
         (order,) = self.plan(0.0, workers, demand)
         self.assertEqual((order.is_load, order.key), (False, WeightsKey("m0")))
 
-    def test_a_model_that_is_waited_for_is_never_evicted(self) -> None:
+    def test_a_model_that_requests_wait_for_is_never_evicted(self) -> None:
         worker = worker_report("w0", models_without_adapters("m0"), size_mb=130.0)
         demand = {WeightsKey("m0"): waiting_demand(3), WeightsKey("m2"): waiting_demand(5, 9.0)}
         self.assertEqual(self.plan(0.0, [worker], demand), [])
 
-    def test_room_is_made_ahead_when_models_are_often_waited_for(self) -> None:
+    def test_room_is_made_ahead_when_requests_often_wait_for_loads(self) -> None:
         workers = [worker_report(f"w{i}", models_without_adapters("m0", "m1", "m4")) for i in range(6)]
         self.assertEqual(self.plan(0.0, workers, {WeightsKey("m0"): steady_demand(0.1)}), [])
         orders = []
         for step, model in enumerate(("m2", "m3", "m5")):
             orders += self.plan(1.0 + step, workers, {WeightsKey(model): waiting_demand()})
         evictions = [order for order in orders if not order.is_load]
-        self.assertGreater(len(evictions), 3)  # one for each of those that waited, and more
+        self.assertGreater(len(evictions), 3)  # more than the three that the waiting requests need
 
     def test_one_eviction_is_better_than_two(self) -> None:
-        """m5 goes first by its name, but m2 needs the room of a larger model anyway."""
+        """By its name m5 would be the first victim, but m2 needs the memory of a larger model anyway."""
         worker = worker_report("w0", models_without_adapters("m0", "m4", "m5"), size_mb=250.0)
         (order,) = self.plan(
             0.0, [worker], {WeightsKey("m2"): waiting_demand(), WeightsKey("m0"): steady_demand(5.0)}
         )
         self.assertEqual((order.is_load, order.key), (False, WeightsKey("m4")))
 
-    def test_a_model_just_loaded_stays_for_a_while(self) -> None:
+    def test_a_model_just_loaded_is_not_evicted_for_a_while(self) -> None:
         (order,) = self.plan(
             0.0, [worker_report("w0", {}, size_mb=130.0)], {WeightsKey("m0"): waiting_demand()}
         )
@@ -363,7 +363,7 @@
         self.assertEqual(self.plan(0.6, [loaded], {WeightsKey("m2"): waiting_demand()}), [])
         self.assertEqual(len(self.plan(3.0, [loaded], {WeightsKey("m2"): waiting_demand()})), 1)
 
-    def test_the_least_recently_used_of_idle_copies_goes(self) -> None:
+    def test_the_least_recently_used_idle_copy_is_evicted(self) -> None:
         worker = worker_report("w0", models_without_adapters("m0", "m1", "m4"))
         for now, model in ((0.0, "m1"), (10.0, "m0"), (20.0, "m4")):
             self.plan(now, [worker], {WeightsKey(model): steady_demand(0.1)})
@@ -376,7 +376,7 @@
         (order,) = self.plan(10.0, workers, {WeightsKey("m3"): waiting_demand()})
         self.assertEqual(order.worker, "w1")
 
-    def test_a_busy_model_gets_copies_by_its_slots_in_use(self) -> None:
+    def test_a_busy_model_gets_copies_by_its_busy_slots(self) -> None:
         workers = [worker_report(f"w{i}", models_without_adapters("m0") if not i else {}) for i in range(6)]
         placed = []
         demand = {WeightsKey("m0"): steady_demand(3.0, busy=9.0)}
@@ -394,13 +394,13 @@
         self.assertEqual(len(placed), 3)
         self.assertEqual({order.key for order in placed}, {WeightsKey("m0")})
 
-    def test_a_model_with_more_than_a_request_a_second_gets_a_second_copy(self) -> None:
+    def test_a_model_with_enough_requests_a_second_gets_a_second_copy(self) -> None:
         workers = [worker_report("w0", models_without_adapters("m0")), worker_report("w1", {})]
         self.assertEqual(len(self.plan(0.0, workers, {WeightsKey("m0"): steady_demand(1.5)})), 1)
         self.assertEqual(len(self.plan(0.0, workers, {WeightsKey("m0"): steady_demand(0.5)})), 0)
 
-    def test_steady_demand_gives_no_orders(self) -> None:
-        """Without anyone waiting, orders only cost: demand that wanders a little moves nothing."""
+    def test_steady_demand_causes_no_orders(self) -> None:
+        """While no request waits, orders only have costs, so small changes of the demand cause none."""
         workers = [
             worker_report("w0", models_without_adapters("m0", "m1", "m4")),
             worker_report("w1", models_without_adapters("m0", "m1", "m5")),
@@ -415,7 +415,7 @@
             orders += self.plan(step * 0.2, workers, demand)
         self.assertEqual(orders, [])
 
-    def test_draining_workers_get_no_orders_and_count_for_nothing(self) -> None:
+    def test_draining_workers_get_no_orders_and_their_copies_do_not_count(self) -> None:
         leaving = replace(worker_report("w0", models_without_adapters("m3")), draining=True)
         (order,) = self.plan(0.0, [leaving, worker_report("w1", {})], {WeightsKey("m3"): waiting_demand()})
         self.assertEqual(order.worker, "w1")
@@ -430,7 +430,7 @@
             orders += self.plan(step * 0.05, workers, demand)
         self.assertEqual(len(orders), self.planner.simultaneous)
 
-    def test_a_model_that_the_configuration_dropped_gives_way(self) -> None:
+    def test_a_model_that_the_configuration_dropped_is_evicted(self) -> None:
         worker = worker_report("w0", models_without_adapters("m0", "unknown"))
         (order,) = self.plan(
             0.0, [worker], {WeightsKey("m3"): waiting_demand(), WeightsKey("m0"): steady_demand(1.0)}
@@ -454,7 +454,7 @@
     ) -> list[LoadOrder]:
         return self.planner.plan(now, workers, demand, {})
 
-    def test_an_adapter_goes_to_the_holder_with_the_fewest(self) -> None:
+    def test_an_adapter_is_loaded_at_the_holder_with_the_fewest_adapters(self) -> None:
         workers = [
             worker_report("w0", {"m0": frozenset({"a1"})}),
             worker_report("w1", models_without_adapters("m0")),
@@ -463,7 +463,7 @@
         orders = self.plan(0.0, workers, {WeightsKey("m0", "a2"): waiting_demand()})
         self.assertEqual(orders, [LoadOrder("w1", True, WeightsKey("m0", "a2"), 0)])
 
-    def test_the_model_comes_before_its_adapter(self) -> None:
+    def test_a_model_is_loaded_before_its_adapter(self) -> None:
         key = WeightsKey("m0", "a2")
         (order,) = self.plan(0.0, [worker_report("w0", {})], {key: waiting_demand()})
         self.assertEqual(order.key, WeightsKey("m0"))
@@ -484,7 +484,7 @@
         self.assertEqual([order.if_sequence for order in orders], [0, 1, 2])
         self.assertEqual(len({order.key for order in orders}), ADAPTER_SLOTS)
 
-    def test_the_least_recently_used_adapter_gives_way(self) -> None:
+    def test_the_least_recently_used_adapter_is_evicted(self) -> None:
         worker = worker_report("w0", {"m1": frozenset({"a1", "a2", "a3"})})
         for now, name in ((0.0, "a2"), (5.0, "a1"), (9.0, "a3")):
             self.plan(now, [worker], {WeightsKey("m1", name): steady_demand(0.1)})
@@ -495,7 +495,7 @@
         (order,) = self.plan(30.4, [left], {WeightsKey("m1", "a4"): waiting_demand()})
         self.assertEqual((order.is_load, order.key), (True, WeightsKey("m1", "a4")))
 
-    def test_an_adapter_gets_no_second_place(self) -> None:
+    def test_an_adapter_gets_no_second_copy(self) -> None:
         workers = [
             worker_report("w0", {"m0": frozenset({"a1"})}),
             worker_report("w1", models_without_adapters("m0")),
@@ -507,7 +507,7 @@
         orders = self.plan(0.0, [worker], {WeightsKey("m0", "a2"): steady_demand(5.0)})
         self.assertEqual(orders, [LoadOrder("w0", False, WeightsKey("m0", "a1"), 0)])
 
-    def test_many_adapters_bring_more_copies_of_their_model(self) -> None:
+    def test_many_active_adapters_lead_to_more_copies_of_their_model(self) -> None:
         workers = [worker_report("w0", models_without_adapters("m1")), worker_report("w1", {})]
         demand = {WeightsKey("m1", f"a{i}"): steady_demand(0.1) for i in range(1, 9)}
         orders = self.plan(0.0, workers, demand)
@@ -515,13 +515,14 @@
 
 
 class ClosedLoopTests(unittest.TestCase):
-    """The numbers of the deployments; the limits of workers are checked by the simulation itself.
+    """Simulated days with the numbers of the deployments; the simulation checks the workers' limits itself.
 
-    The planner gives busy models more copies than this simulation rewards, for it does not model that
-    reading prompts holds up streams: rare models come later here, busy ones are nearly always there.
+    The simulation does not model that prefills delay streams, so the planner's many copies of busy models
+    bring no benefit here. Rare models are served later for it, and busy ones are nearly always resident.
     """
 
     def run_simulations(self, simulations: list[Simulation]) -> list[Simulation]:
+        """Run each simulation, and check that it keeps the store's limit."""
         for simulation in simulations:
             simulation.run(40.0)
             site = simulation.site
@@ -530,9 +531,10 @@
         return simulations
 
     def mean_share_within(self, days: list[Simulation], kind: str, seconds: float) -> float:
+        """The mean share of a class's requests that waited for at most `seconds`."""
         return sum(day.share_within(kind, seconds) for day in days) / len(days)
 
-    def test_kvadrat(self) -> None:
+    def test_the_kvadrat_deployment_serves_each_class_in_time(self) -> None:
         days = self.run_simulations([Simulation(kvadrat(), seed) for seed in range(3)])
         self.assertGreater(self.mean_share_within(days, "recap", 1.0), 0.6)
         self.assertGreater(self.mean_share_within(days, "recap", 1.25), 0.86)
@@ -540,7 +542,7 @@
         self.assertGreater(self.mean_share_within(days, "question", 0.3), 0.9)
         self.assertGreater(min(day.value() for day in days), 0.93)
 
-    def test_irama(self) -> None:
+    def test_the_irama_deployment_serves_each_class_in_time(self) -> None:
         days = self.run_simulations([Simulation(irama(), seed) for seed in range(3)])
         self.assertGreater(self.mean_share_within(days, "festival", 4.0), 0.7)
         self.assertGreater(self.mean_share_within(days, "season", 0.3), 0.89)
--- a/tests/test_modelplacement_simulation.py
+++ b/tests/test_modelplacement_simulation.py
@@ -1,4 +1,4 @@
-"""Closed-loop simulation of load planning: workers as pure objects, Poisson demand, simulated time.
+"""Closed-loop simulation of load planning, with Poisson demand, simulated workers and simulated time.
 
 The numbers of the two deployments are those of their site files. Nothing here sleeps or uses a socket.
 """
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Poisson demand for some of the models."""
+    """A class of requests with Poisson arrivals for some of the models."""
 
     name: str
     rate: float
     run_s: float
     models: tuple[int, ...]
-    models_at_a_time: int  # how many of the models are asked for at a time; 0: all
+    models_at_a_time: int  # how many of the models are requested at a time; 0: all
     adapter_share: float = 0.0
     target_s: float = 1.0
     value: float = 1.0
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulatedSite:
-    """A deployment."""
+    """The numbers of a deployment."""
 
     workers: int
     worker_mb: float
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class SimulatedWorker:
-    """A model worker that takes orders, after the protocol."""
+    """A worker that accepts load orders as the protocol says."""
 
     name: str
     size_mb: float
@@ -100,13 +100,15 @@
 
 @dataclass(slots=True)
 class Request:
+    """A request that waits for its weights."""
+
     key: WeightsKey
     kind: RequestClass
     arrived: float
 
 
 class Simulation:
-    """One run of a deployment, with what was measured."""
+    """One run of a deployment, with its measurements."""
 
     def __init__(self, site: SimulatedSite, seed: int) -> None:
         self.site = site
@@ -128,7 +130,7 @@
         self._load_initial_models()
 
     def _load_initial_models(self) -> None:
-        """Busy models on several workers, every other model on one, as far as there is room."""
+        """Load busy models on several workers and every other model on one, as far as there is room."""
         names = list(self.specs)
         wanted = names[:4] * 3 + names[4:]
         for index, name in enumerate(wanted):
@@ -152,7 +154,7 @@
             self._send_orders()
 
     def _shift_demand(self) -> None:
-        """Demand moves: some of the models asked for give way to others."""
+        """Replace some of the requested models by others."""
         for kind in self.site.classes:
             if not kind.models_at_a_time:
                 self.requested_models[kind.name] = kind.models
@@ -163,9 +165,9 @@
                 for model in self.shift_random.sample(others, self.site.models_per_shift):
                     current[self.shift_random.randrange(len(current))] = model
             self.requested_models[kind.name] = tuple(current)
-        hot = [kind for kind in self.site.classes if kind.models_at_a_time]
-        for kind in hot[1:]:
-            self.requested_models[kind.name] = self.requested_models[hot[0].name]
+        shifting = [kind for kind in self.site.classes if kind.models_at_a_time]
+        for kind in shifting[1:]:  # classes whose models shift request the same ones
+            self.requested_models[kind.name] = self.requested_models[shifting[0].name]
 
     def _advance_workers(self) -> None:
         loading = [w for w in self.workers.values() if w.order and w.from_store]
@@ -244,8 +246,8 @@
         return self.random.choices(range(count), weights)[0]
 
     def _dispatch_requests(self) -> None:
-        """Requests go to a worker that is known to hold their weights and does."""
-        still: list[Request] = []
+        """Send each waiting request to a worker that holds its weights, by its report and in fact."""
+        still_waiting: list[Request] = []
         for request in self.waiting:
             holders = [
                 worker
@@ -259,8 +261,8 @@
             elif self.now - request.arrived > 15.0:
                 self.waits[request.kind.name].append(math.inf)
             else:
-                still.append(request)
-        self.waiting = still
+                still_waiting.append(request)
+        self.waiting = still_waiting
 
     def _send_orders(self) -> None:
         demand: dict[WeightsKey, Demand] = {}
@@ -304,21 +306,21 @@
         return sum(wait <= seconds for wait in waits) / len(waits)
 
     def value(self) -> float:
-        """Worth earned less the prices of loads and orders, relative to the worth owed."""
-        earned = owed = 0.0
+        """The value of served requests less the costs of loads and orders, relative to the possible value."""
+        earned = possible = 0.0
         for kind in self.site.classes:
             begin_s = 0.25 if kind.run_s < 1.0 else 0.08  # network and prefill
             for wait in self.waits[kind.name]:
-                owed += kind.value
+                possible += kind.value
                 earned += (
                     kind.value if wait + begin_s <= kind.target_s else kind.late_value if wait < 5 else 0.0
                 )
         orders = sum(count for what, count in self.orders.items() if what != "refused")
-        return (earned - 0.36 * len(self.store_loads) - 0.036 * orders) / owed
+        return (earned - 0.36 * len(self.store_loads) - 0.036 * orders) / possible
 
 
 def most_in_window(times: Sequence[float], window_s: float) -> int:
-    """The most events within any sliding window."""
+    """The largest number of events within any window of `window_s` seconds."""
     return max((sum(start <= t < start + window_s for t in times) for start in times), default=0)
 
 
--- a/tests/test_modelplacement_table.py
+++ b/tests/test_modelplacement_table.py
@@ -1,4 +1,4 @@
-"""The placement table: shares, ranges, room, stability, and the choice of a worker."""
+"""The placement table (shares, ranges, room, stability) and the choice of a worker for a request."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
         )
     )
     @settings(deadline=None, max_examples=80)
-    def test_deviation_is_least_within_a_range(self, overlaps: list[list[float]]) -> None:
+    def test_the_permutation_of_a_small_range_deviates_least(self, overlaps: list[list[float]]) -> None:
         names = [f"w{i}" for i in range(len(overlaps))]
         overlap = {(a, b): overlaps[i][j] for i, a in enumerate(names) for j, b in enumerate(names)}
         chosen = assign_with_least_deviation(names, overlap)
@@ -115,7 +115,7 @@
 
     @given(st.integers(0, 2**31))
     @settings(deadline=None, max_examples=20)
-    def test_a_large_range_is_permuted_one_to_one(self, seed: int) -> None:
+    def test_the_permutation_of_a_large_range_is_one_to_one(self, seed: int) -> None:
         random = Random(seed)
         names = [f"w{i}" for i in range(EXACT_LIMIT + 20)]
         pairs = [(random.choice(names), random.choice(names)) for _ in range(60)]
@@ -166,7 +166,7 @@
         for name, fractions in tables[-1].items():
             self.assertEqual([w for w, _ in fractions], [w for w, _ in tables[-2][name]])
 
-    def test_workers_that_hold_the_weights_come_first(self) -> None:
+    def test_workers_that_hold_the_weights_are_preferred(self) -> None:
         present = [worker_report(f"w{i}") for i in range(5)] + [worker_report("holder", {"m1": frozenset()})]
         table = PlacementTable(model_specs())
         for index in range(8):
@@ -174,7 +174,7 @@
         table.step(1.0, present)
         self.assertIn("holder", [worker for worker, _ in table.fractions(WeightsKey("m1"))])
 
-    def test_a_worker_that_is_gone_leaves_its_part_to_the_others(self) -> None:
+    def test_the_fraction_of_a_worker_that_is_gone_goes_to_the_others(self) -> None:
         table = PlacementTable(model_specs())
         table.record(WeightsKey("m1"), 5.0, 0.0)
         table.step(1.0, worker_reports(4))
@@ -184,14 +184,14 @@
         self.assertNotIn(gone, dict(fractions))
         self.assertAlmostEqual(sum(dict(fractions).values()), 1.0)
 
-    def test_a_draining_worker_gets_nothing(self) -> None:
+    def test_a_draining_worker_gets_no_fraction(self) -> None:
         table = PlacementTable(model_specs())
         table.record(WeightsKey("m1"), 5.0, 0.0)
         table.step(1.0, [worker_report("w0"), worker_report("w1", draining=True)])
         self.assertEqual(table.fractions(WeightsKey("m1")), (("w0", 1.0),))
         self.assertEqual(table.fractions(WeightsKey("m2")), (("w0", 1.0),))
 
-    def test_a_new_worker_takes_less_until_it_is_warm(self) -> None:
+    def test_a_new_worker_gets_a_smaller_fraction_until_its_ramp_ends(self) -> None:
         def share(age: float) -> float:
             table = PlacementTable(model_specs())
             table.record(WeightsKey("m1"), 20.0, 0.0)
@@ -201,7 +201,7 @@
         self.assertLess(share(0.0), share(RAMP_S / 2))
         self.assertLess(share(RAMP_S / 2), share(RAMP_S))
 
-    def test_a_key_without_counts_has_one_worker_in_the_range_of_its_group(self) -> None:
+    def test_a_key_without_demand_has_one_worker_in_the_range_of_its_group(self) -> None:
         table = PlacementTable(model_specs())
         for index in (1, 3):
             table.record(WeightsKey(f"m{index}"), 10.0, 0.0)
@@ -212,13 +212,13 @@
         self.assertIn(worker, busy)
         self.assertEqual(fraction, 1.0)
 
-    def test_no_workers_give_no_fractions(self) -> None:
+    def test_without_workers_there_are_no_fractions(self) -> None:
         table = PlacementTable(model_specs())
         table.record(WeightsKey("m1"), 1.0, 0.0)
         table.step(1.0, [])
         self.assertEqual(table.fractions(WeightsKey("m1")), ())
 
-    def test_operating_points_fall_on_trouble_and_rise_slowly(self) -> None:
+    def test_operating_points_fall_on_bad_outcomes_and_rise_slowly(self) -> None:
         table = PlacementTable(model_specs())
         group = model_specs()["m1"].size_mb
         seed = table.operating_points.for_group(group)
@@ -250,34 +250,34 @@
         random = Random(1)
         return [choose_worker(self.key, candidates, fractions, random) for _ in range(400)]
 
-    def test_a_worker_with_a_free_connection_goes_before_an_equal_one(self) -> None:
+    def test_a_worker_with_an_idle_connection_is_chosen_over_equal_ones(self) -> None:
         kept = Candidate("kept", 0, 0, 0, 64, True, connected=True)
         others = [Candidate(f"w{number}", 0, 0, 0, 64, True) for number in range(8)]
         self.assertEqual({"kept"}, set(self.choose([*others, kept], ())))
 
-    def test_a_free_connection_is_not_worth_a_queue(self) -> None:
+    def test_an_idle_connection_does_not_outweigh_a_backlog(self) -> None:
         kept = Candidate("kept", 0, 0, 0, 64, True, backlog=0.2, connected=True)
         other = Candidate("other", 0, 0, 0, 64, True)
         chosen = self.choose([kept, other], ())
         self.assertGreater(chosen.count("other"), 0.6 * len(chosen))
 
-    def test_nobody_holds_the_weights(self) -> None:
+    def test_without_a_holder_no_worker_is_chosen(self) -> None:
         self.assertIsNone(choose_worker(self.key, [], (("a", 1.0),), Random(1)))
 
-    def test_a_worker_with_a_fraction_goes_first_at_equal_cost(self) -> None:
+    def test_a_worker_with_a_fraction_is_chosen_at_equal_cost(self) -> None:
         chosen = self.choose([candidate("b"), candidate("a")], (("a", 1.0),))
         self.assertEqual(set(chosen), {"a"})
 
-    def test_a_holder_without_a_fraction_is_used_where_it_is_cheaper(self) -> None:
+    def test_a_holder_without_a_fraction_is_chosen_if_it_is_cheaper(self) -> None:
         chosen = self.choose([candidate("a", running=9), candidate("b")], (("a", 1.0),))
         self.assertGreater(chosen.count("b"), 270)
 
-    def test_holders_without_a_fraction_when_nobody_else_holds_the_weights(self) -> None:
+    def test_holders_without_a_fraction_are_chosen_if_there_are_no_others(self) -> None:
         chosen = self.choose([candidate("b"), candidate("c")], (("a", 1.0),))
         self.assertEqual(set(chosen), {"b", "c"})
 
     def test_draws_follow_the_fractions_at_equal_load(self) -> None:
-        """Two draws, and the first on a tie: each worker is taken by its fraction."""
+        """On a tie the first draw wins, so each worker is chosen by its fraction."""
         random = Random(3)
         workers = [candidate("a"), candidate("b"), candidate("c")]
         fractions = (("a", 0.6), ("b", 0.3), ("c", 0.1))
@@ -285,20 +285,20 @@
         for worker, fraction in fractions:
             self.assertTrue(math.isclose(chosen.count(worker) / 6000, fraction, abs_tol=0.03))
 
-    def test_the_less_loaded_of_the_draws(self) -> None:
-        """The loaded worker is taken only where all four draws gave it: one time in sixteen."""
+    def test_the_less_loaded_of_the_drawn_workers_is_chosen(self) -> None:
+        """The loaded worker is chosen only if all four draws yield it, which happens one time in sixteen."""
         chosen = self.choose([candidate("a", running=5), candidate("b")], (("a", 0.5), ("b", 0.5)))
         self.assertGreater(chosen.count("b"), 350)
         self.assertGreater(chosen.count("a"), 5)
 
-    def test_a_cached_prompt_wins_unless_its_worker_is_clearly_more_loaded(self) -> None:
+    def test_a_worker_with_the_cached_prompt_is_chosen_unless_clearly_more_loaded(self) -> None:
         fractions = (("a", 0.1), ("b", 0.9))
         self.assertEqual(set(self.choose([candidate("a", 5, 0.9), candidate("b")], fractions)), {"a"})
         self.assertEqual(set(self.choose([candidate("a", 30, 0.9), candidate("b")], fractions)), {"a"})
         chosen = self.choose([candidate("a", 45, 0.9), candidate("b")], fractions)
         self.assertGreater(chosen.count("b"), 350)
 
-    def test_a_full_worker_is_left_out(self) -> None:
+    def test_a_worker_without_a_free_slot_is_avoided(self) -> None:
         full = candidate("a", running=64, affinity=1.0)
         self.assertIn("b", self.choose([full, candidate("b", running=60)], (("a", 0.5), ("b", 0.5))))
         chosen = self.choose([full, candidate("b", running=60)], (("a", 0.5), ("b", 0.5)))
