--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -126,6 +126,7 @@
     def _watch_worker(
         self, request: RoutedRequest, progress: RequestProgress, traffic: WorkerTraffic
     ) -> WorkerWatch:
+        """A watch that gives up the worker once it is unresponsive and a retry is allowed."""
         leaves_unresponsive = self._mechanisms.has(Mechanism.LEAVE_SILENT)
 
         def should_leave(since: float) -> bool:
--- a/rookwood/dataplane/control_links.py
+++ b/rookwood/dataplane/control_links.py
@@ -2,7 +2,7 @@
 
 Each control machine relays what the others send, so a second feed would deliver everything twice. The
 dispatcher leaves its feeding machine for another one when the link ends, when the machine is unresponsive,
-when it has lost contact with the primary, or when it does not answer a fetch request in time. A better
+when it has lost contact with the primary, or when it does not respond to a fetch request in time. A better
 machine is tried on a second link before the first one is closed (`ParentChoice`). It is chosen once its
 status says that it is settled and in contact with the primary: a machine that has just started may not know
 yet what the others sent before.
@@ -91,7 +91,7 @@
         self._update_links(confirmed, primary, members)
 
     def record_overdue_answer(self, peer: str, now: float) -> None:
-        """A machine did not answer a fetch request in time."""
+        """A machine did not respond to a fetch request in time."""
         if self._parent_choice is not None:
             self._parent_choice.record_suspicion(peer, now)
 
--- a/rookwood/dataplane/responses.py
+++ b/rookwood/dataplane/responses.py
@@ -1,4 +1,4 @@
-"""The state of a request on its way to a response, and the responses that the dispatcher builds itself."""
+"""The progress of a request, and the responses that the dispatcher sends itself or copies from a worker."""
 
 from __future__ import annotations
 
--- a/rookwood/dataplane/retry_rules.py
+++ b/rookwood/dataplane/retry_rules.py
@@ -10,7 +10,7 @@
 from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 MIN_ATTEMPT_TIME = 0.02  # seconds to the deadline below which an attempt is not worth sending
-MAX_CONNECTION_FAILURES = 3
+MAX_CONNECTION_FAILURES = 3  # of one request; failed connections do not count as attempts
 
 
 class RetryRules:
@@ -27,7 +27,7 @@
     def may_leave_worker(self, request: RoutedRequest, progress: RequestProgress, now: float) -> bool:
         """Whether a request may leave an unresponsive worker for another one.
 
-        If so, the retry is counted against the budget here, and `may_repeat` will grant it.
+        If so, the retry is counted against the budget here, and `may_retry` will grant it.
         """
         if not request.repeatable or progress.forwarded_without_id:
             return False
--- a/rookwood/modelplacement/demand.py
+++ b/rookwood/modelplacement/demand.py
@@ -120,6 +120,7 @@
         for key, amount in demand.items():
             model = self._models.setdefault(key.model, ModelDemand())
             model.add(key, amount)
+            # A smoothed rate rises only when a request arrives.
             if amount.waiting or amount.rate > self._rates.get(key, 0.0):
                 model.last_requested = now
                 if key.adapter:
@@ -142,10 +143,12 @@
                 needs[name] = demand
         surplus = sum(d.copies_needed for d in needs.values()) - max(1, int(COPIES_SHARE * capacity))
         while surplus > 0 and needs:
-            name, most = max(needs.items(), key=lambda item: (item[1].copies_needed, -item[1].rate, item[0]))
-            if most.copies_needed <= 1:
+            name, largest = max(
+                needs.items(), key=lambda item: (item[1].copies_needed, -item[1].rate, item[0])
+            )
+            if largest.copies_needed <= 1:
                 break
-            most.copies_needed -= 1
+            largest.copies_needed -= 1
             surplus -= 1
 
 
--- a/rookwood/modelplacement/orders.py
+++ b/rookwood/modelplacement/orders.py
@@ -174,17 +174,17 @@
             known.next_sequence = sequence
             return known
         models = {model: set(adapters) for model, adapters in weights.models.items()}
-        leaving = set()
-        for key, place in ((each.order.key, each.order.is_load) for each in pending):
-            if not place:
-                leaving.add(key)
+        unloading = set()
+        for key, is_load in ((each.order.key, each.order.is_load) for each in pending):
+            if not is_load:
+                unloading.add(key)
             elif key.adapter:
                 models.setdefault(key.model, set()).add(key.adapter)
             else:
                 models.setdefault(key.model, set())
-        used = sum(self._size_of(model, len(adapters)) for model, adapters in models.items())
-        count = sum(len(adapters) for adapters in models.values())
-        return ProjectedWorker(weights, models, leaving, used, count, sequence, bool(pending))
+        used_mb = sum(self._size_of(model, len(adapters)) for model, adapters in models.items())
+        adapter_count = sum(len(adapters) for adapters in models.values())
+        return ProjectedWorker(weights, models, unloading, used_mb, adapter_count, sequence, bool(pending))
 
     def _size_of(self, model: str, adapters: int) -> float:
         spec = self.models.get(model)
--- a/rookwood/modelplacement/permutation.py
+++ b/rookwood/modelplacement/permutation.py
@@ -28,21 +28,21 @@
 def _assign_greedily(workers: Sequence[str], overlap: Overlap) -> dict[str, str]:
     members = set(workers)
     pairs = [(-amount, a != b, a, b) for (a, b), amount in overlap.items() if a in members and b in members]
-    chosen: dict[str, str] = {}
-    taken: set[str] = set()
+    worker_at: dict[str, str] = {}
+    assigned: set[str] = set()
     for _, _, position, worker in sorted(pairs):
-        if position not in chosen and worker not in taken:
-            chosen[position] = worker
-            taken.add(worker)
+        if position not in worker_at and worker not in assigned:
+            worker_at[position] = worker
+            assigned.add(worker)
     for worker in workers:  # without any overlap, a position keeps the worker that it was packed for
-        if worker not in chosen and worker not in taken:
-            chosen[worker] = worker
-            taken.add(worker)
-    rest = iter([worker for worker in workers if worker not in taken])
+        if worker not in worker_at and worker not in assigned:
+            worker_at[worker] = worker
+            assigned.add(worker)
+    unassigned = iter([worker for worker in workers if worker not in assigned])
     for position in workers:
-        if position not in chosen:
-            chosen[position] = next(rest)
-    return chosen
+        if position not in worker_at:
+            worker_at[position] = next(unassigned)
+    return worker_at
 
 
 def _assign_optimally(workers: Sequence[str], overlap: Overlap) -> dict[str, str]:
--- a/rookwood/modelplacement/table.py
+++ b/rookwood/modelplacement/table.py
@@ -64,7 +64,7 @@
         by_worker = {weights.worker: weights for weights in usable}
         bins = [_new_bin(now, by_worker[worker]) for worker in self._order]
         utilisation = {key: amount / self._operating_point(key) for key, amount in demand.items()}
-        packed = Packer(self.models, utilisation, bins, self._preferred(demand, usable)).pack()
+        packed = Packer(self.models, utilisation, bins, self._preferred_workers(demand, usable)).pack()
         self._shares = _permute_workers(packed.shares, packed.ranges, bins, self._shares)
         self._ranges = packed.ranges
 
@@ -126,20 +126,20 @@
     def _operating_point(self, key: WeightsKey) -> float:
         return self.operating_points.for_group(self.models[key.model].size_of(key))
 
-    def _preferred(
+    def _preferred_workers(
         self, demand: Mapping[WeightsKey, float], usable: Sequence[WorkerWeights]
     ) -> dict[WeightsKey, list[str]]:
         """Per key the workers of the last table, then those that already hold the weights."""
         preferred = {key: list(self._shares.get(key, ())) for key in demand}
-        by_model: dict[str, dict[str, list[str]]] = {}
+        by_model: dict[str, dict[str, list[str]]] = {}  # model -> adapter -> preferred workers
         for key, holders in preferred.items():
             by_model.setdefault(key.model, {})[key.adapter] = holders
         position = {worker: index for index, worker in enumerate(self._order)}
         for weights in sorted(usable, key=lambda weights: position[weights.worker]):
             for model in by_model.keys() & weights.models.keys():
-                demanded = by_model[model]
-                for adapter in demanded.keys() & (weights.models[model] | {""}):
-                    demanded[adapter].append(weights.worker)
+                by_adapter = by_model[model]
+                for adapter in by_adapter.keys() & (weights.models[model] | {""}):
+                    by_adapter[adapter].append(weights.worker)
         return preferred
 
     def _hashed_fractions(self, key: WeightsKey) -> Fractions:
--- a/tests/fake_worker.py
+++ b/tests/fake_worker.py
@@ -188,10 +188,10 @@
 def responding(body: bytes = b"answer", status: int = 200, **changes: str | None) -> Behaviour:
     """Send a complete response, with the headers of `response_bytes`."""
 
-    async def answer(exchange: Exchange) -> None:
+    async def respond(exchange: Exchange) -> None:
         exchange.write(response_bytes(exchange.request, body, status, **changes))
 
-    return answer
+    return respond
 
 
 def rejecting(status: int) -> Behaviour:
--- a/tests/test_dataplane_end.py
+++ b/tests/test_dataplane_end.py
@@ -413,21 +413,21 @@
         await self.start_worker_and_warm_up(MUTATING, responding())
         for cut_at in (10, -1):
             client = await self.connect()
-            whole = request_bytes(MUTATING, f"half-{cut_at}")
-            client.write(whole[:cut_at])
+            request = request_bytes(MUTATING, f"half-{cut_at}")
+            client.write(request[:cut_at])
             self.addAsyncCleanup(client.read_to_end)
             if cut_at == -1:
                 last = client
             else:
-                first, remainder = client, whole[cut_at:]
+                first, remainder = client, request[cut_at:]
         idle = await self.connect()
         self.send_sigterm()
         self.assertEqual(b"", await within(idle.read_to_end()))
         first.write(remainder)
         last.write(REQUEST_BODY[-1:])
         for client in (first, last):
-            answer = ClientExchange("half", 0.0, await within(client.read_to_end()))
-            self.assertEqual((200, True), (answer.status, answer.is_complete))
+            exchange = ClientExchange("half", 0.0, await within(client.read_to_end()))
+            self.assertEqual((200, True), (exchange.status, exchange.is_complete))
         await within(self.running)
 
     async def test_a_long_response_is_flushed_to_a_slow_reader_before_the_process_ends(self) -> None:
@@ -437,8 +437,8 @@
         client.write(request_bytes(MUTATING, "slow"))
         await within(client.reader.readexactly(1))
         self.send_sigterm()
-        answer = ClientExchange("slow", 0.0, b"H" + await within(client.read_to_end()))
-        self.assertEqual((200, True), (answer.status, answer.is_complete))
+        exchange = ClientExchange("slow", 0.0, b"H" + await within(client.read_to_end()))
+        self.assertEqual((200, True), (exchange.status, exchange.is_complete))
         await within(self.running)
 
     async def test_a_response_is_awaited_after_the_listener_was_closed(self) -> None:
@@ -452,8 +452,8 @@
         await within(self.wait_for_closed_listener())
         await sleep_until(asyncio.get_running_loop().time() + 4 * program.SHUTDOWN_TIMEOUT)
         release.set()
-        answer = ClientExchange("late", 0.0, await within(client.read_to_end()))
-        self.assertEqual((200, True), (answer.status, answer.is_complete))
+        exchange = ClientExchange("late", 0.0, await within(client.read_to_end()))
+        self.assertEqual((200, True), (exchange.status, exchange.is_complete))
         await within(self.running)
 
     async def wait_for_closed_listener(self) -> None:
@@ -477,8 +477,8 @@
         client.write(request_bytes(MUTATING, "held"))
         await within(worker.request_received.wait())
         self.send_sigterm()
-        answer = ClientExchange("held", 0.0, await within(client.read_to_end()))
-        self.assertEqual((502, True), (answer.status, answer.is_complete))
+        exchange = ClientExchange("held", 0.0, await within(client.read_to_end()))
+        self.assertEqual((502, True), (exchange.status, exchange.is_complete))
         await within(self.running)
 
 
@@ -595,12 +595,12 @@
     async def test_a_connection_with_a_partly_received_head_stays_open(self) -> None:
         self.release.set()
         client = await self.connect()
-        whole = request_bytes("/", "id")
-        client.write(whole[:20])
+        request = request_bytes("/", "id")
+        client.write(request[:20])
         await run_loop_turns()
         await run_loop_turns()
         self.server.close_idle(0.0)
-        client.write(whole[20:])
+        client.write(request[20:])
         self.assertIn(b"200", await within(client.reader.readline()))
 
     async def test_a_connection_with_a_request_in_progress_stays_open(self) -> None:
@@ -657,12 +657,12 @@
             await asyncio.sleep(0)
         await self.listener.stop()
         self.connecting = False
-        answers = await within(asyncio.gather(*(self.read_all(client) for client in self.clients)))
+        responses = await within(asyncio.gather(*(self.read_all(client) for client in self.clients)))
         self.assertEqual([], self.failures)
-        answered = [answer for answer in answers if answer]
-        self.assertGreaterEqual(len(answered), connections)
-        for answer in answered:
-            self.assertIn(b" 200 ", answer)
+        received = [response for response in responses if response]
+        self.assertGreaterEqual(len(received), connections)
+        for response in received:
+            self.assertIn(b" 200 ", response)
 
     async def test_no_connection_is_lost_by_a_stop_in_the_iteration_of_an_accept(self) -> None:
         await self.stop_listener_after(10)
--- a/tests/test_dataplane_program.py
+++ b/tests/test_dataplane_program.py
@@ -1,4 +1,4 @@
-"""A whole dispatcher process, fed by a control machine that the test plays."""
+"""A complete dispatcher process, with a control machine that the test plays."""
 
 from __future__ import annotations
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -119,8 +119,8 @@
         self.assertIn("10: 3", rows)
 
     def test_a_truncated_file_is_reported_in_one_line(self) -> None:
-        whole = self.line(RequestOutcome.REFUSED, "no worker", trace())
-        self.file.write_text(whole + whole[:90], encoding="utf-8")
+        line = self.line(RequestOutcome.REFUSED, "no worker", trace())
+        self.file.write_text(line + line[:90], encoding="utf-8")
         code, out, err = self.explain()
         self.assertEqual((FAULTY, "", 1), (code, out, len(err.splitlines())))
 
