--- a/rookwood/dataplane/upstream.py
+++ b/rookwood/dataplane/upstream.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """What is sent to a worker."""
+    """The request that is sent to a worker; `request_id` must come back in the response."""
 
     method: str
     target: str
@@ -66,8 +66,8 @@
 class UpstreamClient:
     """Sends requests to workers over pooled HTTP connections."""
 
-    def __init__(self, descriptors: int, heeds_keep_alive: bool = True) -> None:
-        self._uses_keep_alive = heeds_keep_alive
+    def __init__(self, descriptors: int, uses_keep_alive: bool = True) -> None:
+        self._uses_keep_alive = uses_keep_alive
         self._http = HttpClient(
             connections=max(64, descriptors // 3),
             idle_limit=DEFAULT_IDLE_LIMIT,
@@ -104,10 +104,10 @@
             self._http.limit_idle(self.idle_limit)
 
     async def _receive_response(self, response: Response, request: UpstreamRequest) -> UpstreamOutcome:
-        flaw = find_response_defect(response, request)
-        if flaw is not None:
+        defect = find_response_defect(response, request)
+        if defect is not None:
             response.discard()
-            return ResponseLost(flaw)
+            return ResponseLost(defect)
         self._update_idle_limit(response.headers.get(names.KEEP_ALIVE, ""))
         forwarded_headers = names.end_to_end(response.headers)
         if response.status in OK_STATUSES and response.content_type == "text/event-stream":
--- a/tests/test_dataplane_end.py
+++ b/tests/test_dataplane_end.py
@@ -191,7 +191,10 @@
         return record
 
     def abort_all_connections(self, task: object) -> None:
-        """Abort all connections, as the end of the dispatcher's own process would."""
+        """Abort all connections when the dispatcher has ended.
+
+        It runs in the process of the test, so its end does not close its sockets.
+        """
         self.process_ended = True
         for transport in self.server_transports:
             transport.abort()
@@ -279,32 +282,32 @@
 
     async def send_throughout_grace(self, target: str) -> ShutdownRun:
         """Send requests throughout the grace period, over open connections and over new ones."""
-        old = [await self.connect() for _ in range(SENDING_TIMES)]
+        open_clients = [await self.connect() for _ in range(SENDING_TIMES)]
         loop = asyncio.get_running_loop()
         ends: list[float] = []
         self.running.add_done_callback(lambda task: ends.append(loop.time()))
         began = self.send_sigterm()
-        olds = (
+        over_open = (
             self.send_over_open_connection(client, target, f"old-{number}", began + number * SENDING_INTERVAL)
-            for number, client in enumerate(old)
+            for number, client in enumerate(open_clients)
         )
-        news = (
+        over_new = (
             self.send_over_new_connection(target, f"new-{number}", began + number * SENDING_INTERVAL)
             for number in range(SENDING_TIMES)
         )
-        outcomes = await asyncio.wait_for(asyncio.gather(*olds, *news), 3 * GRACE)
+        exchanges = await asyncio.wait_for(asyncio.gather(*over_open, *over_new), 3 * GRACE)
         await within(self.running)
         self.assertLessEqual(ends[0] - began, GRACE + self.lag.lost_between(began, ends[0]))
-        old_exchanges = [outcome for outcome in outcomes[:SENDING_TIMES] if outcome is not None]
-        new_exchanges = [outcome for outcome in outcomes[SENDING_TIMES:] if outcome is not None]
+        old_exchanges = [exchange for exchange in exchanges[:SENDING_TIMES] if exchange is not None]
+        new_exchanges = [exchange for exchange in exchanges[SENDING_TIMES:] if exchange is not None]
         return ShutdownRun(began, old_exchanges, new_exchanges)
 
     def check_exchanges(self, run: ShutdownRun, worker: FakeWorker) -> None:
         """Each request that reached the worker got a complete 200; any other response is a proper rejection.
 
         A request that reached the worker may fail if this process, which runs all sides of the test, stalled
-        for longer than the reserve. Even then, a rejected request has not reached the worker, and a failure
-        has its status.
+        for longer than the reserve. Even then, a rejected request has not reached the worker, and one that
+        reached it gets 200 or 502.
         """
         for exchange in run.over_open_connections + run.over_new_connections:
             with self.subTest(request=exchange.request_id):
--- a/tests/test_modelplacement_loads.py
+++ b/tests/test_modelplacement_loads.py
@@ -54,8 +54,8 @@
     return Demand(0.1, count, oldest_wait_s, 0.0)
 
 
-def steady_demand(rate: float, busy: float = 0.0) -> Demand:
-    return Demand(rate, 0, 0.0, busy)
+def steady_demand(rate: float, busy_slots: float = 0.0) -> Demand:
+    return Demand(rate, 0, 0.0, busy_slots)
 
 
 # A worker that may do everything the protocol allows.
@@ -379,7 +379,7 @@
     def test_a_busy_model_gets_copies_by_its_busy_slots(self) -> None:
         workers = [worker_report(f"w{i}", models_without_adapters("m0") if not i else {}) for i in range(6)]
         placed = []
-        demand = {WeightsKey("m0"): steady_demand(3.0, busy=9.0)}
+        demand = {WeightsKey("m0"): steady_demand(3.0, busy_slots=9.0)}
         for step in range(20):
             placed += self.plan(step * 0.5, workers, demand)
             held = {order.worker for order in placed}
