--- a/rookwood_dataplane.py
+++ b/rookwood_dataplane.py
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Run until SIGTERM; 2 if the settings can't be used."""
+    """Run until SIGTERM. Returns the exit code: 2 if the options or the settings cannot be used."""
     skip_tls_import()
     import asyncio
 
--- a/tests/test_dataplane_counts.py
+++ b/tests/test_dataplane_counts.py
@@ -1,4 +1,4 @@
-"""What a dispatcher counts of its requests, of its feed's traffic and of the configurations it hears of."""
+"""The counts of a dispatcher: its requests by outcome, and the traffic of its feed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from rookwood.cluster import connection as connection_module
 from rookwood.cluster.frames import encode_frame
 from rookwood.cluster.messages import FetchConfiguration, Status
-from rookwood.dataplane.request_counts import EndedRequests, RefusalCause, RequestOutcome
+from rookwood.dataplane.request_counts import EndedRequests, ErrorResponseCause, RequestOutcome
 from rookwood.metrics.traffic import PEER_CORE, PEER_EDGE, Direction, MessageTraffic, Volume
 from tests.fake_worker import delayed_until, responding, streaming, streaming_until_broken, within
 from tests.test_cluster_feed import HELLO, STATUS, FeedCase, LinkRecorder
@@ -22,42 +22,44 @@
 
 
 def status(sequence: int) -> Status:
-    """A primary that has committed this position of epoch 1."""
+    """The status of a primary that has committed this sequence in epoch 1."""
     return Status(CONTROL, 1, CONTROL, True, True, 1, sequence, 1, (CONTROL,))
 
 
 class RequestCountsTest(StreamCase):
-    """Outcomes of real requests."""
+    """The counted outcomes of requests to a dispatcher."""
 
-    def ended(self) -> list[EndedRequests]:
-        """All requests that ended."""
-        return list(self.dispatcher.proxy.counts.ended())
+    def ended_requests(self) -> list[EndedRequests]:
+        """The counts of all ended requests."""
+        return list(self.dispatcher.proxy.counts.ended_requests())
 
-    async def test_answers_count_by_status_whoever_they_are_from(self) -> None:
+    async def test_responses_of_workers_and_of_the_dispatcher_count_by_status(self) -> None:
         await self.start_worker(responding(), responding(b"failed", 500))
         await self.send(MUTATING, "try-1")
         await self.send(MUTATING, "try-2")
         await self.send("/nowhere/")
-        await self.no_request_in_flight()
+        await self.wait_for_no_request_in_flight()
         expected = [
             EndedRequests(RequestOutcome.ANSWERED, "2xx", 1),
             EndedRequests(RequestOutcome.ANSWERED, "5xx", 1),
             EndedRequests(RequestOutcome.REFUSED, "4xx", 1),
         ]
-        self.assertEqual(self.ended(), expected)
-        self.assertEqual(self.dispatcher.proxy.counts.refusals, {RefusalCause(404, "no route"): 1})
+        self.assertEqual(self.ended_requests(), expected)
+        self.assertEqual(
+            self.dispatcher.proxy.counts.error_responses, {ErrorResponseCause(404, "no route"): 1}
+        )
         self.assertEqual(self.dispatcher.proxy.counts.attempts, 2)
 
-    async def test_whole_and_cut_streams_are_told_apart(self) -> None:
+    async def test_complete_and_cut_streams_are_counted_separately(self) -> None:
         await self.start_worker(streaming([1, 2]), streaming_until_broken([1]))
         self.assertTrue((await self.read_stream(STREAM, "try-1")).complete)
         self.assertFalse((await self.read_stream(STREAM, "try-2")).complete)
-        await self.no_request_in_flight()
+        await self.wait_for_no_request_in_flight()
         expected = [
             EndedRequests(RequestOutcome.ANSWERED, "2xx", 1),
             EndedRequests(RequestOutcome.CUT, "2xx", 1),
         ]
-        self.assertEqual(self.ended(), expected)
+        self.assertEqual(self.ended_requests(), expected)
 
     async def test_a_client_that_leaves_abandons_its_request(self) -> None:
         release = asyncio.Event()
@@ -65,16 +67,16 @@
         async with ClientSession(timeout=ClientTimeout(total=None)) as leaving:
             request = leaving.post(self.url(MUTATING), headers=self.headers("try-1"))
             sending = asyncio.create_task(request.__aenter__())
-            await within(worker.request_came.wait())
+            await within(worker.request_received.wait())
             sending.cancel()
             await asyncio.wait([sending])
-        await within(self.no_request_in_flight())
+        await within(self.wait_for_no_request_in_flight())
         release.set()
-        self.assertEqual(self.ended(), [EndedRequests(RequestOutcome.ABANDONED, "", 1)])
+        self.assertEqual(self.ended_requests(), [EndedRequests(RequestOutcome.ABANDONED, "", 1)])
 
 
 class FeedTrafficTest(FeedCase):
-    """Both ends of a link count the same bytes, under the kind of the other end."""
+    """Both ends of a link count the same bytes, by the kind of the other end."""
 
     async def test_both_directions_are_counted_by_kind_of_peer(self) -> None:
         fetch = FetchConfiguration(7, False)
--- a/tests/test_dataplane_end.py
+++ b/tests/test_dataplane_end.py
@@ -1,4 +1,4 @@
-"""The end of a dispatcher: clients that send at every moment between SIGTERM and the end of the process."""
+"""The shutdown of a dispatcher: clients send requests throughout the time from SIGTERM to its end."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from rookwood.cluster.settings import Bounds, NodeSettings
 from rookwood.clusterconfig.document import Route, RouteKind
 from rookwood.dataplane import closing, durations, program
-from rookwood.dataplane.client_listener import ClientListener, turn_loop
+from rookwood.dataplane.client_listener import ClientListener, run_loop_turns
 from rookwood.dataplane.client_server import ClientConnection, ClientServer
 from rookwood.dataplane.closing import ClosingTime
 from rookwood.dataplane.durations import DurationEstimate, DurationMeter
@@ -40,22 +40,30 @@
 from tests.test_dataplane_program import DataPlaneCase
 from tests.test_dataplane_proxy import MUTATING, SITE, STREAM
 
-GRACE = 4.0
-NOTICE = 0.5
-MARGINS = {"CLOSING_MARGIN": 1.5, "EXIT_MARGIN": 1.2, "FIRST_REQUEST_LIMIT": 0.05, "DRAIN_POLL": 0.01}
-STREAM_TIME = 0.4
+GRACE = 4.0  # seconds from SIGTERM to the end of the process
+NOTICE = 0.5  # seconds until the platform sends no new connections
+MARGINS = {
+    "CLOSING_MARGIN": 1.5,
+    "EXIT_MARGIN": 1.2,
+    "FIRST_REQUEST_LIMIT": 0.05,
+    "DRAIN_POLL_INTERVAL": 0.01,
+}
+STREAM_TIME = 0.4  # seconds
 EVENTS = 4
-MOMENTS = 60
-STEP = GRACE / MOMENTS
-LESSONS = 12
-UNTOLD = b"a request"
-INTENDED = {STREAM: (STREAM_TIME / EVENTS, STREAM_TIME * (EVENTS - 1) / EVENTS), MUTATING: (0.0, 0.0)}
-HELD_UP = 0.8  # seconds; several times the reserve of a process that was not held up
-MEASURED_SHARE = 0.9  # clocks of two ends
-
-
-async def moment(at: float) -> None:
-    """Wait for a time of the event loop's clock."""
+SENDING_TIMES = 60
+SENDING_INTERVAL = GRACE / SENDING_TIMES
+WARM_UP_REQUESTS = 12
+REQUEST_BODY = b"a request"
+INTENDED_DURATIONS = {
+    STREAM: (STREAM_TIME / EVENTS, STREAM_TIME * (EVENTS - 1) / EVENTS),
+    MUTATING: (0.0, 0.0),
+}
+STALL = 0.8  # seconds; several times the reserve of a process without a recent stall
+MIN_MEASURED_SHARE = 0.9  # of an intended duration; the two ends' clocks may differ a little
+
+
+async def sleep_until(at: float) -> None:
+    """Wait until a time of the event loop's clock."""
     loop = asyncio.get_running_loop()
     reached = loop.create_future()
     loop.call_at(at, reached.set_result, None)
@@ -63,13 +71,13 @@
 
 
 def paced_stream(seconds: float, count: int) -> Behaviour:
-    """A stream whose events are spread over a time."""
+    """A stream whose events are spread evenly over `seconds`."""
 
     async def stream(exchange: Exchange) -> None:
         began = asyncio.get_running_loop().time()
         begin_stream(exchange)
         for number in range(1, count + 1):
-            await moment(began + number * seconds / count)
+            await sleep_until(began + number * seconds / count)
             exchange.write_chunk(event(number))
         exchange.write_chunk(b"")
 
@@ -77,60 +85,60 @@
 
 
 @dataclass(frozen=True)
-class Exchanged:
-    """What a client saw of one request: all bytes that came until the connection's end."""
+class ClientExchange:
+    """One request of a client, with all bytes received until the end of the connection."""
 
     request_id: str
     sent_at: float
-    answer: bytes
+    response: bytes
 
     @property
     def status(self) -> int:
-        """The status of the answer; 0 where nothing came."""
-        return int(self.answer.split(b" ", 2)[1]) if self.answer else 0
+        """The status of the response; 0 if there was none."""
+        return int(self.response.split(b" ", 2)[1]) if self.response else 0
 
     @property
-    def whole(self) -> bool:
-        """Whether the answer came to its end."""
-        head, _, body = self.answer.partition(b"\r\n\r\n")
+    def is_complete(self) -> bool:
+        """Whether the response came to its end."""
+        head, _, body = self.response.partition(b"\r\n\r\n")
         if b"chunked" in head:
             return body.endswith(b"0\r\n\r\n")
         length = [line for line in head.split(b"\r\n") if line.lower().startswith(b"content-length:")]
         return bool(length) and len(body) == int(length[0].split(b":")[1])
 
     @property
-    def headers(self) -> bytes:
-        """The head in lower case."""
-        return self.answer.partition(b"\r\n\r\n")[0].lower()
+    def head(self) -> bytes:
+        """The head of the response in lower case."""
+        return self.response.partition(b"\r\n\r\n")[0].lower()
 
 
 @dataclass(frozen=True)
-class Play:
-    """What clients sent at every moment of the grace."""
+class ShutdownRun:
+    """The exchanges of clients that sent requests throughout the grace period."""
 
     began: float
-    old: list[Exchanged]  # over connections that were open before
-    new: list[Exchanged]
+    over_open_connections: list[ClientExchange]  # on connections opened before SIGTERM
+    over_new_connections: list[ClientExchange]
 
 
 class Client:
-    """A client's connection of raw bytes."""
+    """A client's connection for raw bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     @property
-    def open(self) -> bool:
-        """Whether the dispatcher has not closed the connection yet, as far as is known here."""
+    def is_open(self) -> bool:
+        """Whether the client has not seen the connection's end yet."""
         return not self.reader.at_eof() and not self.writer.is_closing()
 
     def write(self, data: bytes) -> None:
         """Send bytes."""
         self.writer.write(data)
 
-    async def rest(self) -> bytes:
-        """All that comes until the end of the connection."""
+    async def read_to_end(self) -> bytes:
+        """All bytes until the end of the connection."""
         received = b""
         try:
             while data := await self.reader.read(65536):
@@ -141,8 +149,8 @@
         return received
 
 
-def request_bytes(target: str, request_id: str, body: bytes = UNTOLD) -> bytes:
-    """A whole request."""
+def request_bytes(target: str, request_id: str, body: bytes = REQUEST_BODY) -> bytes:
+    """The bytes of a complete request."""
     lines = [
         f"POST {target} HTTP/1.1",
         f"Host: {SITE}",
@@ -158,45 +166,48 @@
         for name, value in MARGINS.items():
             self.enterContext(mock.patch.object(program, name, value))
         self.enterContext(mock.patch.object(closing, "INGRESS_NOTICE", NOTICE))
-        self.read: set[str] = set()
-        self.enterContext(mock.patch.object(Proxy, "handle", self.noting_handle()))
+        self.received_requests: set[str] = set()
+        self.enterContext(mock.patch.object(Proxy, "handle", self.record_requests()))
         self.lag = LoopLag()
         self.addCleanup(self.lag.stop)
         self.process_ended = False
-        self.server_side: list[asyncio.Transport] = []
-        self.enterContext(mock.patch.object(ClientConnection, "connection_made", self.noting_connection()))
+        self.server_transports: list[asyncio.Transport] = []
+        self.enterContext(mock.patch.object(ClientConnection, "connection_made", self.record_connections()))
         await super().asyncSetUp()
-        self.running.add_done_callback(self.end_process)
+        self.running.add_done_callback(self.abort_all_connections)
         self.enterContext(mock.patch.object(program, "INGRESS_NOTICE", NOTICE))
 
-    def noting_connection(self) -> Callable[[ClientConnection, asyncio.BaseTransport], None]:
-        """What takes a connection in, and notes it; one that comes after the end meets no process."""
+    def record_connections(self) -> Callable[[ClientConnection, asyncio.BaseTransport], None]:
+        """A `connection_made` that records transports, and aborts connections after the process has ended."""
         connection_made = ClientConnection.connection_made
 
-        def noting(connection: ClientConnection, transport: asyncio.BaseTransport) -> None:
+        def record(connection: ClientConnection, transport: asyncio.BaseTransport) -> None:
             connection_made(connection, transport)
             assert isinstance(transport, asyncio.Transport)
-            self.server_side.append(transport)
+            self.server_transports.append(transport)
             if self.process_ended:
                 transport.abort()
 
-        return noting
+        return record
+
+    def abort_all_connections(self, task: object) -> None:
+        """Abort all connections when the dispatcher has ended.
 
-    def end_process(self, task: object) -> None:
-        """Close all sockets, as the end of the process does that the dispatcher would have to itself."""
+        It runs in the process of the test, so its end does not close its sockets.
+        """
         self.process_ended = True
-        for transport in self.server_side:
+        for transport in self.server_transports:
             transport.abort()
 
-    def noting_handle(self) -> Callable[[Proxy, web.BaseRequest], Awaitable[web.StreamResponse]]:
-        """The handler of requests, which notes all that the process has read."""
+    def record_requests(self) -> Callable[[Proxy, web.BaseRequest], Awaitable[web.StreamResponse]]:
+        """A `Proxy.handle` that records the ids of all requests that the dispatcher has read."""
         handle = Proxy.handle
 
-        async def noting(proxy: Proxy, request: web.BaseRequest) -> web.StreamResponse:
-            self.read.add(request.headers["X-Try-Id"])
+        async def record(proxy: Proxy, request: web.BaseRequest) -> web.StreamResponse:
+            self.received_requests.add(request.headers["X-Try-Id"])
             return await handle(proxy, request)
 
-        return noting
+        return record
 
     def make_settings(self) -> NodeSettings:
         settings = super().make_settings()
@@ -206,20 +217,28 @@
         address = self.settings.listen["edge"]
         return Client(*await asyncio.open_connection(HOST, address.port))
 
-    async def prepare(self, target: str, behaviour: Behaviour) -> FakeWorker:
-        """A worker, and a dispatcher that has learned how long its requests take.
+    async def start_worker_and_warm_up(self, target: str, behaviour: Behaviour) -> FakeWorker:
+        """Start a worker, and send it requests from which the dispatcher learns their duration.
 
-        What it learns are the times that the worker means to take, so that a busy machine changes nothing.
+        The dispatcher learns the intended durations instead of the measured ones, so that the test does not
+        depend on the load of the machine.
         """
         worker = await self.start_worker(FakeWorker(behaviour))
-        await self.feed()
-        self.enterContext(mock.patch.object(DurationMeter, "observe", self.teaching(*INTENDED[target])))
-        lessons = (self.send(target, f"lesson-{number}") for number in range(LESSONS))
-        await within(asyncio.gather(*lessons))
+        await self.publish_until_ready()
+        self.enterContext(
+            mock.patch.object(
+                DurationMeter, "observe", self.observe_intended_durations(*INTENDED_DURATIONS[target])
+            )
+        )
+        requests = (self.send(target, f"lesson-{number}") for number in range(WARM_UP_REQUESTS))
+        await within(asyncio.gather(*requests))
         return worker
 
-    def teaching(self, head: float, rest: float) -> Callable[..., None]:
-        """What observes an attempt; the times that were measured are never shorter than those intended."""
+    def observe_intended_durations(self, head: float, rest: float) -> Callable[..., None]:
+        """A `DurationMeter.observe` that replaces the measured durations by the intended ones.
+
+        It checks that the measured durations are not shorter than those.
+        """
         observe = DurationMeter.observe
 
         def observing(
@@ -229,124 +248,134 @@
             measured_rest: float,
             now: float,
         ) -> None:
-            self.assertGreaterEqual(measured_head + measured_rest, MEASURED_SHARE * (head + rest))
+            self.assertGreaterEqual(measured_head + measured_rest, MIN_MEASURED_SHARE * (head + rest))
             observe(meter, request, head, rest, now)
 
         return observing
 
-    def stop(self) -> float:
-        """SIGTERM; returns the time of it."""
+    def send_sigterm(self) -> float:
+        """Send SIGTERM; returns the time."""
         os.kill(os.getpid(), signal.SIGTERM)
         return asyncio.get_running_loop().time()
 
-    async def send_old(self, client: Client, target: str, request_id: str, at: float) -> Exchanged | None:
-        """Send over an open connection; None if the dispatcher closed it before."""
-        await moment(at)
-        if not client.open:
+    async def send_over_open_connection(
+        self, client: Client, target: str, request_id: str, at: float
+    ) -> ClientExchange | None:
+        """Send over an open connection; None if the dispatcher has closed it already."""
+        await sleep_until(at)
+        if not client.is_open:
             return None
         client.write(request_bytes(target, request_id))
-        return Exchanged(request_id, at, await asyncio.wait_for(client.rest(), 2 * GRACE))
+        return ClientExchange(request_id, at, await asyncio.wait_for(client.read_to_end(), 2 * GRACE))
 
-    async def send_new(self, target: str, request_id: str, at: float) -> Exchanged | None:
-        """Send over a connection of its own; None if the dispatcher listens no more."""
-        await moment(at)
+    async def send_over_new_connection(
+        self, target: str, request_id: str, at: float
+    ) -> ClientExchange | None:
+        """Send over a new connection; None if the dispatcher no longer listens."""
+        await sleep_until(at)
         try:
             client = await self.connect()
         except ConnectionError:
             return None
         client.write(request_bytes(target, request_id))
-        return Exchanged(request_id, at, await asyncio.wait_for(client.rest(), 2 * GRACE))
+        return ClientExchange(request_id, at, await asyncio.wait_for(client.read_to_end(), 2 * GRACE))
 
-    async def play(self, target: str) -> Play:
-        """Send at every moment of the grace, over old and new connections."""
-        old = [await self.connect() for _ in range(MOMENTS)]
+    async def send_throughout_grace(self, target: str) -> ShutdownRun:
+        """Send requests throughout the grace period, over open connections and over new ones."""
+        open_clients = [await self.connect() for _ in range(SENDING_TIMES)]
         loop = asyncio.get_running_loop()
         ends: list[float] = []
         self.running.add_done_callback(lambda task: ends.append(loop.time()))
-        began = self.stop()
-        olds = (
-            self.send_old(client, target, f"old-{number}", began + number * STEP)
-            for number, client in enumerate(old)
+        began = self.send_sigterm()
+        over_open = (
+            self.send_over_open_connection(client, target, f"old-{number}", began + number * SENDING_INTERVAL)
+            for number, client in enumerate(open_clients)
+        )
+        over_new = (
+            self.send_over_new_connection(target, f"new-{number}", began + number * SENDING_INTERVAL)
+            for number in range(SENDING_TIMES)
         )
-        news = (self.send_new(target, f"new-{number}", began + number * STEP) for number in range(MOMENTS))
-        outcomes = await asyncio.wait_for(asyncio.gather(*olds, *news), 3 * GRACE)
+        exchanges = await asyncio.wait_for(asyncio.gather(*over_open, *over_new), 3 * GRACE)
         await within(self.running)
         self.assertLessEqual(ends[0] - began, GRACE + self.lag.lost_between(began, ends[0]))
-        old_ones = [outcome for outcome in outcomes[:MOMENTS] if outcome is not None]
-        new_ones = [outcome for outcome in outcomes[MOMENTS:] if outcome is not None]
-        return Play(began, old_ones, new_ones)
+        old_exchanges = [exchange for exchange in exchanges[:SENDING_TIMES] if exchange is not None]
+        new_exchanges = [exchange for exchange in exchanges[SENDING_TIMES:] if exchange is not None]
+        return ShutdownRun(began, old_exchanges, new_exchanges)
 
-    def check(self, play: Play, worker: FakeWorker) -> None:
-        """What reached the worker was answered whole; whatever else was answered was refused with a time.
+    def check_exchanges(self, run: ShutdownRun, worker: FakeWorker) -> None:
+        """Each request that reached the worker got a complete 200; any other response is a proper rejection.
 
-        A request that reached the worker may fail where this process, which plays all sides, got no processor
-        for longer than it left for stalls. That a refusal is true, and a failure told, holds even then.
+        A request that reached the worker may fail if this process, which runs all sides of the test, stalled
+        for longer than the reserve. Even then, a rejected request has not reached the worker, and one that
+        reached it gets 200 or 502.
         """
-        for one in play.old + play.new:
-            with self.subTest(request=one.request_id):
-                reached = bool(worker.requests_of(one.request_id))
-                if reached and not self.was_stalled(one, play):
-                    self.assertEqual(200, one.status)
-                    self.assertTrue(one.whole)
-                if one.request_id in self.read and not self.was_stalled(one, play):
-                    self.assertTrue(one.answer)
-                if one.answer:
-                    self.check_answer(one, reached, self.was_stalled(one, play))
-
-    def check_answer(self, one: Exchanged, reached: bool, stalled: bool) -> None:
-        """A refusal is whole and tells when to come back; what reached the worker is never refused."""
-        self.assertIn(b"connection: close", one.headers)
+        for exchange in run.over_open_connections + run.over_new_connections:
+            with self.subTest(request=exchange.request_id):
+                reached = bool(worker.requests_of(exchange.request_id))
+                if reached and not self.was_stalled(exchange, run):
+                    self.assertEqual(200, exchange.status)
+                    self.assertTrue(exchange.is_complete)
+                if exchange.request_id in self.received_requests and not self.was_stalled(exchange, run):
+                    self.assertTrue(exchange.response)
+                if exchange.response:
+                    self.check_response(exchange, reached, self.was_stalled(exchange, run))
+
+    def check_response(self, exchange: ClientExchange, reached: bool, stalled: bool) -> None:
+        """A rejection is complete and has Retry-After; a request that reached the worker is not rejected."""
+        self.assertIn(b"connection: close", exchange.head)
         if reached:
-            self.assertIn(one.status, (200, 502))
-        elif not (stalled and one.status == 502):  # sent, and cut off before it reached the worker
-            self.assertEqual((503, True), (one.status, one.whole))
-            self.assertIn(b"retry-after", one.headers)
-
-    def was_stalled(self, one: Exchanged, play: Play) -> bool:
-        """Whether this process got no processor for longer than it leaves for stalls, since it was sent."""
-        closes_at = play.began + GRACE - program.CLOSING_MARGIN
-        return self.lag.lost_between(one.sent_at, closes_at) > closing.STALL_RESERVE
-
-    async def test_streams_at_every_moment_are_answered_whole_or_refused_at_once(self) -> None:
-        worker = await self.prepare(STREAM, paced_stream(STREAM_TIME, EVENTS))
-        play = await self.play(STREAM)
-        self.check(play, worker)
-        began, old, new = play.began, play.old, play.new
-        early = [one for one in old + new if one.sent_at - began < NOTICE - STEP]
-        self.assertEqual({200}, {one.status for one in early if one.answer})
-        for one in old + new:
-            if not one.answer:  # its connection was closed at the same moment
-                self.assertGreaterEqual(one.sent_at - began, NOTICE - STEP)
-        self.assertIn(503, {one.status for one in new})
-
-    async def test_short_requests_are_served_until_the_last_moments(self) -> None:
-        worker = await self.prepare(MUTATING, responding())
+            self.assertIn(exchange.status, (200, 502))
+        elif not (stalled and exchange.status == 502):  # sent, and cut off before it reached the worker
+            self.assertEqual((503, True), (exchange.status, exchange.is_complete))
+            self.assertIn(b"retry-after", exchange.head)
+
+    def was_stalled(self, exchange: ClientExchange, run: ShutdownRun) -> bool:
+        """Whether this process stalled for longer than the reserve after the request was sent."""
+        closes_at = run.began + GRACE - program.CLOSING_MARGIN
+        return self.lag.lost_between(exchange.sent_at, closes_at) > closing.STALL_RESERVE
+
+    async def test_streams_requested_at_any_time_are_complete_or_rejected_at_once(self) -> None:
+        worker = await self.start_worker_and_warm_up(STREAM, paced_stream(STREAM_TIME, EVENTS))
+        run = await self.send_throughout_grace(STREAM)
+        self.check_exchanges(run, worker)
+        began, old, new = run.began, run.over_open_connections, run.over_new_connections
+        early = [exchange for exchange in old + new if exchange.sent_at - began < NOTICE - SENDING_INTERVAL]
+        self.assertEqual({200}, {exchange.status for exchange in early if exchange.response})
+        for exchange in old + new:
+            if not exchange.response:  # its connection was closed at the same moment
+                self.assertGreaterEqual(exchange.sent_at - began, NOTICE - SENDING_INTERVAL)
+        self.assertIn(503, {exchange.status for exchange in new})
+
+    async def test_short_requests_are_served_until_shortly_before_the_end(self) -> None:
+        worker = await self.start_worker_and_warm_up(MUTATING, responding())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
-        play = await self.play(MUTATING)
-        self.check(play, worker)
-        served = [one.sent_at - play.began for one in play.new if one.status == 200]
+        run = await self.send_throughout_grace(MUTATING)
+        self.check_exchanges(run, worker)
+        served = [
+            exchange.sent_at - run.began for exchange in run.over_new_connections if exchange.status == 200
+        ]
         self.assertTrue(served)
-        self.assertGreater(max(served), GRACE / 2 - closing.STALL_SAFETY * self.lag.longest)
-        held = Exchanged("held", play.began, await within(holding.rest()))
-        self.assertEqual((503, True), (held.status, held.whole))
+        self.assertGreater(max(served), GRACE / 2 - closing.STALL_SAFETY_FACTOR * self.lag.longest)
+        held = ClientExchange("held", run.began, await within(holding.read_to_end()))
+        self.assertEqual((503, True), (held.status, held.is_complete))
         self.assertEqual([], worker.requests_of("held"))
 
-    async def test_a_short_request_just_before_the_end_is_refused_as_a_stall_would_cut_it(self) -> None:
-        worker = await self.prepare(MUTATING, responding())
+    async def test_a_short_request_is_rejected_when_a_stall_could_cut_it(self) -> None:
+        worker = await self.start_worker_and_warm_up(MUTATING, responding())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
-        self.addAsyncCleanup(holding.rest)
-        closes_at = self.stop() + GRACE - program.CLOSING_MARGIN
-        late = await self.send_new(MUTATING, "late", closes_at - closing.STALL_RESERVE / 2)
+        self.addAsyncCleanup(holding.read_to_end)
+        closes_at = self.send_sigterm() + GRACE - program.CLOSING_MARGIN
+        late = await self.send_over_new_connection(MUTATING, "late", closes_at - closing.STALL_RESERVE / 2)
         assert late is not None
-        self.assertEqual((503, True), (late.status, late.whole))
-        self.assertIn(b"retry-after", late.headers)
+        self.assertEqual((503, True), (late.status, late.is_complete))
+        self.assertIn(b"retry-after", late.head)
         self.assertEqual([], worker.requests_of("late"))
         await within(self.running)
 
-    def noticing_lag(self, least: float) -> asyncio.Event:
-        """An event that is set once the dispatcher has noticed a stall that lasted so many seconds."""
+    def watch_for_stall(self, least: float) -> asyncio.Event:
+        """An event that is set once the dispatcher has measured a stall of at least `least` seconds."""
         noticed = asyncio.Event()
         observe = LoopMeter.observe
 
@@ -358,112 +387,112 @@
         self.enterContext(mock.patch.object(LoopMeter, "observe", observing))
         return noticed
 
-    async def test_a_process_that_was_held_up_lately_leaves_more_time_for_the_next_stall(self) -> None:
-        worker = await self.prepare(MUTATING, responding())
-        noticed = self.noticing_lag(HELD_UP / 2)
-        time.sleep(HELD_UP)  # the loop gets no processor
+    async def test_a_process_with_a_recent_stall_reserves_more_time_for_the_next_one(self) -> None:
+        worker = await self.start_worker_and_warm_up(MUTATING, responding())
+        noticed = self.watch_for_stall(STALL / 2)
+        time.sleep(STALL)  # blocks the event loop
         await within(noticed.wait())
         holding = await self.connect()
         holding.write(request_bytes(MUTATING, "held")[:-1])
-        self.addAsyncCleanup(holding.rest)
-        closes_at = self.stop() + GRACE - program.CLOSING_MARGIN
-        late = await self.send_new(MUTATING, "late", closes_at - HELD_UP / 2)
+        self.addAsyncCleanup(holding.read_to_end)
+        closes_at = self.send_sigterm() + GRACE - program.CLOSING_MARGIN
+        late = await self.send_over_new_connection(MUTATING, "late", closes_at - STALL / 2)
         assert late is not None
-        self.assertEqual((503, True), (late.status, late.whole))
+        self.assertEqual((503, True), (late.status, late.is_complete))
         self.assertEqual([], worker.requests_of("late"))
         await within(self.running)
 
-    async def test_idle_connections_are_closed_once_the_platform_noticed(self) -> None:
-        await self.prepare(MUTATING, responding())
+    async def test_idle_connections_are_closed_once_the_platform_has_noticed_the_shutdown(self) -> None:
+        await self.start_worker_and_warm_up(MUTATING, responding())
         idle = [await self.connect() for _ in range(5)]
-        began = self.stop()
+        began = self.send_sigterm()
         for client in idle:
-            self.assertEqual(b"", await within(client.rest()))
+            self.assertEqual(b"", await within(client.read_to_end()))
         self.assertGreaterEqual(asyncio.get_running_loop().time() - began, NOTICE)
         await within(self.running)
         self.assertLess(asyncio.get_running_loop().time() - began, GRACE / 2)
 
-    async def test_a_request_half_read_is_not_cut_when_idle_connections_are_closed(self) -> None:
-        await self.prepare(MUTATING, responding())
+    async def test_a_partly_received_request_is_not_cut_when_idle_connections_are_closed(self) -> None:
+        await self.start_worker_and_warm_up(MUTATING, responding())
         for cut_at in (10, -1):
             client = await self.connect()
-            whole = request_bytes(MUTATING, f"half-{cut_at}")
-            client.write(whole[:cut_at])
-            self.addAsyncCleanup(client.rest)
+            request = request_bytes(MUTATING, f"half-{cut_at}")
+            client.write(request[:cut_at])
+            self.addAsyncCleanup(client.read_to_end)
             if cut_at == -1:
                 last = client
             else:
-                first, remainder = client, whole[cut_at:]
+                first, remainder = client, request[cut_at:]
         idle = await self.connect()
-        self.stop()
-        self.assertEqual(b"", await within(idle.rest()))
+        self.send_sigterm()
+        self.assertEqual(b"", await within(idle.read_to_end()))
         first.write(remainder)
-        last.write(UNTOLD[-1:])
+        last.write(REQUEST_BODY[-1:])
         for client in (first, last):
-            answer = Exchanged("half", 0.0, await within(client.rest()))
-            self.assertEqual((200, True), (answer.status, answer.whole))
+            exchange = ClientExchange("half", 0.0, await within(client.read_to_end()))
+            self.assertEqual((200, True), (exchange.status, exchange.is_complete))
         await within(self.running)
 
-    async def test_a_long_answer_is_flushed_to_a_slow_reader_before_the_process_ends(self) -> None:
+    async def test_a_long_response_is_flushed_to_a_slow_reader_before_the_process_ends(self) -> None:
         body = b"x" * 4_000_000
-        await self.prepare(MUTATING, responding(body))
+        await self.start_worker_and_warm_up(MUTATING, responding(body))
         client = await self.connect()
         client.write(request_bytes(MUTATING, "slow"))
         await within(client.reader.readexactly(1))
-        self.stop()
-        answer = Exchanged("slow", 0.0, b"H" + await within(client.rest()))
-        self.assertEqual((200, True), (answer.status, answer.whole))
+        self.send_sigterm()
+        exchange = ClientExchange("slow", 0.0, b"H" + await within(client.read_to_end()))
+        self.assertEqual((200, True), (exchange.status, exchange.is_complete))
         await within(self.running)
 
-    async def test_an_answer_is_waited_for_after_the_listener_was_closed(self) -> None:
+    async def test_a_response_is_awaited_after_the_listener_was_closed(self) -> None:
         self.enterContext(mock.patch.object(program, "FIRST_REQUEST_LIMIT", GRACE / 4))
         release = asyncio.Event()
-        worker = await self.prepare_held(release)
+        worker = await self.start_delayed_worker(release)
         client = await self.connect()
         client.write(request_bytes(MUTATING, "late"))
-        await within(worker.request_came.wait())
-        self.stop()
-        await within(self.listener_closed())
-        await moment(asyncio.get_running_loop().time() + 4 * program.SHUTDOWN_LIMIT)
+        await within(worker.request_received.wait())
+        self.send_sigterm()
+        await within(self.wait_for_closed_listener())
+        await sleep_until(asyncio.get_running_loop().time() + 4 * program.SHUTDOWN_TIMEOUT)
         release.set()
-        answer = Exchanged("late", 0.0, await within(client.rest()))
-        self.assertEqual((200, True), (answer.status, answer.whole))
+        exchange = ClientExchange("late", 0.0, await within(client.read_to_end()))
+        self.assertEqual((200, True), (exchange.status, exchange.is_complete))
         await within(self.running)
 
-    async def listener_closed(self) -> None:
-        """Wait until new connections are refused."""
+    async def wait_for_closed_listener(self) -> None:
+        """Wait until the dispatcher refuses new connections."""
         while True:
             try:
                 (await self.connect()).writer.close()
             except ConnectionError:
                 return
 
-    async def prepare_held(self, release: asyncio.Event) -> FakeWorker:
-        """A worker that answers once the test says so."""
+    async def start_delayed_worker(self, release: asyncio.Event) -> FakeWorker:
+        """Start a worker that responds once the test sets `release`."""
         worker = await self.start_worker(FakeWorker(delayed_until(responding(), release)))
-        await self.feed()
+        await self.publish_until_ready()
         return worker
 
-    async def test_a_request_under_way_at_the_very_end_gets_a_failure_that_is_whole(self) -> None:
-        """It was sent before SIGTERM and lasts longer than all others: it may have run."""
-        worker = await self.prepare_held(asyncio.Event())
+    async def test_a_request_in_flight_at_the_closing_time_gets_a_complete_error_response(self) -> None:
+        """It was sent to a worker before SIGTERM, so it may have run."""
+        worker = await self.start_delayed_worker(asyncio.Event())
         client = await self.connect()
         client.write(request_bytes(MUTATING, "held"))
-        await within(worker.request_came.wait())
-        self.stop()
-        answer = Exchanged("held", 0.0, await within(client.rest()))
-        self.assertEqual((502, True), (answer.status, answer.whole))
+        await within(worker.request_received.wait())
+        self.send_sigterm()
+        exchange = ClientExchange("held", 0.0, await within(client.read_to_end()))
+        self.assertEqual((502, True), (exchange.status, exchange.is_complete))
         await within(self.running)
 
 
 class ClosingTimeTests(unittest.IsolatedAsyncioTestCase):
-    def test_what_is_under_way_ends_within_the_last_sixth_of_the_grace(self) -> None:
-        """A request that is cut sooner, or whose answer is not flushed after it, counts as lost."""
+    def test_requests_in_flight_are_ended_within_the_last_sixth_of_the_grace(self) -> None:
+        """A request that is cut earlier, or whose response is not flushed afterwards, counts as lost."""
         self.assertLess(program.CLOSING_MARGIN, Bounds().grace / 6)
         self.assertLess(0.0, program.EXIT_MARGIN)
         self.assertLess(program.EXIT_MARGIN, program.CLOSING_MARGIN)
 
-    async def test_scopes_end_at_a_closing_time_that_is_set_later(self) -> None:
+    async def test_scopes_expire_at_a_closing_time_that_is_set_later(self) -> None:
         loop = asyncio.get_running_loop()
         closing_time = ClosingTime()
         never = loop.create_future()
@@ -475,80 +504,80 @@
 
     def test_the_reserve_follows_the_longest_stall(self) -> None:
         self.assertEqual(closing.STALL_RESERVE, ClosingTime.stall_reserve(0.0))
-        self.assertEqual(closing.STALL_SAFETY * 0.5, ClosingTime.stall_reserve(0.5))
+        self.assertEqual(closing.STALL_SAFETY_FACTOR * 0.5, ClosingTime.stall_reserve(0.5))
 
-    async def test_only_what_ends_in_time_is_allowed(self) -> None:
+    async def test_only_durations_that_end_before_the_closing_time_are_allowed(self) -> None:
         closing_time = ClosingTime()
-        self.assertTrue(closing_time.allows(1e9, 0.0))
+        self.assertTrue(closing_time.allows_duration(1e9, 0.0))
         closing_time.set(10.0, 2.0)
-        self.assertTrue(closing_time.allows(4.0, 6.0))
-        self.assertFalse(closing_time.allows(4.1, 6.0))
-        self.assertTrue(closing_time.unnoticed(2.0 + closing.INGRESS_NOTICE - 0.1))
-        self.assertFalse(closing_time.unnoticed(2.0 + closing.INGRESS_NOTICE + 0.1))
+        self.assertTrue(closing_time.allows_duration(4.0, 6.0))
+        self.assertFalse(closing_time.allows_duration(4.1, 6.0))
+        self.assertTrue(closing_time.arrived_before_notice(2.0 + closing.INGRESS_NOTICE - 0.1))
+        self.assertFalse(closing_time.arrived_before_notice(2.0 + closing.INGRESS_NOTICE + 0.1))
 
 
 ROUTE = Route("r", SITE, STREAM, RouteKind.STREAM, 15_000, 500, 1, (), 1, True, False, 0)
 
 
 def routed(route: str = "r", tokens: str = "100,50") -> RoutedRequest:
-    """A request that came at time 0 and has 15 s."""
+    """A request that arrived at time 0 with 15 s left."""
     headers = CIMultiDict({"X-Tokens": tokens})
     found = replace(ROUTE, name=route)
     return RoutedRequest("id", "POST", STREAM, found, "models", None, (), headers, b"", 0.0, 15.0)
 
 
 class DurationTests(unittest.TestCase):
-    def test_an_unknown_kind_may_take_all_its_time(self) -> None:
+    def test_without_samples_the_estimate_is_all_time_left(self) -> None:
         meter = DurationMeter()
-        self.assertEqual(15.0, meter.likely(routed(), 0.0))
-        self.assertEqual(5.0, meter.upper(routed(), 10.0))
+        self.assertEqual(15.0, meter.likely_bound(routed(), 0.0))
+        self.assertEqual(5.0, meter.upper_bound(routed(), 10.0))
 
-    def test_the_answers_tokens_scale_the_expectation(self) -> None:
+    def test_the_output_tokens_scale_the_estimate(self) -> None:
         meter = DurationMeter()
         for _ in range(20):
             meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
-        short, long = meter.likely(routed(), 0.0), meter.likely(routed(tokens="100,100"), 0.0)
+        short, long = meter.likely_bound(routed(), 0.0), meter.likely_bound(routed(tokens="100,100"), 0.0)
         self.assertAlmostEqual(1.1, short, delta=0.1)
         self.assertAlmostEqual(2.1, long, delta=0.1)
 
-    def test_a_route_without_requests_is_judged_by_its_service(self) -> None:
+    def test_a_route_without_requests_has_the_estimate_of_its_service(self) -> None:
         meter = DurationMeter()
         for _ in range(20):
             meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
-        self.assertLess(meter.upper(routed(route="other"), 0.0), 2.0 * durations.SAFETY)
+        self.assertLess(meter.upper_bound(routed(route="other"), 0.0), 2.0 * durations.SAFETY_FACTOR)
 
     def test_too_few_samples_give_no_upper_bound(self) -> None:
         meter = DurationMeter()
-        for _ in range(durations.ENOUGH_SAMPLES - 1):
+        for _ in range(durations.MIN_SAMPLES - 1):
             meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
-        self.assertEqual(15.0, meter.upper(routed(), 0.0))
+        self.assertEqual(15.0, meter.upper_bound(routed(), 0.0))
         meter.observe(routed(), head=0.1, rest=1.0, now=0.0)
-        self.assertLess(meter.upper(routed(), 0.0), 15.0)
+        self.assertLess(meter.upper_bound(routed(), 0.0), 15.0)
 
-    def test_the_longest_counts_for_the_upper_bound_and_is_forgotten(self) -> None:
+    def test_the_longest_duration_raises_the_upper_bound_and_decays(self) -> None:
         estimate = DurationEstimate()
         estimate.observe(9.0, 0.0)
         for _ in range(60):
             estimate.observe(1.0, 0.0)
-        self.assertGreater(estimate.upper(0.0), 8.5)
-        self.assertLess(estimate.likely(), 2.0)
-        self.assertLess(estimate.upper(200.0), 2.0)
+        self.assertGreater(estimate.upper_bound(0.0), 8.5)
+        self.assertLess(estimate.likely_bound(), 2.0)
+        self.assertLess(estimate.upper_bound(200.0), 2.0)
 
 
 class ClientServerTests(unittest.IsolatedAsyncioTestCase):
-    """Fails when the attributes of aiohttp's handler on which the module relies change."""
+    """These tests fail if the private attributes of aiohttp's handler that the module uses change."""
 
     async def asyncSetUp(self) -> None:
         self.release = asyncio.Event()
-        self.came = asyncio.Event()
-        self.server = ClientServer(self.answer, access_log=None)
+        self.request_received = asyncio.Event()
+        self.server = ClientServer(self.handle, access_log=None)
         self.runner = web.ServerRunner(self.server, handle_signals=False, shutdown_timeout=0.05)
         await self.runner.setup()
         self.addAsyncCleanup(self.runner.cleanup)
         await web.TCPSite(self.runner, HOST, 0).start()
 
-    async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        self.came.set()
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        self.request_received.set()
         await self.release.wait()
         return web.Response(text="ok")
 
@@ -556,7 +585,7 @@
         client = Client(*await asyncio.open_connection(HOST, self.runner.addresses[0][1]))
         while not self.server.connections:
             await asyncio.sleep(0)
-        await turn_loop()
+        await run_loop_turns()
         return client
 
     async def test_a_connection_without_a_request_is_closed(self) -> None:
@@ -564,35 +593,35 @@
         self.server.close_idle(60.0)
         self.assertEqual(1, len(self.server.connections))
         self.server.close_idle(0.0)
-        self.assertEqual(b"", await within(client.rest()))
+        self.assertEqual(b"", await within(client.read_to_end()))
 
-    async def test_a_connection_with_part_of_a_head_stays(self) -> None:
+    async def test_a_connection_with_a_partly_received_head_stays_open(self) -> None:
         self.release.set()
         client = await self.connect()
-        whole = request_bytes("/", "id")
-        client.write(whole[:20])
-        await turn_loop()
-        await turn_loop()
+        request = request_bytes("/", "id")
+        client.write(request[:20])
+        await run_loop_turns()
+        await run_loop_turns()
         self.server.close_idle(0.0)
-        client.write(whole[20:])
+        client.write(request[20:])
         self.assertIn(b"200", await within(client.reader.readline()))
 
-    async def test_a_connection_whose_request_is_answered_stays(self) -> None:
+    async def test_a_connection_with_a_request_in_progress_stays_open(self) -> None:
         client = await self.connect()
         client.write(request_bytes("/", "id"))
-        await within(self.came.wait())
+        await within(self.request_received.wait())
         self.server.close_idle(0.0)
         self.release.set()
         self.assertIn(b"200", await within(client.reader.readline()))
         self.assertIn(b"ok", await within(client.reader.readuntil(b"ok")))
-        await turn_loop()
+        await run_loop_turns()
         self.server.close_idle(0.0)
-        self.assertEqual(b"", await within(client.rest()))
+        self.assertEqual(b"", await within(client.read_to_end()))
 
 
 class ClientListenerTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        server = ClientServer(self.answer, access_log=None)
+        server = ClientServer(self.handle, access_log=None)
         runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=0.05)
         await runner.setup()
         self.addAsyncCleanup(runner.cleanup)
@@ -604,13 +633,13 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: self.failures.append(context))
 
-    async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         response = web.Response(text="ok")
         response.force_close()
         return response
 
-    def connect_each_turn(self) -> None:
-        """Open a connection with a whole request in this turn of the event loop, and in each that follows."""
+    def connect_in_each_iteration(self) -> None:
+        """Open a connection with a complete request in this and each further iteration of the event loop."""
         if not self.connecting:
             return
         try:
@@ -619,35 +648,38 @@
             return
         client.sendall(request_bytes("/", str(len(self.clients))))
         self.clients.append(client)
-        asyncio.get_running_loop().call_soon(self.connect_each_turn)
+        asyncio.get_running_loop().call_soon(self.connect_in_each_iteration)
 
-    async def stop_after(self, connections: int) -> None:
-        """Close the listener among connections; errors of the event loop, such as lost ones, are failures."""
-        self.connect_each_turn()
+    async def stop_listener_after(self, connections: int) -> None:
+        """Close the listener while connections are opened.
+
+        Errors that the event loop reports, such as a lost connection, are failures.
+        """
+        self.connect_in_each_iteration()
         while len(self.clients) < connections:
             await asyncio.sleep(0)
         await self.listener.stop()
         self.connecting = False
-        answers = await within(asyncio.gather(*(self.read_all(client) for client in self.clients)))
+        responses = await within(asyncio.gather(*(self.read_all(client) for client in self.clients)))
         self.assertEqual([], self.failures)
-        answered = [answer for answer in answers if answer]
-        self.assertGreaterEqual(len(answered), connections)
-        for answer in answered:
-            self.assertIn(b" 200 ", answer)
+        received = [response for response in responses if response]
+        self.assertGreaterEqual(len(received), connections)
+        for response in received:
+            self.assertIn(b" 200 ", response)
 
-    async def test_no_accepted_connection_is_lost_by_a_stop_in_the_turn_of_an_accept(self) -> None:
-        await self.stop_after(10)
+    async def test_no_connection_is_lost_by_a_stop_in_the_iteration_of_an_accept(self) -> None:
+        await self.stop_listener_after(10)
 
-    async def test_no_accepted_connection_is_lost_by_a_stop_in_the_turn_after_an_accept(self) -> None:
-        """Each accept takes in the connections of two turns, so the other one is tested too."""
-        await self.stop_after(11)
+    async def test_no_connection_is_lost_by_a_stop_in_the_iteration_after_an_accept(self) -> None:
+        """Each accept covers the connections of two iterations, so both are tested."""
+        await self.stop_listener_after(11)
 
     @staticmethod
     async def read_all(client: socket.socket) -> bytes:
-        """All that comes until the end; nothing from a connection that was never accepted."""
+        """All bytes until the end of the connection; none if it was never accepted."""
         client.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=client)
-        return await Client(reader, writer).rest()
+        return await Client(reader, writer).read_to_end()
 
 
 if __name__ == "__main__":
