--- a/rookwood/coordination/__init__.py
+++ b/rookwood/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Primary-backup replication of one document between the machines that hold control state."""
+"""Primary-backup replication of one document between the control machines."""
--- a/rookwood/coordination/activity.py
+++ b/rookwood/coordination/activity.py
@@ -1,6 +1,6 @@
-"""What one member has done since its process started: elections, refusals, disk writes.
+"""Counters of one member since its process started: elections, refusals, disk writes.
 
-It is told from the effects of the replica, whose decisions stay free of it.
+They are derived from the replica's effects, so the replica itself does not count anything.
 """
 
 import time
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class WriteAttempt:
-    """One write; whoever makes it sets whether it succeeded."""
+    """One disk write; the code that makes it sets `succeeded`."""
 
     succeeded: bool = False
 
 
 @dataclass(slots=True)
 class WriteTimes:
-    """Durable writes and their durations in seconds; changed by the storage's thread alone."""
+    """Disk writes and their durations in seconds; updated by the storage thread only."""
 
     writes: int = 0
     failures: int = 0
@@ -30,7 +30,7 @@
 
     @contextmanager
     def measure(self) -> Iterator[WriteAttempt]:
-        """Measure the write made inside."""
+        """Measure and count the write that is made in this context."""
         attempt = WriteAttempt()
         began = time.monotonic()
         try:
@@ -48,10 +48,10 @@
 
 @dataclass(slots=True)
 class GroupActivity:
-    """Counts of one member.
+    """Counters of one member.
 
-    `elections` are epochs for which it asked for votes, `pre_votes` the ballots in which it asked whether
-    others hear no primary; each question counts, so one long pre-vote counts several times.
+    `elections` counts the epochs for which it requested votes, `pre_votes` the ballots of its pre-vote
+    requests. Each repetition has a new ballot, so a long pre-vote counts several times.
     """
 
     elections: int = 0
@@ -64,7 +64,7 @@
     _last_ballot: int | None = None
 
     def sending(self, message: Message) -> None:
-        """Count a message that the replica sends; those to several members count once."""
+        """Count a message that the replica sends; a request to several members counts once."""
         match message:
             case VoteRequest() if message.epoch > self._last_election:
                 self._last_election = message.epoch
--- a/rookwood/coordination/admission.py
+++ b/rookwood/coordination/admission.py
@@ -1,7 +1,7 @@
-"""How a machine whose storage is not admitted finds the group, and asks to be taken in.
+"""How a machine whose storage is not admitted finds the group and asks to be admitted.
 
-A storage that begins empty has a token of its own, whatever the machine held before: it is a new member,
-and what was lost counts for nothing. The primary admits it once it has a synced copy.
+An empty storage gets a new token, whatever the machine stored before. So the machine joins as a new member,
+and promises and copies that it lost do not count. The primary admits it once it has a synced copy.
 """
 
 from dataclasses import replace
@@ -12,40 +12,40 @@
 
 
 class Admission:
-    """Asks every known machine until this one is a member."""
+    """Asks every known machine to admit this one, until it is a member."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._ask_at = context.now
+        self._next_request_at = context.now
 
     def tick(self) -> None:
-        """Ask again when it is time."""
-        if self._context.now < self._ask_at:
+        """Send the requests when they are due."""
+        if self._context.now < self._next_request_at:
             return
-        self._ask_at = self._context.now + self._context.timing.inquiry
+        self._next_request_at = self._context.now + self._context.timing.inquiry
         for ip in self._known_machines():
-            self._context.send(ip, Inquiry(self._context.newest_position()))
+            self._context.send(ip, Inquiry(self._context.configuration_position()))
             self._context.send(ip, JoinRequest(self._context.journal.latest.token))
 
     def next_wakeup(self) -> float:
-        """Return when to ask again."""
-        return self._ask_at
+        """Return when the next requests are due."""
+        return self._next_request_at
 
     def on_situation(self, situation: Situation) -> None:
-        """Learn from another machine's answer who the members are."""
+        """Record the configuration that another machine reports."""
         document = situation.document
         if situation.inquirer == self._context.incarnation and document is not None:
-            self._context.note_configuration(document.position, document.configuration)
+            self._context.record_configuration(document.position, document.configuration)
 
     def _known_machines(self) -> tuple[str, ...]:
         everyone = (*self._context.seeds, *self._context.configuration().everyone())
         return tuple(ip for ip in dict.fromkeys(everyone) if ip != self._context.ip)
 
 
-def answer_inquiry(context: Context, sender: str, incarnation: int, inquiry: Inquiry) -> None:
-    """Tell a machine that takes no part who the members are, without what they replicate.
+def respond_to_inquiry(context: Context, sender: str, incarnation: int, inquiry: Inquiry) -> None:
+    """Report the configuration, without the payload, to a machine that is not a member.
 
-    The payload would be sent for nothing, many times a second while changes go on.
+    The payload is of no use to it, and would be sent many times a second while changes go on.
     """
     record = context.journal.latest
     newer = record.document.position > inquiry.known
@@ -54,17 +54,17 @@
     context.send(sender, Situation(incarnation, recovering, record.promised, document))
 
 
-def may_answer_candidate(context: Context, candidate: str, position: Position | None) -> bool:
-    """Tell whether this member answers a candidate whose document is at the position.
+def may_respond_to_candidate(context: Context, candidate: str, position: Position | None) -> bool:
+    """Return whether this machine may respond to a candidate whose document is at this position.
 
-    A candidate that is no member any more learns who they are. One with a newer document may know newer
-    members than this one does, itself among them, and is answered.
+    A candidate that is no longer a member is sent the newer configuration instead. A candidate with a newer
+    document may know a newer configuration that includes it, so it gets a response.
     """
     if not context.is_member():
         return False
-    own = context.newest_position()
-    is_newer = position is not None and position > own
+    own_position = context.configuration_position()
+    is_newer = position is not None and position > own_position
     if is_newer or context.configuration().has_address(candidate):
         return True
-    context.send(candidate, MembershipNotice(own, context.configuration()))
+    context.send(candidate, MembershipNotice(own_position, context.configuration()))
     return False
--- a/rookwood/coordination/codec.py
+++ b/rookwood/coordination/codec.py
@@ -1,4 +1,4 @@
-"""Binary form of messages and records: Avro bodies behind a type byte and a version byte."""
+"""The binary encoding of messages and records: a type byte, a version byte, and an Avro body."""
 
 from collections.abc import Callable
 from dataclasses import fields
@@ -27,13 +27,13 @@
     WriteFailed,
 )
 
-SCHEMA_VERSION = 1
+FIRST_VERSION = 1
 SECOND_VERSION = 2
 HEADER_BYTES = 2
 
 
 class DecodeError(Exception):
-    """A frame is not of a known type and version, or its body is broken."""
+    """A frame has an unknown type or version, or its body is malformed."""
 
 
 _POSITION = {
@@ -63,14 +63,14 @@
         {"name": "payload", "type": "bytes"},
     ],
 }
-_NAMED: dict[str, Any] = {}
+_NAMED_SCHEMAS: dict[str, Any] = {}
 for _schema in (_POSITION, _MEMBER, _CONFIGURATION, _DOCUMENT):
-    parse_schema(_schema, _NAMED)
+    parse_schema(_schema, _NAMED_SCHEMAS)
 
 
 def _record_schema(name: str, **field_types: object) -> Any:
-    listed = [{"name": field, "type": kind} for field, kind in field_types.items()]
-    return parse_schema({"type": "record", "name": name, "fields": listed}, dict(_NAMED))
+    field_schemas = [{"name": field, "type": field_type} for field, field_type in field_types.items()]
+    return parse_schema({"type": "record", "name": name, "fields": field_schemas}, dict(_NAMED_SCHEMAS))
 
 
 _OPTIONAL_DOCUMENT = ["null", "Document"]
@@ -129,49 +129,55 @@
     ),
 }
 _MESSAGES: dict[tuple[int, int], tuple[type[Any], Any]] = {
-    **{(number, SCHEMA_VERSION): known for number, known in _FIRST_MESSAGES.items()},
-    **{(number, SECOND_VERSION): known for number, known in _SECOND_MESSAGES.items()},
+    **{(number, FIRST_VERSION): entry for number, entry in _FIRST_MESSAGES.items()},
+    **{(number, SECOND_VERSION): entry for number, entry in _SECOND_MESSAGES.items()},
 }
-_HEADERS = {kind: header for header, (kind, _) in sorted(_MESSAGES.items())}
+_HEADERS = {message_class: header for header, (message_class, _) in sorted(_MESSAGES.items())}
 _RECORD_SCHEMA = _record_schema(
     "Record", token="long", promised="long", initialised="boolean", document="Document"
 )
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the frame body of a message."""
+    """Return the encoding of a message."""
     header = _HEADERS[type(message)]
     buffer = BytesIO()
     buffer.write(bytes(header))
-    schemaless_writer(buffer, _MESSAGES[header][1], _plain(message))
+    schemaless_writer(buffer, _MESSAGES[header][1], _to_avro(message))
     return buffer.getvalue()
 
 
 def decode_message(frame: bytes) -> Message:
-    """Return the message in a frame body, of the present version or of one before."""
-    known = _MESSAGES.get((frame[0], frame[1])) if len(frame) >= HEADER_BYTES else None
-    if known is None:
+    """Return the message with this encoding, of the current or an earlier version.
+
+    Raises `DecodeError` if it has an unknown type or version or is malformed.
+    """
+    entry = _MESSAGES.get((frame[0], frame[1])) if len(frame) >= HEADER_BYTES else None
+    if entry is None:
         raise DecodeError("unknown message type or version")
-    kind, schema = known
+    message_class, schema = entry
     values = _read(schema, frame[HEADER_BYTES:])
-    message: Message = kind(**{name: _typed(name, value) for name, value in values.items()})
+    message: Message = message_class(**{name: _from_avro(name, value) for name, value in values.items()})
     return message
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the stored form of a record."""
+    """Return the stored encoding of a record."""
     buffer = BytesIO()
-    buffer.write(bytes((0, SCHEMA_VERSION)))
-    schemaless_writer(buffer, _RECORD_SCHEMA, _plain(record))
+    buffer.write(bytes((0, FIRST_VERSION)))
+    schemaless_writer(buffer, _RECORD_SCHEMA, _to_avro(record))
     return buffer.getvalue()
 
 
 def decode_record(stored: bytes) -> Record:
-    """Return the record in its stored form."""
-    if stored[:HEADER_BYTES] != bytes((0, SCHEMA_VERSION)):
+    """Return the record with this stored encoding.
+
+    Raises `DecodeError` if it has an unknown version or is malformed.
+    """
+    if stored[:HEADER_BYTES] != bytes((0, FIRST_VERSION)):
         raise DecodeError("unknown record version")
     values = _read(_RECORD_SCHEMA, stored[HEADER_BYTES:])
-    return Record(**{name: _typed(name, value) for name, value in values.items()})
+    return Record(**{name: _from_avro(name, value) for name, value in values.items()})
 
 
 def _read(schema: Any, body: bytes) -> dict[str, Any]:
@@ -181,19 +187,19 @@
     except (EOFError, ValueError, IndexError, TypeError, KeyError, OverflowError, MemoryError) as error:
         raise DecodeError(str(error)) from error
     if buffer.tell() != len(body):
-        raise DecodeError("trailing bytes")
+        raise DecodeError("trailing bytes after the encoded value")
     fields_read: dict[str, Any] = values
     return fields_read
 
 
-def _plain(value: Any) -> Any:
+def _to_avro(value: Any) -> Any:
     if isinstance(value, Position):
         return value._asdict()
     if isinstance(value, tuple):
-        return [_plain(item) for item in value]
+        return [_to_avro(item) for item in value]
     if isinstance(value, bool | int | str | bytes) or value is None:
         return value
-    return {field.name: _plain(getattr(value, field.name)) for field in fields(value)}
+    return {field.name: _to_avro(getattr(value, field.name)) for field in fields(value)}
 
 
 def _position(value: Any) -> Position:
@@ -218,7 +224,7 @@
     return Document(_position(value["position"]), _configuration(value["configuration"]), value["payload"])
 
 
-_NESTED: dict[str, Callable[[Any], Any]] = {
+_CONVERTERS: dict[str, Callable[[Any], Any]] = {
     "committed": _position,
     "current": _position,
     "stored": _position,
@@ -229,6 +235,6 @@
 }
 
 
-def _typed(name: str, value: Any) -> Any:
-    convert = _NESTED.get(name)
+def _from_avro(name: str, value: Any) -> Any:
+    convert = _CONVERTERS.get(name)
     return value if convert is None else convert(value)
--- a/rookwood/coordination/context.py
+++ b/rookwood/coordination/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a replica share: settings, the present moment, contacts, the journal, effects."""
+"""State that the components of a replica share: settings, the current time, the journal, pending effects."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -13,15 +13,20 @@
 
 @dataclass(frozen=True)
 class Contact:
-    """What is known of another process's life."""
+    """The incarnation of another process, and when its last message arrived."""
 
     incarnation: int
-    heard_at: float
+    last_message_at: float
 
 
 @dataclass
 class Context:
-    """Shared state of the parts of one replica."""
+    """State that the components of one replica share.
+
+    `newest_document` is the newest document received or proposed, committed or not. `applied_position` is the
+    position of the newest committed one. `reported_configuration` is the newest one reported by another
+    machine.
+    """
 
     ip: str
     incarnation: int
@@ -33,83 +38,83 @@
     now: float
     effects: list[Effect] = field(default_factory=list)
     contacts: dict[str, Contact] = field(default_factory=dict)
-    offered: Document = Document()
-    applied: Position = Position()
+    newest_document: Document = Document()
+    applied_position: Position = Position()
     snapshot: Snapshot = Snapshot(0, 0, b"")
-    heard_position: Position = Position()
-    heard_configuration: Configuration = Configuration()
+    reported_position: Position = Position()
+    reported_configuration: Configuration = Configuration()
 
     def send(self, to: str, message: Message) -> None:
         """Send a message, except to this replica itself."""
         if to != self.ip:
             self.effects.append(Send(to, message))
 
-    def run_promise(self, step: PromiseStep) -> None:
-        """Tell a candidate the promise that is durable now, unless a later one took its place."""
+    def send_promise(self, step: PromiseStep) -> None:
+        """Send a candidate its promise, which is durable now, unless a later promise has superseded it."""
         stored = self.journal.durable
         if stored.promised != step.epoch:
             return
         position = stored.document.position
-        document = stored.document if position > step.known else None
+        document = stored.document if position > step.candidate_position else None
         self.send(step.candidate, Promise(step.epoch, step.incarnation, position, document, stored.token))
 
-    def hear(self, sender: str, incarnation: int) -> None:
-        """Note a message's sender, and which life of that process it comes from.
+    def record_message(self, sender: str, incarnation: int) -> None:
+        """Record that a message arrived, and from which incarnation of its sender.
 
-        Incarnations have no order, so a delayed message of an ended life shortly counts as the present
-        one; this costs a repetition, no safety, as docs/control-state.md explains.
+        Incarnations have no order, so a delayed message of an earlier incarnation counts for a short time as
+        one of the current incarnation. This costs a repetition but no safety; see docs/control-state.md.
         """
         self.contacts[sender] = Contact(incarnation, self.now)
 
-    def heard_at(self, ip: str) -> float:
-        """Return when a machine was last heard, minus infinity if never."""
+    def last_message_at(self, ip: str) -> float:
+        """Return when the last message of a machine arrived, minus infinity if none ever did."""
         contact = self.contacts.get(ip)
-        return float("-inf") if contact is None else contact.heard_at
+        return float("-inf") if contact is None else contact.last_message_at
 
-    def heard_within(self, ip: str, span: float) -> bool:
-        """Tell whether a machine was heard within the span before now."""
-        return self.now - self.heard_at(ip) <= span
+    def is_in_contact(self, ip: str, span: float) -> bool:
+        """Return whether a message of a machine arrived within this many seconds before now."""
+        return self.now - self.last_message_at(ip) <= span
 
     def configuration(self) -> Configuration:
-        """Return the newest configuration known, stored here or told by others."""
+        """Return the newest known configuration, stored here or reported by another machine."""
         document = self.journal.latest.document
-        if self.heard_position > document.position:
-            return self.heard_configuration
+        if self.reported_position > document.position:
+            return self.reported_configuration
         return document.configuration
 
-    def newest_position(self) -> Position:
-        """Return the position of the newest configuration known."""
-        return max(self.heard_position, self.journal.latest.document.position)
+    def configuration_position(self) -> Position:
+        """Return the position of the newest known configuration."""
+        return max(self.reported_position, self.journal.latest.document.position)
 
-    def note_configuration(self, position: Position, configuration: Configuration) -> None:
-        """Take note of a configuration that another machine tells."""
-        if position > self.heard_position:
-            self.heard_position = position
-            self.heard_configuration = configuration
+    def record_configuration(self, position: Position, configuration: Configuration) -> None:
+        """Record a configuration that another machine reported."""
+        if position > self.reported_position:
+            self.reported_position = position
+            self.reported_configuration = configuration
 
     def is_member(self) -> bool:
-        """Tell whether this replica takes part: admitted with the storage it has."""
+        """Return whether this replica is a member: admitted with the storage that it has."""
         record = self.journal.latest
         return record.initialised and self.configuration().admits(Member(self.ip, record.token))
 
     def is_recovering(self) -> bool:
-        """Tell whether this replica is a member whose storage was lost."""
+        """Return whether a member has this machine's address, but another storage was admitted."""
         return self.configuration().has_address(self.ip) and not self.is_member()
 
-    def own_voice(self) -> dict[str, int | None]:
-        """Return this machine with the token of its storage, as it counts in quorums."""
+    def own_acknowledgement(self) -> dict[str, int | None]:
+        """Return this machine's address and storage token, in the form in which quorums are counted."""
         return {self.ip: self.journal.latest.token}
 
-    def offer(self, document: Document) -> None:
-        """Keep a document that may turn out to be committed."""
-        if document.position > self.offered.position:
-            self.offered = document
+    def record_document(self, document: Document) -> None:
+        """Keep a document until its commit is known, unless a newer one is kept already."""
+        if document.position > self.newest_document.position:
+            self.newest_document = document
 
     def apply_commit(self, committed: Position) -> None:
-        """Apply the offered document if a commit at this position covers it."""
-        position = self.offered.position
-        if position.epoch != committed.epoch or position > committed or position <= self.applied:
+        """Apply the newest document if a commit at this position covers it."""
+        position = self.newest_document.position
+        if position.epoch != committed.epoch or position > committed or position <= self.applied_position:
             return
-        self.applied = position
-        self.snapshot = Snapshot(position.epoch, position.sequence, self.offered.payload)
+        self.applied_position = position
+        self.snapshot = Snapshot(position.epoch, position.sequence, self.newest_document.payload)
         self.effects.append(CommitApplied(self.snapshot))
--- a/rookwood/coordination/effects.py
+++ b/rookwood/coordination/effects.py
@@ -1,4 +1,4 @@
-"""What the replica asks its surroundings to do."""
+"""The effects that a replica returns and its caller carries out."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Persist:
-    """Sync a record to the disk and report the result under the ticket."""
+    """Sync a record to the disk, and report the result with this ticket."""
 
     ticket: int
     record: Record
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Resolve:
-    """Give the outcome of a call that was started under the ticket."""
+    """Complete the call with this ticket with its outcome."""
 
     ticket: int
     outcome: ProposeOutcome | ConfirmOutcome
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True)
 class CommitApplied:
-    """A newer committed document is known."""
+    """A newer document is known to be committed."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True)
 class RoleChanged:
-    """The role of this replica changed."""
+    """The role of this replica has changed."""
 
     role: Role
 
--- a/rookwood/coordination/exploration_ledger.py
+++ b/rookwood/coordination/exploration_ledger.py
@@ -1,4 +1,4 @@
-"""What an exploration of the replication keeps beside the replicas, and the invariants that it checks."""
+"""The history that an exploration of the replication observes, and the invariants that it checks."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -10,7 +10,7 @@
 
 
 class BrokenError(Exception):
-    """An invariant does not hold; `trace` is a shortest way there."""
+    """An invariant is violated; `trace` is a shortest sequence of steps that leads there."""
 
     def __init__(self, why: str, trace: tuple[str, ...] = ()) -> None:
         super().__init__(why)
@@ -19,65 +19,70 @@
 
 
 @dataclass(frozen=True)
-class Ledger:
-    """What has become known outside: commits, answers, and who wrote documents in which epoch."""
+class ObservedHistory:
+    """What callers and other machines have observed so far.
+
+    `committed` holds all commits in order, `acknowledged` and `rejected` the labels of the changes with that
+    outcome, `primaries` the epoch, address and incarnation of each process that wrote a document. For each
+    confirmation, `pending_confirmations` has its ticket and the changes acknowledged before it started.
+    """
 
     committed: tuple[Snapshot, ...] = ()
     acknowledged: frozenset[bytes] = frozenset()
-    refused: frozenset[bytes] = frozenset()
+    rejected: frozenset[bytes] = frozenset()
     primaries: frozenset[tuple[int, str, int]] = frozenset()
-    confirming: frozenset[tuple[int, frozenset[bytes]]] = frozenset()
+    pending_confirmations: frozenset[tuple[int, frozenset[bytes]]] = frozenset()
 
 
-def with_commit(ledger: Ledger, snapshot: Snapshot) -> Ledger:
-    """Return the ledger with a commit; all commits are one history, in order of their epochs."""
-    if snapshot in ledger.committed:
-        return ledger
-    committed = tuple(sorted((*ledger.committed, snapshot), key=lambda known: known.sequence))
+def with_commit(history: ObservedHistory, snapshot: Snapshot) -> ObservedHistory:
+    """Return the history with a commit added; all commits must form one sequence, ordered by epoch."""
+    if snapshot in history.committed:
+        return history
+    committed = tuple(sorted((*history.committed, snapshot), key=lambda known: known.sequence))
     for first, second in zip(committed, committed[1:], strict=False):
         in_order = first.sequence < second.sequence and first.epoch <= second.epoch
         if not in_order or not second.payload.startswith(first.payload):
             raise BrokenError(f"history forked between {first} and {second}")
-    _check_refused(ledger.refused, committed[-1].payload)
-    return replace(ledger, committed=committed)
+    _check_rejected(history.rejected, committed[-1].payload)
+    return replace(history, committed=committed)
 
 
-def with_primary(ledger: Ledger, holder: tuple[int, str, int]) -> Ledger:
-    """Return the ledger with a process that wrote a document in an epoch: no epoch has two."""
-    if any(epoch == holder[0] for epoch, *_ in ledger.primaries - {holder}):
+def with_primary(history: ObservedHistory, holder: tuple[int, str, int]) -> ObservedHistory:
+    """Return the history with a process that wrote a document in an epoch; no epoch may have two."""
+    if any(epoch == holder[0] for epoch, *_ in history.primaries - {holder}):
         raise BrokenError(f"epoch {holder[0]} has two primaries")
-    return replace(ledger, primaries=ledger.primaries | {holder})
+    return replace(history, primaries=history.primaries | {holder})
 
 
-def with_answer(ledger: Ledger, answer: Resolve) -> Ledger:
-    """Return the ledger with the outcome of a call."""
-    label = b"%d," % answer.ticket
-    match answer.outcome:
+def with_outcome(history: ObservedHistory, resolve: Resolve) -> ObservedHistory:
+    """Return the history with the outcome of a call added."""
+    label = b"%d," % resolve.ticket
+    match resolve.outcome:
         case Committed():
-            return replace(ledger, acknowledged=ledger.acknowledged | {label})
-        case NotPrimary() | Overloaded() if answer.ticket > 0:
-            refused = ledger.refused | {label}
-            if ledger.committed:
-                _check_refused(refused, ledger.committed[-1].payload)
-            return replace(ledger, refused=refused)
+            return replace(history, acknowledged=history.acknowledged | {label})
+        case NotPrimary() | Overloaded() if resolve.ticket > 0:
+            rejected = history.rejected | {label}
+            if history.committed:
+                _check_rejected(rejected, history.committed[-1].payload)
+            return replace(history, rejected=rejected)
         case Confirmed(snapshot=snapshot):
-            _check_confirmed(ledger, answer.ticket, snapshot)
-    return ledger
+            _check_confirmed(history, resolve.ticket, snapshot)
+    return history
 
 
-def _check_refused(refused: frozenset[bytes], payload: bytes) -> None:
-    if any(label in payload for label in refused):
-        raise BrokenError("a refused change is in force")
+def _check_rejected(rejected: frozenset[bytes], payload: bytes) -> None:
+    if any(label in payload for label in rejected):
+        raise BrokenError("a rejected change is in force")
 
 
-def _check_confirmed(ledger: Ledger, ticket: int, snapshot: Snapshot) -> None:
-    for started, acknowledged in ledger.confirming:
+def _check_confirmed(history: ObservedHistory, ticket: int, snapshot: Snapshot) -> None:
+    for started, acknowledged in history.pending_confirmations:
         if started == ticket and any(label not in snapshot.payload for label in acknowledged):
             raise BrokenError("a confirmed document lacks an acknowledged change")
 
 
 def check_sync(before: Record | None, after: Record) -> None:
-    """Check that neither the promise nor the document of a storage goes back when a record is synced."""
+    """Check that neither the promise nor the document of a storage gets older when a record is synced."""
     if before is None or before.token != after.token:
         return
     if after.promised < before.promised or after.document.position < before.document.position:
@@ -87,14 +92,15 @@
 def check_durability(
     acknowledged: frozenset[bytes], disks: tuple[tuple[str, frozenset[Record]], ...]
 ) -> None:
-    """Check that any voters who can elect hold all acknowledged changes in their newest document.
+    """Check that the newest document of any electing quorum contains all acknowledged changes.
 
-    A disk gives one of several records: that which is synced, or one that a restart finds in its cache.
+    Each disk has several possible records: the synced one, and those that a restart may find in the page
+    cache.
     """
     for size in range(1, len(disks) + 1):
         for voters in combinations(disks, size):
             addresses = tuple(ip for ip, _ in voters)
-            for records in product(*(found for _, found in voters)):
+            for records in product(*(possible for _, possible in voters)):
                 _check_voters(acknowledged, tuple(zip(addresses, records, strict=True)))
 
 
@@ -102,7 +108,7 @@
     newest = max((record.document for _, record in voters), key=lambda document: document.position)
     if not newest.configuration.members:
         return
-    if not newest.configuration.has_votes({ip: record.token for ip, record in voters}):
+    if not newest.configuration.has_vote_quorum({ip: record.token for ip, record in voters}):
         return
     if any(label not in newest.payload for label in acknowledged):
         raise BrokenError("voters can elect a document that lacks an acknowledged change")
--- a/rookwood/coordination/explore.py
+++ b/rookwood/coordination/explore.py
@@ -1,9 +1,10 @@
-"""Exhaustive exploration of small histories of the replication, over the real replicas.
+"""Exhaustive exploration of small histories of the replication, with the real replicas.
 
-The network keeps every message for ever and may deliver it at any moment, any number of times or never,
-which covers loss, doubling, delay, reordering and cuts without a bound. Time is abstract: what a clock does
-(to stand for election, to give a candidacy up, to lose the lease) is a step of its own that may happen at any
-moment, so nothing that is found sound rests on clocks. docs/control-state.md says what is left out.
+The network keeps every message forever and may deliver it at any time, any number of times or never. This
+covers loss, duplication, delay, reordering and partitions without a bound. Time is abstract: each event that
+a clock causes (standing for election, giving up a candidacy, losing the lease) is a separate step that may
+happen at any time. So the explored safety properties do not depend on clocks. docs/control-state.md lists
+what is not covered.
 """
 
 import pickle
@@ -17,11 +18,11 @@
 from rookwood.coordination.effects import CommitApplied, Effect, Persist, Resolve, Send
 from rookwood.coordination.exploration_ledger import (
     BrokenError,
-    Ledger,
+    ObservedHistory,
     check_durability,
     check_sync,
-    with_answer,
     with_commit,
+    with_outcome,
     with_primary,
 )
 from rookwood.coordination.messages import (
@@ -37,8 +38,8 @@
 from rookwood.coordination.timing import Timing
 
 NOW = 0.0
-CANDIDACY_OVER = 2.0
-LEASE_OVER = 20.0
+AFTER_CANDIDACY = 2.0
+AFTER_LEASE = 20.0
 FIRST_EPOCH = 1
 INCARNATION_STEP = 10
 NEVER = float("inf")
@@ -52,7 +53,7 @@
     replace_after=NEVER,
     learner_silence=NEVER,
 )
-"""Time stands still but in the steps that are its work: no favour, no patience, no limit of a disk."""
+"""Time passes only in the steps that stand for clock events: no favour, no wait for copies, no disk limit."""
 
 Item = TypeVar("Item", bound=Hashable)
 Arguments = ParamSpec("Arguments")
@@ -60,7 +61,11 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How much of each kind of event one history may hold."""
+    """The size of the group, and how many events of each kind one history may contain.
+
+    `rounds` includes heartbeats, `instant_writes` completes each disk write at once, and `states` limits the
+    number of visited states.
+    """
 
     members: int = 3
     tolerate: int = 1
@@ -78,8 +83,12 @@
 
 
 @dataclass(frozen=True)
-class Report:
-    """What an exploration covered; `acknowledged` counts the states in which some change is acknowledged."""
+class ExplorationReport:
+    """What an exploration covered.
+
+    `acknowledged` counts the states in which some change is acknowledged, `epochs` the epochs in which a
+    document was written, and `whole` tells whether all states within the bounds were visited.
+    """
 
     states: int
     transitions: int
@@ -89,18 +98,18 @@
 
 
 class FixedRandom(Random):
-    """A random source that always gives the same number, so that states can be compared."""
+    """A random source that always returns the same number, so that states can be compared."""
 
     def __init__(self, value: int) -> None:
         super().__init__(value)
         self._value = value
 
     def random(self) -> float:
-        """Return the smallest fraction."""
+        """Return 0."""
         return 0.0
 
     def getrandbits(self, count: int, /) -> int:
-        """Return the number of this source."""
+        """Return the fixed number."""
         return self._value
 
     def __reduce__(self) -> tuple[type["FixedRandom"], tuple[int]]:
@@ -109,7 +118,7 @@
 
 @dataclass(frozen=True)
 class Append:
-    """A change that appends a label."""
+    """A change that appends a label to the payload."""
 
     label: bytes
 
@@ -118,19 +127,23 @@
 
 
 class Machine(NamedTuple):
-    """One machine: its replica, its disk and the write under way; records and replica are serialised."""
+    """One machine: its replica, its disk, and the write under way.
+
+    Replica and records are serialised. `durable` is the synced record, `visible` the one that a restart of
+    the process finds in the page cache, and `pending_write` the record being written, with its ticket.
+    """
 
     replica: bytes
     durable: bytes
     visible: bytes
-    writing: bytes | None
+    pending_write: bytes | None
     ticket: int
     incarnation: int
 
 
 @dataclass(frozen=True)
-class Letter:
-    """A message in the network."""
+class Envelope:
+    """A message in the network, with its sender and receiver."""
 
     sender: str
     incarnation: int
@@ -138,27 +151,31 @@
     message: Message
 
 
-class World(NamedTuple):
-    """One state of the whole system; the letters are a set of bits."""
+class SystemState(NamedTuple):
+    """One state of the whole system.
+
+    `envelopes` is a bit set of the numbers of all envelopes sent so far, `remaining` holds how many more
+    events of each kind may happen.
+    """
 
     machines: tuple[Machine, ...]
-    letters: int
-    ledger: Ledger
-    left: Bounds
+    envelopes: int
+    history: ObservedHistory
+    remaining: Bounds
 
 
-Step = tuple[str, World]
+Step = tuple[str, SystemState]
 
 
-class _Table(Generic[Item]):
-    """Numbers for values, so that states are small and quick to compare."""
+class _Numbering(Generic[Item]):
+    """Assigns numbers to values, so that states are small and fast to compare."""
 
     def __init__(self) -> None:
         self._numbers: dict[Item, int] = {}
         self._items: list[Item] = []
 
     def number(self, item: Item) -> int:
-        """Return the number of a value."""
+        """Return the number of a value, assigning one to a new value."""
         known = self._numbers.get(item)
         if known is not None:
             return known
@@ -167,72 +184,75 @@
         return len(self._items) - 1
 
     def item(self, number: int) -> Item:
-        """Return the value of a number."""
+        """Return the value with a number."""
         return self._items[number]
 
 
-class _Key(NamedTuple):
-    """A world in numbers."""
+class _StateKey(NamedTuple):
+    """A state, with numbers in place of its values."""
 
     machines: tuple[int, ...]
-    letters: int
-    ledger: int
-    left: int
+    envelopes: int
+    history: int
+    remaining: int
 
 
-class _Compact:
-    """Turns worlds into keys and back."""
+class _StateEncoder:
+    """Converts system states to keys and back."""
 
     def __init__(self) -> None:
-        self._machines = _Table[Machine]()
-        self._ledgers = _Table[Ledger]()
-        self._bounds = _Table[Bounds]()
-
-    def key(self, world: World) -> _Key:
-        """Return the key of a world."""
-        machines = tuple(self._machines.number(machine) for machine in world.machines)
-        return _Key(
-            machines, world.letters, self._ledgers.number(world.ledger), self._bounds.number(world.left)
+        self._machines = _Numbering[Machine]()
+        self._histories = _Numbering[ObservedHistory]()
+        self._bounds = _Numbering[Bounds]()
+
+    def encode(self, state: SystemState) -> _StateKey:
+        """Return the key of a system state."""
+        machines = tuple(self._machines.number(machine) for machine in state.machines)
+        return _StateKey(
+            machines,
+            state.envelopes,
+            self._histories.number(state.history),
+            self._bounds.number(state.remaining),
         )
 
-    def world(self, key: _Key) -> World:
-        """Return the world of a key."""
+    def decode(self, key: _StateKey) -> SystemState:
+        """Return the system state with a key."""
         machines = tuple(self._machines.item(number) for number in key.machines)
-        ledger, left = self._ledgers.item(key.ledger), self._bounds.item(key.left)
-        return World(machines, key.letters, ledger, left)
+        history, remaining = self._histories.item(key.history), self._bounds.item(key.remaining)
+        return SystemState(machines, key.envelopes, history, remaining)
 
 
 class Explorer:
-    """Visits every state within the bounds, breadth first."""
+    """Visits every state within the bounds, in breadth-first order."""
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
         self._addresses = tuple(f"10.0.0.{number + 1}" for number in range(bounds.members))
         self._cache: dict[Hashable, tuple[bytes, tuple[Effect, ...]]] = {}
-        self._compact = _Compact()
-        self._letters = _Table[Letter]()
+        self._encoder = _StateEncoder()
+        self._envelopes = _Numbering[Envelope]()
         self._serialised: dict[bytes, bytes] = {}
-        self._leading: dict[bytes, bool] = {}
-        self._checked: set[Hashable] = set()
+        self._leading_replicas: dict[bytes, bool] = {}
+        self._checked_disks: set[Hashable] = set()
         self._acknowledged = 0
         self._epochs: set[int] = set()
 
-    def explore(self) -> Report:
-        """Visit the states; raises `BrokenError` with a shortest trace."""
-        first = self._compact.key(self._first_world())
-        parents: dict[_Key, tuple[_Key, str] | None] = {first: None}
+    def explore(self) -> ExplorationReport:
+        """Visit the states; raises `InvariantError` with a shortest trace if an invariant is violated."""
+        first = self._encoder.encode(self._initial_state())
+        parents: dict[_StateKey, tuple[_StateKey, str] | None] = {first: None}
         queue = deque([first])
         transitions = 0
         while queue:
             if len(parents) > self._bounds.states:
                 return self._report(len(parents), transitions, whole=False)
             key = queue.popleft()
-            world = self._compact.world(key)
+            state = self._encoder.decode(key)
             try:
-                self._check_state(world)
-                for action, successor in self._steps(world):
+                self._check_state(state)
+                for action, successor in self._steps(state):
                     transitions += 1
-                    successor_key = self._compact.key(successor)
+                    successor_key = self._encoder.encode(successor)
                     if successor_key not in parents:
                         parents[successor_key] = (key, action)
                         queue.append(successor_key)
@@ -240,283 +260,291 @@
                 raise BrokenError(error.why, (*_trace(parents, key), *error.trace)) from None
         return self._report(len(parents), transitions, whole=True)
 
-    def _report(self, states: int, transitions: int, *, whole: bool) -> Report:
-        return Report(states, transitions, self._acknowledged, len(self._epochs), whole)
+    def _report(self, states: int, transitions: int, *, whole: bool) -> ExplorationReport:
+        return ExplorationReport(states, transitions, self._acknowledged, len(self._epochs), whole)
 
-    def _check_state(self, world: World) -> None:
-        ledger = world.ledger
-        self._epochs.update(epoch for epoch, *_ in ledger.primaries)
-        if not ledger.acknowledged:
+    def _check_state(self, state: SystemState) -> None:
+        history = state.history
+        self._epochs.update(epoch for epoch, *_ in history.primaries)
+        if not history.acknowledged:
             return
         self._acknowledged += 1
         disks = tuple(
-            frozenset({machine.durable, machine.visible, machine.writing or machine.visible})
-            for machine in world.machines
+            frozenset({machine.durable, machine.visible, machine.pending_write or machine.visible})
+            for machine in state.machines
         )
-        if (disks, ledger.acknowledged) in self._checked:
+        if (disks, history.acknowledged) in self._checked_disks:
             return
         named = zip(self._addresses, disks, strict=True)
-        check_durability(ledger.acknowledged, tuple((ip, _records(found)) for ip, found in named))
-        self._checked.add((disks, ledger.acknowledged))
+        check_durability(history.acknowledged, tuple((ip, _load_records(stored)) for ip, stored in named))
+        self._checked_disks.add((disks, history.acknowledged))
 
-    # The first state: one primary, everything settled
+    # The initial state: one primary, with no message or write pending
 
-    def _first_world(self) -> World:
+    def _initial_state(self) -> SystemState:
         members = tuple(Member(ip) for ip in self._addresses)
         record = Record(0, 0, True, Document(Position(), Configuration(members), b""))
-        found = self._serialise(record)
+        stored = self._serialise(record)
         blank = self._serialise(None)
         machines = tuple(
-            Machine(b"", blank, found, None, 0, number + 1) for number in range(self._bounds.members)
+            Machine(b"", blank, stored, None, 0, number + 1) for number in range(self._bounds.members)
         )
-        world = World(machines, 0, Ledger(), self._bounds)
+        state = SystemState(machines, 0, ObservedHistory(), self._bounds)
         for index in range(self._bounds.members):
-            world = self._boot(world, index, found)
-        world = self._settle(world)
-        world = self._stand(world, 0, 0)
-        return self._settle(world)._replace(letters=0, left=self._bounds)
+            state = self._boot(state, index, stored)
+        state = self._settle(state)
+        state = self._start_candidacy(state, 0, 0)
+        return self._settle(state)._replace(envelopes=0, remaining=self._bounds)
 
-    def _settle(self, world: World) -> World:
+    def _settle(self, state: SystemState) -> SystemState:
         delivered = 0
         while True:
-            writing = [index for index, machine in enumerate(world.machines) if machine.writing]
-            letters = world.letters & ~delivered
+            writing = [index for index, machine in enumerate(state.machines) if machine.pending_write]
+            envelopes = state.envelopes & ~delivered
             if writing:
-                world = self._finish_write(world, writing[0])
-            elif letters:
-                first = next(_bits(letters))
+                state = self._finish_write(state, writing[0])
+            elif envelopes:
+                first = next(_bit_numbers(envelopes))
                 delivered |= 1 << first
-                world = self._deliver(world, first)
+                state = self._deliver(state, first)
             else:
-                return world
+                return state
 
     # Steps
 
-    def _steps(self, world: World) -> Iterator[Step]:
-        for letter in _bits(world.letters):
-            yield from self._step(f"deliver {self._letters.item(letter)}", self._deliver, world, letter)
-        for index, machine in enumerate(world.machines):
-            if machine.writing is not None:
-                yield from self._step(f"synced {index}", self._finish_write, world, index)
-            yield from self._operator_steps(world, index)
-            yield from self._fault_steps(world, index)
-
-    def _operator_steps(self, world: World, index: int) -> Iterator[Step]:
-        left = world.left
-        leads = self._leads(world.machines[index])
-        if left.elections and not leads:
-            after = world._replace(left=replace(left, elections=left.elections - 1))
-            for known in self._epochs_to_know(world, index):
-                yield from self._step(f"stand {index} above {known}", self._stand, after, index, known)
-        if left.lease_losses and leads:
-            after = world._replace(left=replace(left, lease_losses=left.lease_losses - 1))
+    def _steps(self, state: SystemState) -> Iterator[Step]:
+        for number in _bit_numbers(state.envelopes):
+            yield from self._step(f"deliver {self._envelopes.item(number)}", self._deliver, state, number)
+        for index, machine in enumerate(state.machines):
+            if machine.pending_write is not None:
+                yield from self._step(f"synced {index}", self._finish_write, state, index)
+            yield from self._operator_steps(state, index)
+            yield from self._fault_steps(state, index)
+
+    def _operator_steps(self, state: SystemState, index: int) -> Iterator[Step]:
+        remaining = state.remaining
+        leads = self._is_leading(state.machines[index])
+        if remaining.elections and not leads:
+            after = state._replace(remaining=replace(remaining, elections=remaining.elections - 1))
+            for known_epoch in self._known_epochs(state, index):
+                yield from self._step(
+                    f"stand {index} above {known_epoch}", self._start_candidacy, after, index, known_epoch
+                )
+        if remaining.lease_losses and leads:
+            after = state._replace(remaining=replace(remaining, lease_losses=remaining.lease_losses - 1))
             yield from self._step(f"lease lost {index}", self._lose_lease, after, index)
-        if left.changes:
-            after = world._replace(left=replace(left, changes=left.changes - 1))
+        if remaining.changes:
+            after = state._replace(remaining=replace(remaining, changes=remaining.changes - 1))
             yield from self._step(f"propose {index}", self._propose, after, index)
-        if left.confirms:
-            after = world._replace(left=replace(left, confirms=left.confirms - 1))
+        if remaining.confirms:
+            after = state._replace(remaining=replace(remaining, confirms=remaining.confirms - 1))
             yield from self._step(f"confirm {index}", self._confirm, after, index)
 
-    def _fault_steps(self, world: World, index: int) -> Iterator[Step]:
-        left, machine = world.left, world.machines[index]
-        in_cache = machine.writing or machine.visible
-        if left.kills:
-            after = world._replace(left=replace(left, kills=left.kills - 1))
-            for found in sorted({machine.visible, in_cache}):
-                yield from self._step(f"kill {index}", self._boot, after, index, found)
-        if left.power_losses:
-            after = world._replace(left=replace(left, power_losses=left.power_losses - 1))
-            for found in sorted({machine.durable, machine.visible, in_cache}):
-                yield from self._step(f"power loss {index}", self._boot_after_power, after, index, found)
-        if left.wipes:
-            after = world._replace(left=replace(left, wipes=left.wipes - 1))
+    def _fault_steps(self, state: SystemState, index: int) -> Iterator[Step]:
+        remaining, machine = state.remaining, state.machines[index]
+        in_cache = machine.pending_write or machine.visible
+        if remaining.kills:
+            after = state._replace(remaining=replace(remaining, kills=remaining.kills - 1))
+            for stored in sorted({machine.visible, in_cache}):
+                yield from self._step(f"kill {index}", self._boot, after, index, stored)
+        if remaining.power_losses:
+            after = state._replace(remaining=replace(remaining, power_losses=remaining.power_losses - 1))
+            for stored in sorted({machine.durable, machine.visible, in_cache}):
+                yield from self._step(
+                    f"power loss {index}", self._boot_after_power_loss, after, index, stored
+                )
+        if remaining.wipes:
+            after = state._replace(remaining=replace(remaining, wipes=remaining.wipes - 1))
             yield from self._step(
-                f"wipe {index}", self._boot_after_power, after, index, self._serialise(None)
+                f"wipe {index}", self._boot_after_power_loss, after, index, self._serialise(None)
             )
-        if left.failed_writes and machine.writing is not None:
-            after = world._replace(left=replace(left, failed_writes=left.failed_writes - 1))
-            for found in sorted({machine.visible, in_cache}):
-                yield from self._step(f"failed write {index}", self._fail_write, after, index, found)
+        if remaining.failed_writes and machine.pending_write is not None:
+            after = state._replace(remaining=replace(remaining, failed_writes=remaining.failed_writes - 1))
+            for stored in sorted({machine.visible, in_cache}):
+                yield from self._step(f"failed write {index}", self._fail_write, after, index, stored)
 
     def _step(
         self,
         name: str,
-        action: Callable[Concatenate[World, Arguments], World],
-        world: World,
+        action: Callable[Concatenate[SystemState, Arguments], SystemState],
+        state: SystemState,
         *arguments: Arguments.args,
         **named: Arguments.kwargs,
     ) -> Iterator[Step]:
         try:
-            successor = action(world, *arguments, **named)
+            successor = action(state, *arguments, **named)
         except BrokenError as error:
             raise BrokenError(error.why, (name,)) from None
-        if successor is not world:
+        if successor is not state:
             yield name, successor
 
-    def _deliver(self, world: World, number: int) -> World:
-        letter = self._letters.item(number)
-        index = self._addresses.index(letter.to)
-        arguments = (letter.sender, letter.incarnation, letter.message, NOW)
-        return self._input(world, index, "receive", arguments, number)
+    def _deliver(self, state: SystemState, number: int) -> SystemState:
+        envelope = self._envelopes.item(number)
+        index = self._addresses.index(envelope.to)
+        arguments = (envelope.sender, envelope.incarnation, envelope.message, NOW)
+        return self._run_input(state, index, "receive", arguments, number)
 
-    def _finish_write(self, world: World, index: int) -> World:
-        machine = world.machines[index]
-        assert machine.writing is not None
-        written = machine.writing
+    def _finish_write(self, state: SystemState, index: int) -> SystemState:
+        machine = state.machines[index]
+        assert machine.pending_write is not None
+        written = machine.pending_write
         record = pickle.loads(written)
         check_sync(pickle.loads(machine.durable), record)
-        machine = machine._replace(durable=written, visible=written, writing=None)
-        world = _with_machine(world, index, machine)
-        return self._input(world, index, "persisted", (machine.ticket, record, True, NOW))
-
-    def _fail_write(self, world: World, index: int, found: bytes) -> World:
-        machine = world.machines[index]
-        world = _with_machine(world, index, machine._replace(visible=found, writing=None))
-        arguments = (machine.ticket, pickle.loads(found), False, NOW)
-        return self._input(world, index, "persisted", arguments)
-
-    def _leads(self, machine: Machine) -> bool:
-        if machine.replica not in self._leading:
-            self._leading[machine.replica] = _replica(machine).leads()
-        return self._leading[machine.replica]
-
-    def _epochs_to_know(self, world: World, index: int) -> range:
-        """Return what a candidate may have heard to be the highest promise: any epoch ever stood for."""
-        highest = FIRST_EPOCH + self._bounds.elections - world.left.elections
-        return range(_replica(world.machines[index]).promised(), highest + 1)
-
-    def _stand(self, world: World, index: int, known: int) -> World:
-        """Give an earlier candidacy up, and stand for the epoch after the one that is known."""
-        world = self._input(world, index, "tick", (NOW + CANDIDACY_OVER,))
-        return self._input(world, index, "receive", (explorer_address(index), 0, TransferNow(known), NOW))
-
-    def _lose_lease(self, world: World, index: int) -> World:
-        return self._input(world, index, "tick", (NOW + LEASE_OVER,))
-
-    def _propose(self, world: World, index: int) -> World:
-        ticket = world.left.changes + 1
-        return self._input(world, index, "propose", (ticket, Append(b"%d," % ticket), NOW))
-
-    def _confirm(self, world: World, index: int) -> World:
-        ticket = -1 - world.left.confirms
-        confirming = world.ledger.confirming | {(ticket, world.ledger.acknowledged)}
-        world = world._replace(ledger=replace(world.ledger, confirming=confirming))
-        return self._input(world, index, "confirm", (ticket, NOW))
-
-    def _boot_after_power(self, world: World, index: int, found: bytes) -> World:
-        machine = world.machines[index]._replace(durable=found)
-        return self._boot(_with_machine(world, index, machine), index, found)
-
-    def _boot(self, world: World, index: int, found: bytes) -> World:
-        machine = world.machines[index]
+        machine = machine._replace(durable=written, visible=written, pending_write=None)
+        state = _with_machine(state, index, machine)
+        return self._run_input(state, index, "persisted", (machine.ticket, record, True, NOW))
+
+    def _fail_write(self, state: SystemState, index: int, stored: bytes) -> SystemState:
+        machine = state.machines[index]
+        state = _with_machine(state, index, machine._replace(visible=stored, pending_write=None))
+        arguments = (machine.ticket, pickle.loads(stored), False, NOW)
+        return self._run_input(state, index, "persisted", arguments)
+
+    def _is_leading(self, machine: Machine) -> bool:
+        if machine.replica not in self._leading_replicas:
+            self._leading_replicas[machine.replica] = _load_replica(machine).leads()
+        return self._leading_replicas[machine.replica]
+
+    def _known_epochs(self, state: SystemState, index: int) -> range:
+        """Return what a candidate may know as the highest promise: any epoch for which a machine stood."""
+        highest = FIRST_EPOCH + self._bounds.elections - state.remaining.elections
+        return range(_load_replica(state.machines[index]).promised(), highest + 1)
+
+    def _start_candidacy(self, state: SystemState, index: int, known_epoch: int) -> SystemState:
+        """Give up an earlier candidacy, and stand for the epoch after the known one."""
+        state = self._run_input(state, index, "tick", (NOW + AFTER_CANDIDACY,))
+        return self._run_input(
+            state, index, "receive", (explorer_address(index), 0, TransferNow(known_epoch), NOW)
+        )
+
+    def _lose_lease(self, state: SystemState, index: int) -> SystemState:
+        return self._run_input(state, index, "tick", (NOW + AFTER_LEASE,))
+
+    def _propose(self, state: SystemState, index: int) -> SystemState:
+        ticket = state.remaining.changes + 1
+        return self._run_input(state, index, "propose", (ticket, Append(b"%d," % ticket), NOW))
+
+    def _confirm(self, state: SystemState, index: int) -> SystemState:
+        ticket = -1 - state.remaining.confirms
+        confirming = state.history.pending_confirmations | {(ticket, state.history.acknowledged)}
+        state = state._replace(history=replace(state.history, pending_confirmations=confirming))
+        return self._run_input(state, index, "confirm", (ticket, NOW))
+
+    def _boot_after_power_loss(self, state: SystemState, index: int, stored: bytes) -> SystemState:
+        machine = state.machines[index]._replace(durable=stored)
+        return self._boot(_with_machine(state, index, machine), index, stored)
+
+    def _boot(self, state: SystemState, index: int, stored: bytes) -> SystemState:
+        machine = state.machines[index]
         incarnation = machine.incarnation + INCARNATION_STEP
         replica = Replica(
             ip=self._addresses[index],
             incarnation=incarnation,
             seeds=self._addresses,
             tolerate=self._bounds.tolerate,
-            record=pickle.loads(found),
+            record=pickle.loads(stored),
             random=FixedRandom(incarnation),
             now=NOW,
             timing=TIMELESS,
         )
-        machine = Machine(self._serialise(replica), machine.durable, found, None, 0, incarnation)
-        return self._input(_with_machine(world, index, machine), index, "tick", (NOW,))
+        machine = Machine(self._serialise(replica), machine.durable, stored, None, 0, incarnation)
+        return self._run_input(_with_machine(state, index, machine), index, "tick", (NOW,))
 
     # Inputs and effects
 
-    def _input(
+    def _run_input(
         self,
-        world: World,
+        state: SystemState,
         index: int,
         method: str,
         arguments: tuple[object, ...],
         number: int | None = None,
-    ) -> World:
-        machine = world.machines[index]
+    ) -> SystemState:
+        machine = state.machines[index]
         key = (machine.replica, method, arguments if number is None else number)
-        known = self._cache.get(key)
-        if known is None:
-            replica = _replica(machine)
+        cached = self._cache.get(key)
+        if cached is None:
+            replica = _load_replica(machine)
             effects = getattr(replica, method)(*arguments)
-            known = (self._serialise(replica), tuple(effects))
-            self._cache[key] = known
-        after, produced = known
+            cached = (self._serialise(replica), tuple(effects))
+            self._cache[key] = cached
+        after, produced = cached
         if after == machine.replica and not produced:
-            return world
-        world = _with_machine(world, index, machine._replace(replica=after))
+            return state
+        state = _with_machine(state, index, machine._replace(replica=after))
         for effect in produced:
-            world = self._apply(world, index, effect)
-        if self._bounds.instant_writes and world.machines[index].writing is not None:
-            return self._finish_write(world, index)
-        return world
+            state = self._apply(state, index, effect)
+        if self._bounds.instant_writes and state.machines[index].pending_write is not None:
+            return self._finish_write(state, index)
+        return state
 
-    def _apply(self, world: World, index: int, effect: Effect) -> World:
-        machine = world.machines[index]
+    def _apply(self, state: SystemState, index: int, effect: Effect) -> SystemState:
+        machine = state.machines[index]
         match effect:
             case Send():
-                return self._send(world, index, effect)
+                return self._send(state, index, effect)
             case Persist():
                 writing = self._serialise(effect.record)
-                return _with_machine(world, index, machine._replace(writing=writing, ticket=effect.ticket))
+                return _with_machine(
+                    state, index, machine._replace(pending_write=writing, ticket=effect.ticket)
+                )
             case CommitApplied():
-                return world._replace(ledger=with_commit(world.ledger, effect.snapshot))
+                return state._replace(history=with_commit(state.history, effect.snapshot))
             case Resolve():
-                return world._replace(ledger=with_answer(world.ledger, effect))
+                return state._replace(history=with_outcome(state.history, effect))
             case _:
-                return world
+                return state
 
     def _serialise(self, value: object) -> bytes:
         serialised = pickle.dumps(value)
         return self._serialised.setdefault(serialised, serialised)
 
-    def _send(self, world: World, index: int, send: Send) -> World:
+    def _send(self, state: SystemState, index: int, send: Send) -> SystemState:
         message = send.message
-        incarnation = world.machines[index].incarnation
+        incarnation = state.machines[index].incarnation
         if isinstance(message, Write):
             holder = (message.document.position.epoch, self._addresses[index], incarnation)
-            world = world._replace(ledger=with_primary(world.ledger, holder))
-        if send.to not in self._addresses or self._is_left_out(message):
-            return world
-        letter = Letter(self._addresses[index], incarnation, send.to, message)
-        return world._replace(letters=world.letters | 1 << self._letters.number(letter))
+            state = state._replace(history=with_primary(state.history, holder))
+        if send.to not in self._addresses or self._is_excluded(message):
+            return state
+        envelope = Envelope(self._addresses[index], incarnation, send.to, message)
+        return state._replace(envelopes=state.envelopes | 1 << self._envelopes.number(envelope))
 
-    def _is_left_out(self, message: Message) -> bool:
+    def _is_excluded(self, message: Message) -> bool:
         if isinstance(message, PreVoteRequest | PreVoteReply):
             return True
         is_round = isinstance(message, Heartbeat | HeartbeatAck)
         return is_round and not (self._bounds.confirms or self._bounds.rounds)
 
 
-def _bits(letters: int) -> Iterator[int]:
-    while letters:
-        lowest = letters & -letters
+def _bit_numbers(envelopes: int) -> Iterator[int]:
+    while envelopes:
+        lowest = envelopes & -envelopes
         yield lowest.bit_length() - 1
-        letters ^= lowest
+        envelopes ^= lowest
 
 
 def explorer_address(index: int) -> str:
-    """Return the sender of the explorer's own requests to a machine."""
+    """Return the address from which the explorer sends its own requests to a machine."""
     return f"explorer-{index}"
 
 
-def _records(found: frozenset[bytes]) -> frozenset[Record]:
-    loaded = (pickle.loads(record) for record in found)
+def _load_records(stored: frozenset[bytes]) -> frozenset[Record]:
+    loaded = (pickle.loads(record) for record in stored)
     return frozenset(record for record in loaded if record is not None)
 
 
-def _replica(machine: Machine) -> Replica:
+def _load_replica(machine: Machine) -> Replica:
     replica: Replica = pickle.loads(machine.replica)
     return replica
 
 
-def _with_machine(world: World, index: int, machine: Machine) -> World:
-    machines = (*world.machines[:index], machine, *world.machines[index + 1 :])
-    return world._replace(machines=machines)
+def _with_machine(state: SystemState, index: int, machine: Machine) -> SystemState:
+    machines = (*state.machines[:index], machine, *state.machines[index + 1 :])
+    return state._replace(machines=machines)
 
 
-def _trace(parents: dict[_Key, tuple[_Key, str] | None], key: _Key) -> tuple[str, ...]:
+def _trace(parents: dict[_StateKey, tuple[_StateKey, str] | None], key: _StateKey) -> tuple[str, ...]:
     actions: list[str] = []
     step = parents[key]
     while step is not None:
--- a/rookwood/coordination/following.py
+++ b/rookwood/coordination/following.py
@@ -1,4 +1,4 @@
-"""What a member knows of the primary that it follows, and how it takes and acknowledges documents."""
+"""The follower's side of the replication: contact with the primary, and storing of its documents."""
 
 from rookwood.coordination.context import Context
 from rookwood.coordination.document import Position
@@ -15,123 +15,133 @@
 
 
 class Follower:
-    """A backup's, or a learner's, side of the replication."""
+    """Tracks the primary, and stores and acknowledges its documents, as a backup or a learner."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self.primary: str | None = None
         self._epoch = 0
-        self._heard_at = float("-inf")
-        self._expected_until = float("-inf")
-        self._distrusted_until = float("-inf")
-        self._committed = Position()
+        self._last_message_at = float("-inf")
+        self._primary_deadline = float("-inf")
+        self._stale_until = float("-inf")
+        self._committed_position = Position()
 
-    # What is known of the primary
+    # The primary
 
-    def hears_primary(self) -> bool:
-        """Tell whether the primary is not overdue."""
-        return self._context.now < self._expected_until
+    def has_live_primary(self) -> bool:
+        """Return whether the next message of the primary is not overdue yet."""
+        return self._context.now < self._primary_deadline
 
-    def lease_end(self) -> float:
-        """Return until when what the primary told counts as fresh."""
-        if self._distrusted_until > self._context.now:
-            return self._distrusted_until
-        return self._heard_at + self._context.timing.lease
+    def contact_expires_at(self) -> float:
+        """Return when the contact with the primary expires, or when messages stop being stale."""
+        if self._stale_until > self._context.now:
+            return self._stale_until
+        return self._last_message_at + self._context.timing.lease
 
     def role(self, now: float, is_member: bool) -> Backup | Learner | None:
-        """Return the role towards the primary, None if none is known or it is this process.
+        """Return the role towards the primary, None if no primary is known or it is this process.
 
-        A process that is no member has a role only as long as it hears the primary.
+        A process that is not a member has a role only while it is in contact with the primary.
         """
         if self.primary is None or self.primary == self._context.ip:
             return None
-        in_touch = self._is_in_touch(now)
+        in_contact = self._is_in_contact(now)
         if is_member:
-            return Backup(self.primary, self._epoch, in_touch, self._is_level())
-        return Learner(self.primary, self._epoch, in_touch, self._is_level()) if in_touch else None
+            return Backup(self.primary, self._epoch, in_contact, self._is_up_to_date())
+        return Learner(self.primary, self._epoch, in_contact, self._is_up_to_date()) if in_contact else None
 
-    def distrust(self, until: float) -> None:
-        """Count nothing heard until a moment as news: it waited while this process stood still."""
-        self._distrusted_until = until
+    def ignore_stale_messages(self, until: float) -> None:
+        """Do not count messages that arrive before `until` as contact.
 
-    def _is_in_touch(self, now: float) -> bool:
-        return now >= self._distrusted_until and now - self._heard_at <= self._context.timing.lease
+        They may have been queued while this process was stalled.
+        """
+        self._stale_until = until
+
+    def _is_in_contact(self, now: float) -> bool:
+        return now >= self._stale_until and now - self._last_message_at <= self._context.timing.lease
 
-    def _is_level(self) -> bool:
-        """Tell whether this process holds every commit of a primary that is established.
+    def _is_up_to_date(self) -> bool:
+        """Return whether this process has applied every commit that an established primary announced.
 
-        Before its first commit a primary tells of none, and what others committed may be missing here.
+        A primary announces no commit before its first one, and commits of earlier primaries may be missing
+        here.
         """
-        return self._committed.epoch == self._epoch and self._context.applied >= self._committed
+        return (
+            self._committed_position.epoch == self._epoch
+            and self._context.applied_position >= self._committed_position
+        )
 
     def follow(self, primary: str, epoch: int) -> None:
-        """Note that a primary is heard."""
+        """Record a message of the primary of this epoch."""
         self.primary = primary
         self._epoch = epoch
-        self._heard_at = self._context.now
-        self._expected_until = self._context.now + self._context.timing.primary_silence
+        self._last_message_at = self._context.now
+        self._primary_deadline = self._context.now + self._context.timing.primary_silence
 
-    def lead(self, epoch: int) -> None:
-        """Note that this process is the primary."""
+    def record_own_leadership(self, epoch: int) -> None:
+        """Record that this process is the primary of this epoch."""
         self.primary = self._context.ip
         self._epoch = epoch
 
-    def forget(self) -> None:
-        """Note that no primary is known."""
+    def forget_primary(self) -> None:
+        """Record that no primary is known."""
         self.primary = None
 
-    def suspect(self) -> bool:
-        """Expect less of a primary whose connection closed, and tell whether that made a difference."""
+    def shorten_primary_deadline(self) -> bool:
+        """Expect the next message of the primary sooner, since its connection closed.
+
+        Return whether this moved the deadline.
+        """
         suspected_at = self._context.now + self._context.timing.disconnect_silence
-        if suspected_at >= self._expected_until:
+        if suspected_at >= self._primary_deadline:
             return False
-        self._expected_until = suspected_at
+        self._primary_deadline = suspected_at
         return True
 
     # Messages
 
-    def accepts(self, sender: str, epoch: int) -> bool:
-        """Tell whether an epoch is none before the promised one; its sender is told if it is."""
+    def accepts_epoch(self, sender: str, epoch: int) -> bool:
+        """Return whether an epoch is at least the promised one; otherwise send a `Refused` to its sender."""
         promised = self._context.journal.latest.promised
         if epoch >= promised:
             return True
         self._context.send(sender, Refused(epoch, promised))
         return False
 
-    def acknowledge_round(self, sender: str, heartbeat: Heartbeat) -> None:
-        """Apply what is committed, and answer with the newest document that is synced."""
-        self._committed = max(self._committed, heartbeat.committed)
+    def acknowledge_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
+        """Apply the announced commit, and acknowledge with the position of the newest synced document."""
+        self._committed_position = max(self._committed_position, heartbeat.committed)
         self._context.apply_commit(heartbeat.committed)
         durable = self._context.journal.durable
         position = durable.document.position
         self._context.send(sender, HeartbeatAck(heartbeat.epoch, heartbeat.round, position, durable.token))
 
-    def store(self, sender: str, write: Write) -> None:
-        """Put a document on the disk, and acknowledge it once it is synced.
+    def store_document(self, sender: str, write: Write) -> None:
+        """Write a document to disk, and acknowledge it once it is synced.
 
-        A heartbeat may have told of its commit before: it does not wait behind documents.
+        A heartbeat may have announced its commit already, since heartbeats do not wait behind documents.
         """
         journal = self._context.journal
         position = write.document.position
-        self._context.offer(write.document)
-        self._context.apply_commit(self._committed)
-        if not journal.healthy:
+        self._context.record_document(write.document)
+        self._context.apply_commit(self._committed_position)
+        if not journal.disk_healthy:
             self._context.send(sender, WriteFailed(position.epoch, position))
             return
         step = WriteStep(sender, position)
         if position > journal.latest.document.position:
             journal.update(journal.latest.with_document(write.document), step)
-        elif journal.is_settled():
+        elif journal.is_latest_durable():
             self.acknowledge_write(step)
         else:
-            journal.await_latest(step)
+            journal.run_when_durable(step)
 
     def acknowledge_write(self, step: WriteStep) -> None:
-        """Tell the primary the newest document that is synced."""
+        """Send the primary the position of the newest synced document."""
         durable = self._context.journal.durable
         acknowledgement = WriteAck(step.position.epoch, durable.document.position, durable.token)
         self._context.send(step.primary, acknowledgement)
 
-    def refuse_write(self, step: WriteStep) -> None:
-        """Tell the primary that the disk did not take its document."""
+    def report_failed_write(self, step: WriteStep) -> None:
+        """Report to the primary that its document could not be stored."""
         self._context.send(step.primary, WriteFailed(step.position.epoch, step.position))
--- a/rookwood/coordination/group.py
+++ b/rookwood/coordination/group.py
@@ -1,4 +1,4 @@
-"""The asyncio shell of a replica: sockets, storage thread, timer, and the calls of its process."""
+"""Runs a replica on asyncio: its connections, storage thread, timer, and the calls of this process."""
 
 import asyncio
 import logging
@@ -62,30 +62,30 @@
 
 logger = logging.getLogger("rookwood")
 
-MIN_TICK = 0.05
+MIN_TICK_INTERVAL = 0.05
 READ_ATTEMPTS = 20
-READ_PAUSE = 0.25
-TRANSFER_LIMIT = 1.0
-DRAIN_LIMIT = 0.2
-CLOSE_LIMIT = 1.0  # seconds for which a process that ends waits for its disk
+READ_RETRY_DELAY = 0.25
+TRANSFER_TIMEOUT = 1.0
+DRAIN_TIMEOUT = 0.2
+CLOSE_TIMEOUT = 1.0  # seconds for which a stopping process waits for its disk
 INCARNATION_BITS = 62
 
 
 @dataclass(frozen=True)
 class Transferred:
-    """Another member leads now, under this epoch."""
+    """Another member is primary now, with this epoch."""
 
     epoch: int
 
 
 @dataclass(frozen=True)
 class NoSuccessor:
-    """No other member was heard lately, so nothing was handed over."""
+    """No other member was reachable, so the leadership was not handed over."""
 
 
 @dataclass(frozen=True)
 class GroupSettings(Timing):
-    """Settings of one member; the times of the protocol are inherited as fields with defaults."""
+    """Settings of one member; the protocol timing is inherited as fields with defaults."""
 
     ip: str
     port: int
@@ -98,7 +98,7 @@
 
 
 class ControlGroup:
-    """One member of the group that keeps the control document."""
+    """One member of the group that replicates the control document."""
 
     def __init__(
         self,
@@ -128,17 +128,17 @@
         self._timer_at = float("inf")
         self._calls: dict[int, asyncio.Future[ProposeOutcome | ConfirmOutcome]] = {}
         self._last_ticket = 0
-        self._committed = asyncio.Event()
-        self._effects: deque[Effect] = deque()
-        self._applying = False
+        self._commit_event = asyncio.Event()
+        self._pending_effects: deque[Effect] = deque()
+        self._is_applying = False
         self._writes: set[asyncio.Task[None]] = set()
         self._stopped = False
         self.activity = GroupActivity()
 
     async def start(self) -> None:
-        """Open the storage and listen; returns without waiting for other members."""
+        """Load the stored record and listen; return without waiting for other members."""
         loop = asyncio.get_running_loop()
-        record = await self._storage_thread.run(self._load)
+        record = await self._storage_thread.run(self._load_record)
         self._replica = Replica(
             ip=self._settings.ip,
             incarnation=self._incarnation,
@@ -153,9 +153,9 @@
         self._tick()
 
     async def stop(self, transfer: bool = True) -> None:
-        """Stop taking part; a primary first hands over if `transfer` is set."""
+        """Stop participating; a primary first hands over if `transfer` is set."""
         if transfer and self._replica is not None and isinstance(self.role(), Primary):
-            await self._transfer(self._replica)
+            await self._hand_over(self._replica)
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -167,9 +167,9 @@
         await self._close_storage()
 
     async def _close_storage(self) -> None:
-        """Close the storage behind the writes under way; where the disk hangs, leave it to the end."""
+        """Close the storage after the writes under way; leave it open if the disk hangs."""
         try:
-            async with asyncio.timeout(CLOSE_LIMIT):
+            async with asyncio.timeout(CLOSE_TIMEOUT):
                 await asyncio.gather(*self._writes)  # one that has not begun would open the storage again
                 await self._storage_thread.run(self._storage.close)
         except TimeoutError:
@@ -177,21 +177,21 @@
         self._storage_thread.close()
 
     def role(self) -> Role:
-        """Return the present role; a primary whose lease ran out while it was frozen has lost it."""
+        """Return the current role; a primary whose lease expired during a stall is none any more."""
         if self._replica is None:
             return Unattached("starting")
         return self._replica.role(self._now())
 
     def snapshot(self) -> Snapshot:
-        """Return the newest committed document known here."""
+        """Return the newest document that is known to be committed."""
         return Snapshot(0, 0, b"") if self._replica is None else self._replica.snapshot()
 
     def members(self) -> tuple[str, ...]:
-        """Return the addresses of the members as known here."""
+        """Return the addresses of the members in the newest known configuration."""
         return () if self._replica is None else self._replica.members()
 
     def reachable(self) -> frozenset[str]:
-        """Return the members heard within the lease time, this one included."""
+        """Return the members from which a message arrived within the lease time, and this one."""
         return frozenset() if self._replica is None else self._replica.reachable(self._now())
 
     def stored(self) -> Position:
@@ -204,41 +204,41 @@
 
     @property
     def transport(self) -> Transport:
-        """The links to the other members."""
+        """The connections to the other members."""
         return self._transport
 
     @property
     def open_calls(self) -> int:
-        """How many calls of this process await their outcome."""
+        """The number of calls of this process that wait for their outcome."""
         return len(self._calls)
 
     @property
     def open_writes(self) -> int:
-        """How many writes are under way on the storage's thread or wait for it."""
+        """The number of disk writes that are under way on the storage thread or wait for it."""
         return len(self._writes)
 
     def holds_copy(self) -> bool:
-        """Tell whether this machine takes part with the storage it has, neither joining nor recovering."""
+        """Return whether this machine is a member with the storage that it has: not joining or recovering."""
         return self._replica is not None and self._replica.is_member()
 
     async def transfer(self) -> Transferred | NoSuccessor | NotPrimary | Uncertain:
-        """Hand the leadership to the most up-to-date member that is heard, and go on as its backup."""
+        """Hand the leadership over to the most up-to-date reachable member, and continue as its backup."""
         role = self.role()
         if self._replica is None or not isinstance(role, Primary):
             return NotPrimary(role.primary if isinstance(role, Following) else None)
         if self.reachable() <= {self._settings.ip}:
             return NoSuccessor()
-        await self._transfer(self._replica)
+        await self._hand_over(self._replica)
         epoch = self.snapshot().epoch
         return Transferred(epoch) if epoch > role.epoch else Uncertain("no successor was established in time")
 
     async def propose(
         self, change: Change, limit: float = 3.0, size: int = 0
     ) -> Committed | Declined | NotPrimary | Overloaded | Uncertain:
-        """Change the document; `change` is pure and gets the newest committed payload.
+        """Change the document; `change` must be pure, and is called with the newest committed payload.
 
-        A payload above `MAX_PAYLOAD_BYTES` is declined as `PayloadTooLarge`.
-        `size` is the bytes that the change keeps in memory while it waits for its turn.
+        A payload above `MAX_PAYLOAD_BYTES` is declined as `PayloadTooLarge`. `limit` is the timeout in
+        seconds, and `size` the number of bytes of memory that the change occupies while it waits.
         """
         outcome = await self._call(
             lambda replica, ticket: replica.propose(ticket, change, self._now(), size), limit
@@ -246,12 +246,12 @@
         return Uncertain("unexpected outcome") if isinstance(outcome, Confirmed) else outcome
 
     async def confirm(self, limit: float = 1.0) -> Confirmed | NotPrimary | Uncertain:
-        """Confirm leadership by a round that starts after this call."""
+        """Confirm leadership by a heartbeat round that starts after this call; `limit` is the timeout."""
         outcome = await self._call(lambda replica, ticket: replica.confirm(ticket, self._now()), limit)
         return outcome if isinstance(outcome, Confirmed | NotPrimary) else _as_uncertain(outcome)
 
     async def _call(
-        self, begin: Callable[[Replica, int], list[Effect]], limit: float
+        self, start_call: Callable[[Replica, int], list[Effect]], limit: float
     ) -> ProposeOutcome | ConfirmOutcome:
         replica = self._replica
         if replica is None or self._stopped:
@@ -261,7 +261,7 @@
         future: asyncio.Future[ProposeOutcome | ConfirmOutcome] = asyncio.get_running_loop().create_future()
         self._calls[ticket] = future
         try:
-            self._apply(begin(replica, ticket))
+            self._apply(start_call(replica, ticket))
             async with asyncio.timeout(limit):
                 return await future
         except TimeoutError:
@@ -271,44 +271,44 @@
             if not self._stopped:
                 self._apply(replica.abandon(ticket, self._now()))
 
-    async def _transfer(self, replica: Replica) -> None:
-        """Hand over, and keep voting and acknowledging until the successor is established."""
+    async def _hand_over(self, replica: Replica) -> None:
+        """Hand over, and continue to vote and acknowledge until the successor is established."""
         epoch = replica.snapshot().epoch
         self._apply(replica.transfer(self._now()))
         with suppress(TimeoutError):
-            async with asyncio.timeout(TRANSFER_LIMIT):
+            async with asyncio.timeout(TRANSFER_TIMEOUT):
                 while replica.snapshot().epoch == epoch:
-                    self._committed.clear()
-                    await self._committed.wait()
-        await self._transport.drain(DRAIN_LIMIT)
+                    self._commit_event.clear()
+                    await self._commit_event.wait()
+        await self._transport.drain(DRAIN_TIMEOUT)
 
     def _timing(self) -> Timing:
         return Timing(**{field.name: getattr(self._settings, field.name) for field in fields(Timing)})
 
-    def _load(self) -> Record | None:
-        """Return the stored record, None if it is lost or there was none; runs on the storage's thread."""
+    def _load_record(self) -> Record | None:
+        """Return the stored record, None if it is lost or there was none; runs on the storage thread."""
         outcome = self._read_storage()
         if isinstance(outcome, Found):
             return outcome.record
         if isinstance(outcome, Empty):
             first = self._settings.bootstrap and self._settings.ip in self._settings.seeds
-            return self._first_record() if first else None
+            return self._bootstrap_record() if first else None
         faults = [f"{fault.slot}: {fault.kind.value}: {fault.detail}" for fault in outcome.faults]
         logger.error("storage lost", extra={"faults": faults})
         return None
 
     def _read_storage(self) -> LoadOutcome:
-        """Read the storage, again after a pause while the disk does not let it be read."""
+        """Read the storage, retrying while it is inaccessible."""
         for _ in range(READ_ATTEMPTS):
             outcome = self._storage.load()
             if not isinstance(outcome, Inaccessible):
                 return outcome
             self._storage.close()
-            if self._stop_reading.wait(READ_PAUSE):
+            if self._stop_reading.wait(READ_RETRY_DELAY):
                 break
         return outcome
 
-    def _first_record(self) -> Record:
+    def _bootstrap_record(self) -> Record:
         members = tuple(Member(ip) for ip in self._settings.seeds)
         return Record(0, 0, True, Document(Position(), Configuration(members), b""))
 
@@ -333,7 +333,7 @@
         replica = self._replica
         if replica is None or self._stopped:
             return
-        wakeup = max(replica.next_wakeup(), self._now() + MIN_TICK)
+        wakeup = max(replica.next_wakeup(), self._now() + MIN_TICK_INTERVAL)
         if self._timer is not None and self._timer_at <= wakeup:
             return
         if self._timer is not None:
@@ -342,16 +342,16 @@
         self._timer = asyncio.get_running_loop().call_at(wakeup, self._tick)
 
     def _apply(self, effects: list[Effect]) -> None:
-        """Apply effects in order, also those that arise while others are applied."""
-        self._effects.extend(effects)
-        if self._applying:
+        """Carry out effects in order, including those that arise while others are carried out."""
+        self._pending_effects.extend(effects)
+        if self._is_applying:
             return
-        self._applying = True
+        self._is_applying = True
         try:
-            while self._effects:
-                self._apply_one(self._effects.popleft())
+            while self._pending_effects:
+                self._apply_one(self._pending_effects.popleft())
         finally:
-            self._applying = False
+            self._is_applying = False
         self._schedule()
 
     def _apply_one(self, effect: Effect) -> None:
@@ -364,7 +364,7 @@
             case Resolve():
                 self._resolve(effect)
             case CommitApplied():
-                self._committed.set()
+                self._commit_event.set()
                 self._on_commit(effect.snapshot)
             case RoleChanged():
                 self.activity.role_changes += 1
@@ -376,16 +376,16 @@
         task.add_done_callback(self._writes.discard)
 
     async def _write(self, effect: Persist) -> None:
-        stored = await self._storage_thread.run(self._save, effect.record)
+        stored = await self._storage_thread.run(self._save_record, effect.record)
         if self._replica is not None and not self._stopped:
             succeeded = stored is effect.record
             self._apply(self._replica.persisted(effect.ticket, stored, succeeded, self._now()))
 
-    def _save(self, record: Record) -> Record | None:
-        """Store a record; after a failure, return what the disk holds."""
+    def _save_record(self, record: Record) -> Record | None:
+        """Store a record and return it; after a failure, return the record that the disk holds."""
         with self.activity.writes.measure() as write:
             write.succeeded = self._storage.save(record)
-        return record if write.succeeded else self._load()
+        return record if write.succeeded else self._load_record()
 
     def _resolve(self, effect: Resolve) -> None:
         future = self._calls.get(effect.ticket)
--- a/rookwood/coordination/journal.py
+++ b/rookwood/coordination/journal.py
@@ -1,4 +1,4 @@
-"""Order of durable writes: one at a time, each followed by the steps that waited for it."""
+"""Serializes the disk writes of a replica, and runs the steps that wait for a record to become durable."""
 
 from dataclasses import dataclass
 
@@ -7,17 +7,20 @@
 
 @dataclass(frozen=True)
 class PromiseStep:
-    """Answer a candidate once the promise is durable."""
+    """Send a candidate its promise, once it is durable.
+
+    `candidate_position` is the position of the candidate's document.
+    """
 
     candidate: str
     incarnation: int
     epoch: int
-    known: Position
+    candidate_position: Position
 
 
 @dataclass(frozen=True)
 class WriteStep:
-    """Acknowledge a document to the primary once it is durable."""
+    """Acknowledge a document to the primary, once it is durable."""
 
     primary: str
     position: Position
@@ -25,14 +28,14 @@
 
 @dataclass(frozen=True)
 class OwnPromiseStep:
-    """Ask for votes once the candidate's own promise is durable."""
+    """Count the candidate's own promise, once it is durable."""
 
     epoch: int
 
 
 @dataclass(frozen=True)
 class OwnWriteStep:
-    """Count the primary's own copy once it is durable."""
+    """Count the primary's own copy, once it is durable."""
 
     position: Position
 
@@ -41,108 +44,117 @@
 
 
 @dataclass(frozen=True)
-class Flushed:
-    """Result of a durable write: the steps that may go on, or those that failed."""
+class WriteResult:
+    """The result of a disk write: the steps whose record is durable now, or after a failure all that waited.
+
+    `storage_lost` tells whether the disk holds nothing readable, or less than was known to be durable.
+    """
 
     succeeded: bool
     steps: tuple[Step, ...]
-    lost: bool = False
+    storage_lost: bool = False
 
 
 class Journal:
-    """The record in memory (`latest`), the record known to be synced (`durable`), and what waits.
+    """The record in memory (`latest`), the record known to be synced (`durable`), and the waiting steps.
 
-    What a process finds on its disk at start may not have been synced by the process before it, so
+    The record that a process finds on its disk at start may not have been synced by the previous process, so
     nothing counts as durable until the first write of this process is done.
     """
 
-    def __init__(self, found: Record) -> None:
-        self.latest = found
-        self.durable = Record(found.token)
-        self.healthy = True
+    def __init__(self, stored_record: Record) -> None:
+        self.latest = stored_record
+        self.durable = Record(stored_record.token)
+        self.disk_healthy = True
         self._retry_at = float("-inf")
         self._version = 1
         self._durable_version = 0
-        self._ticket = 0
-        self._write: _Write | None = None
-        self._waiting: list[tuple[int, Step]] = []
+        self._last_ticket = 0
+        self._current_write: _PendingWrite | None = None
+        self._waiting_steps: list[tuple[int, Step]] = []
 
     def update(self, record: Record, step: Step) -> None:
-        """Take a new record; the step runs once it is durable."""
+        """Replace the latest record, and run the step once the new record is durable."""
         self._version += 1
         self.latest = record
-        self._waiting.append((self._version, step))
+        self._waiting_steps.append((self._version, step))
 
-    def await_latest(self, step: Step) -> None:
-        """Run the step once the present latest record is durable."""
-        if (self._version, step) not in self._waiting:
-            self._waiting.append((self._version, step))
+    def run_when_durable(self, step: Step) -> None:
+        """Run the step once the current latest record is durable."""
+        if (self._version, step) not in self._waiting_steps:
+            self._waiting_steps.append((self._version, step))
 
-    def restart(self, record: Record) -> None:
-        """Begin anew with a record, everything stored being lost."""
+    def reset(self, record: Record) -> None:
+        """Start over with this record, since everything stored was lost."""
         self._version += 1
         self.latest = record
         self.durable = Record(record.token)
 
-    def begin(self, now: float) -> tuple[int, Record] | None:
-        """Return the ticket and record of the next write, None if there is nothing to write now.
+    def begin_write(self, now: float) -> tuple[int, Record] | None:
+        """Start the next write; return its ticket and record, or None if there is nothing to write now.
 
-        A write on a failed disk is its test, made from time to time.
+        A failed disk is tried again from time to time.
         """
-        if self._write is not None or self.is_settled():
+        if self._current_write is not None or self.is_latest_durable():
             return None
-        if not self.healthy and now < self._retry_at:
+        if not self.disk_healthy and now < self._retry_at:
             return None
-        self._ticket += 1
-        self._write = _Write(self._ticket, self._version, self.latest, now)
-        return self._ticket, self.latest
+        self._last_ticket += 1
+        self._current_write = _PendingWrite(self._last_ticket, self._version, self.latest, now)
+        return self._last_ticket, self.latest
 
-    def succeed(self, ticket: int) -> Flushed | None:
-        """Note that a write is synced."""
-        write = self._end(ticket)
+    def complete_write(self, ticket: int) -> WriteResult | None:
+        """Record that a write is synced; return its result, None if it is not the current write."""
+        write = self._take_current_write(ticket)
         if write is None:
             return None
-        self.healthy = True
+        self.disk_healthy = True
         self._durable_version = write.version
         self.durable = write.record
-        steps = tuple(step for version, step in self._waiting if version <= write.version)
-        self._waiting = [(version, step) for version, step in self._waiting if version > write.version]
-        return Flushed(True, steps)
+        steps = tuple(step for version, step in self._waiting_steps if version <= write.version)
+        self._waiting_steps = [
+            (version, step) for version, step in self._waiting_steps if version > write.version
+        ]
+        return WriteResult(True, steps)
+
+    def fail_write(self, ticket: int, stored: Record | None, retry_at: float) -> WriteResult | None:
+        """Record that a write failed; return its result, None if it is not the current write.
 
-    def fail(self, ticket: int, stored: Record | None, retry_at: float) -> Flushed | None:
-        """Note that a write failed; `stored` is what the disk holds, None if nothing readable."""
-        write = self._end(ticket)
+        `stored` is the record on the disk, None if there is no readable one. All waiting steps fail, and the
+        latest record becomes the stored one unless the storage is lost.
+        """
+        write = self._take_current_write(ticket)
         if write is None:
             return None
-        steps = tuple(step for _, step in self._waiting)
-        self._waiting = []
-        self.healthy = False
+        steps = tuple(step for _, step in self._waiting_steps)
+        self._waiting_steps = []
+        self.disk_healthy = False
         self._retry_at = retry_at
         self._version += 1
-        if stored is None or _is_behind(stored, self.durable):
-            return Flushed(False, steps, lost=True)
+        if stored is None or _is_older(stored, self.durable):
+            return WriteResult(False, steps, storage_lost=True)
         self.latest = stored
-        return Flushed(False, steps)
+        return WriteResult(False, steps)
 
-    def stalled_for(self, now: float) -> float:
-        """Return for how long the present write has been going on."""
-        return 0.0 if self._write is None else now - self._write.started_at
+    def current_write_duration(self, now: float) -> float:
+        """Return how long the current write has taken so far, 0 if there is none."""
+        return 0.0 if self._current_write is None else now - self._current_write.started_at
 
-    def is_settled(self) -> bool:
-        """Tell whether the latest record is durable."""
+    def is_latest_durable(self) -> bool:
+        """Return whether the latest record is durable."""
         return self._durable_version == self._version
 
-    def _end(self, ticket: int) -> "_Write | None":
-        write = self._write
+    def _take_current_write(self, ticket: int) -> "_PendingWrite | None":
+        write = self._current_write
         if write is None or write.ticket != ticket:
             return None
-        self._write = None
+        self._current_write = None
         return write
 
 
 @dataclass(frozen=True)
-class _Write:
-    """A write under way."""
+class _PendingWrite:
+    """The write under way."""
 
     ticket: int
     version: int
@@ -150,5 +162,5 @@
     started_at: float
 
 
-def _is_behind(stored: Record, durable: Record) -> bool:
+def _is_older(stored: Record, durable: Record) -> bool:
     return stored.promised < durable.promised or stored.document.position < durable.document.position
--- a/rookwood/coordination/lanes.py
+++ b/rookwood/coordination/lanes.py
@@ -1,8 +1,8 @@
-"""The two connections from one member to another, what goes over each, and the bytes on them.
+"""The two channels from one member to another, and the framing of messages on them.
 
-Heartbeats and answers are small and must not wait; a document may have megabytes. So documents go over a
-connection of their own. A member of the version before opens and takes the first one alone: documents go
-to a peer over the second one only once that peer has opened its own.
+Each channel is a connection of its own. Heartbeats and responses are small and must not wait, while a
+document may have megabytes, so documents have their own channel. A member of the previous version opens and
+accepts the control channel only. So documents go over their channel only to a peer that has opened it too.
 """
 
 import asyncio
@@ -16,11 +16,11 @@
 LENGTH_BYTES = 4
 INCARNATION_BYTES = 8
 PREAMBLE_BYTES = 4
-MAX_FRAME_BYTES = 2 * MAX_PAYLOAD_BYTES  # the version before took documents of up to 8 MB
+MAX_FRAME_BYTES = 2 * MAX_PAYLOAD_BYTES  # the previous version accepted documents of up to 8 MB
 
 
-class Lane(Enum):
-    """One of the two connections, by the bytes with which it begins."""
+class Channel(Enum):
+    """A channel; its value is the first bytes of the connection."""
 
     CONTROL = b"RKC1"
     DOCUMENTS = b"RKD1"
@@ -28,45 +28,45 @@
 
 @dataclass(frozen=True)
 class Preamble:
-    """What a member tells at the beginning of a connection that it opened."""
+    """The start of a connection: its channel, and the address and incarnation of the opening member."""
 
-    lane: Lane
+    channel: Channel
     sender: str
     incarnation: int
 
     def encode(self) -> bytes:
-        """Return the first bytes of the connection."""
+        """Return the preamble in the form in which it is sent."""
         address = self.sender.encode()
-        life = self.incarnation.to_bytes(INCARNATION_BYTES)
-        return self.lane.value + life + bytes((len(address),)) + address
+        incarnation = self.incarnation.to_bytes(INCARNATION_BYTES)
+        return self.channel.value + incarnation + bytes((len(address),)) + address
 
 
 def carries_document(message: Message) -> bool:
-    """Tell whether a message holds a whole document."""
+    """Return whether a message contains a document."""
     return isinstance(message, Write) or (isinstance(message, Promise) and message.document is not None)
 
 
 def encode_frame(message: Message) -> bytes:
-    """Return a message as it goes over the connection."""
+    """Return the frame of a message: its length, then its encoding."""
     body = encode_message(message)
     return len(body).to_bytes(LENGTH_BYTES) + body
 
 
 async def read_preamble(reader: asyncio.StreamReader) -> Preamble:
-    """Read the beginning of a connection; raises `DecodeError` for a stranger's."""
-    begin = await reader.readexactly(PREAMBLE_BYTES)
+    """Read the preamble of a connection; raises `DecodeError` if a member did not open it."""
+    marker = await reader.readexactly(PREAMBLE_BYTES)
     try:
-        lane = Lane(begin)
+        channel = Channel(marker)
     except ValueError as error:
-        raise DecodeError("not a connection of a member") from error
+        raise DecodeError("unknown connection preamble") from error
     incarnation = int.from_bytes(await reader.readexactly(INCARNATION_BYTES))
     length = (await reader.readexactly(1))[0]
-    return Preamble(lane, (await reader.readexactly(length)).decode(), incarnation)
+    return Preamble(channel, (await reader.readexactly(length)).decode(), incarnation)
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
     """Read the body of the next frame."""
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES))
     if length > MAX_FRAME_BYTES:
-        raise DecodeError("frame too long")
+        raise DecodeError("frame exceeds the maximum length")
     return await reader.readexactly(length)
--- a/rookwood/coordination/leadership.py
+++ b/rookwood/coordination/leadership.py
@@ -1,4 +1,4 @@
-"""The primary's work in one epoch: writes, commits, heartbeat rounds and confirmations."""
+"""The primary's side of the replication in one epoch: writes, commits, heartbeat rounds, confirmations."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from rookwood.coordination.effects import Resolve
 from rookwood.coordination.journal import OwnWriteStep
 from rookwood.coordination.member_progress import MemberProgress
-from rookwood.coordination.membership import HEALTHY_BEATS, Membership
+from rookwood.coordination.membership import MAX_MISSED_HEARTBEATS, Membership
 from rookwood.coordination.messages import Heartbeat, HeartbeatAck, Write, WriteAck, WriteFailed
 from rookwood.coordination.outcomes import (
     Committed,
@@ -27,177 +27,192 @@
 )
 from rookwood.coordination.proposals import Proposal, ProposalQueue
 
-MAX_ROUNDS_REMEMBERED = 32
+MAX_TRACKED_ROUNDS = 32
 
 
 @dataclass(frozen=True)
-class Waiter:
-    """A call that waits for a heartbeat round; `declined` is its answer, else a confirmation."""
+class PendingConfirmation:
+    """A call that waits for a heartbeat round; its outcome is `declined`, or else a confirmation."""
 
     ticket: int
-    round: int
+    required_round: int
     declined: Declined | None
 
 
 class Leadership:
-    """One epoch as primary; `established` once its first document is committed."""
+    """One epoch in which this process leads.
+
+    Its first document repeats the newest one that the members hold; once that is committed, the primary is
+    established and may act.
+    """
 
     def __init__(self, context: Context, epoch: int, newest: Document) -> None:
         self._context = context
         self.epoch = epoch
         self.started_at = context.now
         self.established_at: float | None = None
-        self.leave_by: float | None = None
+        self.handover_deadline: float | None = None
         self._progress: dict[str, MemberProgress] = {}
         self._membership = Membership(context)
         self._proposals = ProposalQueue()
-        self._waiters: list[Waiter] = []
-        self._in_flight: int | None = None
-        self._writing = False
-        self._written_at = context.now
-        self._patience_until: float | None = None
-        self._committed = Position()
-        self._round = 0
+        self._pending_confirmations: list[PendingConfirmation] = []
+        self._in_flight_ticket: int | None = None
+        self._commit_pending = False
+        self._write_started_at = context.now
+        self._copy_wait_until: float | None = None
+        self._committed_position = Position()
+        self._latest_round = 0
         self._confirmed_round = 0
-        self._rounds: dict[int, float] = {}
-        self._heartbeat_at = context.now
+        self._round_start_times: dict[int, float] = {}
+        self._next_heartbeat_at = context.now
         self._document = newest
         self._write(newest.configuration, newest.payload)
 
     @property
-    def established(self) -> bool:
-        """Tell whether this primary may act."""
+    def is_established(self) -> bool:
+        """Whether the first document of this epoch is committed, so that this primary may act."""
         return self.established_at is not None
 
     @property
-    def leaving(self) -> bool:
-        """Tell whether another member is to take over."""
-        return self.leave_by is not None
+    def is_leaving(self) -> bool:
+        """Whether this primary is handing over to another member."""
+        return self.handover_deadline is not None
 
     @property
-    def committed(self) -> Position:
-        """Return the newest committed position."""
-        return self._committed
+    def committed_position(self) -> Position:
+        """The newest committed position."""
+        return self._committed_position
 
     # Calls
 
     def propose(self, proposal: Proposal) -> None:
-        """Queue a change, or refuse it at once if too much waits already."""
+        """Queue a change, or reject it at once if the queue is full."""
         if not self._proposals.has_room(proposal.size):
             self._context.effects.append(Resolve(proposal.ticket, Overloaded()))
             return
         self._proposals.append(proposal)
-        self._advance()
+        self._start_next_write()
 
     def confirm(self, ticket: int, declined: Declined | None = None) -> None:
-        """Answer the call once a round that starts from now on has been acknowledged."""
-        if self._confirmed_round == self._round:
-            self._waiters.append(Waiter(ticket, self._round + 1, declined))
+        """Resolve the call once a heartbeat round that starts after now has been acknowledged."""
+        if self._confirmed_round == self._latest_round:
+            self._pending_confirmations.append(PendingConfirmation(ticket, self._latest_round + 1, declined))
             self._start_round()
             return
-        self._waiters.append(Waiter(ticket, self._round + 1, declined))
+        self._pending_confirmations.append(PendingConfirmation(ticket, self._latest_round + 1, declined))
 
     def abandon(self, ticket: int) -> None:
-        """Forget a call whose limit is over; a write under way goes on."""
+        """Drop a call that timed out; its write, if under way, continues."""
         self._proposals.remove(ticket)
-        self._waiters = [waiter for waiter in self._waiters if waiter.ticket != ticket]
-        if self._in_flight == ticket:
-            self._in_flight = None
+        self._pending_confirmations = [
+            pending for pending in self._pending_confirmations if pending.ticket != ticket
+        ]
+        if self._in_flight_ticket == ticket:
+            self._in_flight_ticket = None
 
     def close(self) -> None:
-        """Resolve what is pending: this epoch is over."""
-        idle = [proposal.ticket for proposal in self._proposals.take_all()]
-        idle += [waiter.ticket for waiter in self._waiters]
-        for ticket in idle:
+        """Resolve all pending calls, since this epoch is over."""
+        waiting = [proposal.ticket for proposal in self._proposals.pop_all()]
+        waiting += [pending.ticket for pending in self._pending_confirmations]
+        for ticket in waiting:
             self._context.effects.append(Resolve(ticket, NotPrimary(None)))
-        if self._in_flight is not None:
+        if self._in_flight_ticket is not None:
             outcome = Uncertain("the primary stepped down")
-            self._context.effects.append(Resolve(self._in_flight, outcome))
-        self._waiters.clear()
-        self._in_flight = None
+            self._context.effects.append(Resolve(self._in_flight_ticket, outcome))
+        self._pending_confirmations.clear()
+        self._in_flight_ticket = None
+
+    def is_ready_for_handover(self) -> bool:
+        """Return whether to hand over now.
 
-    def is_ready_to_leave(self) -> bool:
-        """Tell whether to hand over now: every healthy member holds the newest document, or it is time."""
-        if self.leave_by is None:
+        That is the case once every healthy member has the newest document and it is committed, or when the
+        deadline for the handover has passed.
+        """
+        if self.handover_deadline is None:
             return False
         position = self._document.position
-        stands_elsewhere = all(state.stored >= position for state in self._healthy_members())
-        return self._context.now >= self.leave_by or (not self._writing and stands_elsewhere)
+        has_copies = all(progress.stored_position >= position for progress in self._healthy_members())
+        return self._context.now >= self.handover_deadline or (not self._commit_pending and has_copies)
 
-    def leave(self) -> None:
-        """Take no more changes, so that another member may take over."""
-        self.leave_by = self._context.now + self._context.timing.departure_limit
+    def begin_handover(self) -> None:
+        """Accept no more changes, so that another member can take over; queued changes are still made."""
+        self.handover_deadline = self._context.now + self._context.timing.departure_limit
 
     # Messages
 
-    def on_own_write(self) -> None:
-        """Note that the own copy is durable."""
+    def on_own_copy_durable(self) -> None:
+        """Check whether the document is committed, now that the primary's own copy is durable."""
         self._check_commit()
 
     def on_heartbeat_ack(self, sender: str, incarnation: int, ack: HeartbeatAck) -> None:
-        """Count a member's acknowledgement of a round."""
+        """Count a member's acknowledgement of a heartbeat round."""
         if ack.epoch != self.epoch:
             return
         progress = self._progress_of(sender, incarnation, ack.token)
-        progress.note_round(ack.round, self._rounds.get(ack.round))
-        self._note_stored(progress, ack.stored)
-        self._send_newest(sender, progress)
-        self._check_rounds()
+        progress.record_acknowledged_round(ack.round, self._round_start_times.get(ack.round))
+        self._record_stored(progress, ack.stored)
+        self._send_newest_document(sender, progress)
+        self._update_confirmed_round()
 
     def on_write_ack(self, sender: str, incarnation: int, ack: WriteAck) -> None:
-        """Count a member's copy, or a learner's."""
+        """Record the copy of a member or learner."""
         if ack.epoch != self.epoch:
             return
         progress = self._progress_of(sender, incarnation, ack.token)
-        self._note_stored(progress, ack.stored)
+        self._record_stored(progress, ack.stored)
         if sender in self._receivers():
-            self._send_newest(sender, progress)
+            self._send_newest_document(sender, progress)
 
     def on_write_failed(self, sender: str, incarnation: int, failure: WriteFailed) -> None:
-        """Note that a member's disk takes no writes at present."""
+        """Record that a member could not store a document."""
         progress = self._progress.get(sender)
         if failure.epoch == self.epoch and progress is not None and progress.incarnation == incarnation:
-            progress.note_failed(failure.position)
+            progress.record_failed_write(failure.position)
 
     def on_join_request(self, sender: str, incarnation: int, token: int) -> None:
-        """Send the document to a machine that asks to be admitted with the storage of this token."""
+        """Record a request for admission with the storage of this token, and send the document there."""
         if self._document.configuration.admits(Member(sender, token)):
             return
-        self._membership.ask(Member(sender, token))
-        self._send_newest(sender, self._progress_of(sender, incarnation, token))
+        self._membership.record_request(Member(sender, token))
+        self._send_newest_document(sender, self._progress_of(sender, incarnation, token))
 
     # Time
 
     def tick(self) -> None:
-        """Send what is due."""
-        if self._context.now >= self._heartbeat_at:
+        """Do everything that is due at this time."""
+        if self._context.now >= self._next_heartbeat_at:
             self._start_round()
-        self._membership.drop_silent(self._document.configuration)
+        self._membership.drop_expired_requests(self._document.configuration)
         self._check_commit()
         self._replace_lost_members()
-        self._advance()
+        self._start_next_write()
 
     def next_wakeup(self) -> float:
-        """Return when to look at this leadership again."""
-        if self._patience_until is None:
-            return self._heartbeat_at
-        return min(self._heartbeat_at, self._patience_until)
+        """Return when this leadership next has something to do."""
+        if self._copy_wait_until is None:
+            return self._next_heartbeat_at
+        return min(self._next_heartbeat_at, self._copy_wait_until)
 
     def has_lease(self, now: float) -> bool:
-        """Tell whether a vote quorum acknowledged a recent round."""
+        """Return whether a vote quorum acknowledged a round that started within the lease time.
+
+        A new primary has the lease for one lease time after its election.
+        """
         limit = now - self._context.timing.lease
         if self.started_at >= limit:
             return True
-        recent = self._voices(lambda state: state.round_started_at >= limit)
-        return self._document.configuration.has_votes(recent)
+        recent = self._acknowledgements(lambda progress: progress.acknowledged_round_started_at >= limit)
+        return self._document.configuration.has_vote_quorum(recent)
 
-    def successor(self) -> str | None:
-        """Return the most up-to-date member that is reachable."""
+    def choose_successor(self) -> str | None:
+        """Return the address of the most up-to-date reachable member, preferably one whose disk works."""
         limit = self._context.now - self._context.timing.lease
         candidates = [
-            (not state.disk_failed, state.stored, ip)
-            for ip, state in self._progress.items()
-            if state.round_started_at >= limit and ip != self._context.ip and self._is_member(ip, state.token)
+            (not progress.disk_failed, progress.stored_position, ip)
+            for ip, progress in self._progress.items()
+            if progress.acknowledged_round_started_at >= limit
+            and ip != self._context.ip
+            and self._is_member(ip, progress.token)
         ]
         return max(candidates)[-1] if candidates else None
 
@@ -206,91 +221,104 @@
     def _write(self, configuration: Configuration, payload: bytes) -> None:
         position = Position(self.epoch, self._document.position.sequence + 1)
         self._document = Document(position, configuration, payload)
-        self._writing = True
-        self._written_at = self._context.now
+        self._commit_pending = True
+        self._write_started_at = self._context.now
         journal = self._context.journal
-        self._context.offer(self._document)
+        self._context.record_document(self._document)
         journal.update(journal.latest.with_document(self._document), OwnWriteStep(position))
         for ip in self._receivers():
-            self._send_newest(ip, self._progress.setdefault(ip, MemberProgress()))
+            self._send_newest_document(ip, self._progress.setdefault(ip, MemberProgress()))
 
-    def _send_newest(self, ip: str, progress: MemberProgress) -> None:
-        """Send the newest document to a machine that lacks it, unless a write to it is under way."""
+    def _send_newest_document(self, ip: str, progress: MemberProgress) -> None:
+        """Send the newest document to a machine that does not have it, unless a write to it is under way."""
         now = self._context.now
         position = self._document.position
-        if progress.stored >= position:
+        if progress.stored_position >= position:
             return
         if progress.may_send(position, now, self._context.timing.write_resend):
-            progress.note_sent(position, now, self._round)
+            progress.record_sent(position, now, self._latest_round)
             self._context.send(ip, Write(self._document))
 
     def _check_commit(self) -> None:
-        if not self._writing:
+        if not self._commit_pending:
             return
         position = self._document.position
         if self._context.journal.durable.document.position < position:
             return
-        holders = self._voices(lambda state: state.stored >= position)
-        enough = self._document.configuration.has_copies(holders, self._context.tolerate)
-        if enough and not self._awaits_another_copy():
+        holders = self._acknowledgements(lambda progress: progress.stored_position >= position)
+        has_quorum = self._document.configuration.has_copy_quorum(holders, self._context.tolerate)
+        if has_quorum and not self._waits_for_healthy_copies():
             self._commit()
 
-    def _awaits_another_copy(self) -> bool:
-        """Tell whether to wait for healthy members beyond the quorum; one that is late is not again."""
+    def _waits_for_healthy_copies(self) -> bool:
+        """Return whether a commit waits for copies of healthy members beyond the quorum.
+
+        It waits for a limited time. Machines that are late are marked as lagging, and later commits do not
+        wait for them.
+        """
         now = self._context.now
-        awaited = [*self._healthy_members(), *self._healthy_candidates()]
-        missing = [state for state in awaited if state.stored < self._document.position]
+        awaited = [*self._healthy_members(), *self._healthy_learners()]
+        missing = [progress for progress in awaited if progress.stored_position < self._document.position]
         if not missing:
             return False
-        if self._patience_until is None:
-            self._patience_until = now + self._context.timing.copy_patience
-        if now < self._patience_until:
+        if self._copy_wait_until is None:
+            self._copy_wait_until = now + self._context.timing.copy_patience
+        if now < self._copy_wait_until:
             return True
-        for state in missing:
-            state.lagging = True
+        for progress in missing:
+            progress.lagging = True
         return False
 
     def _healthy_members(self) -> list[MemberProgress]:
-        """Return the other members that answer, and whose disks keep up."""
+        """Return the progress of the other members that respond and keep up."""
         return [
-            state
-            for ip, state in self._progress.items()
-            if self._is_member(ip, state.token) and self._keeps_up(state)
+            progress
+            for ip, progress in self._progress.items()
+            if self._is_member(ip, progress.token) and self._is_keeping_up(progress)
         ]
 
-    def _healthy_candidates(self) -> list[MemberProgress]:
-        """Return the learners that are to be admitted: while changes never rest, they need the newest too."""
+    def _healthy_learners(self) -> list[MemberProgress]:
+        """Return the progress of learners that keep up and are about to be admitted.
+
+        Only a learner with the newest document is admitted. Under constant changes it would never have it if
+        commits did not wait for it.
+        """
         configuration = self._document.configuration
         return [
-            state
-            for ip, state in self._progress.items()
-            if self._keeps_up(state) and self._membership.has_place(ip, state.token, configuration)
+            progress
+            for ip, progress in self._progress.items()
+            if self._is_keeping_up(progress)
+            and self._membership.would_admit(ip, progress.token, configuration)
         ]
 
-    def _keeps_up(self, state: MemberProgress) -> bool:
-        limit = self._context.now - HEALTHY_BEATS * self._context.timing.heartbeat
-        return not state.disk_failed and not state.lagging and state.round_started_at >= limit
+    def _is_keeping_up(self, progress: MemberProgress) -> bool:
+        limit = self._context.now - MAX_MISSED_HEARTBEATS * self._context.timing.heartbeat
+        return (
+            not progress.disk_failed
+            and not progress.lagging
+            and progress.acknowledged_round_started_at >= limit
+        )
 
     def _commit(self) -> None:
-        self._writing = False
-        self._patience_until = None
-        self._committed = self._document.position
+        self._commit_pending = False
+        self._copy_wait_until = None
+        self._committed_position = self._document.position
         if self.established_at is None:
             self.established_at = self._context.now
-        self._context.apply_commit(self._committed)
-        ticket = self._in_flight
-        self._in_flight = None
+        self._context.apply_commit(self._committed_position)
+        ticket = self._in_flight_ticket
+        self._in_flight_ticket = None
         if ticket is not None:
             self._context.effects.append(Resolve(ticket, Committed(self._context.snapshot)))
         self._start_round()
-        self._advance()
+        self._start_next_write()
 
-    def _advance(self) -> None:
-        """Start what is due: a change of members before others, which may never rest."""
-        if self.established and not self._writing and not self.leaving:
-            self._advance_membership()
-        while self.established and not self._writing and self._proposals:
-            self._start_proposal(self._proposals.take())
+    def _start_next_write(self) -> None:
+        """Start the next write: a membership change first, since other changes may arrive without a pause."""
+        if self.is_established and not self._commit_pending and not self.is_leaving:
+            self._start_membership_change()
+        while self.is_established and not self._commit_pending and self._proposals:
+            self._start_proposal(self._proposals.pop_next())
 
     def _start_proposal(self, proposal: Proposal) -> None:
         result = proposal.change(self._document.payload)
@@ -299,72 +327,84 @@
         if isinstance(result, Declined):
             self.confirm(proposal.ticket, result)
             return
-        self._in_flight = proposal.ticket
+        self._in_flight_ticket = proposal.ticket
         self._write(self._document.configuration, result)
 
     # Rounds
 
     def _start_round(self) -> None:
         now = self._context.now
-        self._round += 1
-        self._rounds[self._round] = now
-        self._rounds.pop(self._round - MAX_ROUNDS_REMEMBERED, None)
-        self._heartbeat_at = now + self._context.timing.heartbeat
-        heartbeat = Heartbeat(self.epoch, self._round, self._committed, self._document.position)
+        self._latest_round += 1
+        self._round_start_times[self._latest_round] = now
+        self._round_start_times.pop(self._latest_round - MAX_TRACKED_ROUNDS, None)
+        self._next_heartbeat_at = now + self._context.timing.heartbeat
+        heartbeat = Heartbeat(
+            self.epoch, self._latest_round, self._committed_position, self._document.position
+        )
         for ip in self._receivers():
             self._context.send(ip, heartbeat)
-        self._check_rounds()
+        self._update_confirmed_round()
 
-    def _check_rounds(self) -> None:
+    def _update_confirmed_round(self) -> None:
         best = self._confirmed_round
-        for number in sorted({state.round for state in self._progress.values()} | {self._round}):
-            if self._document.configuration.has_votes(self._voices_in_round(number)):
+        for number in sorted(
+            {progress.acknowledged_round for progress in self._progress.values()} | {self._latest_round}
+        ):
+            if self._document.configuration.has_vote_quorum(self._round_acknowledgements(number)):
                 best = max(best, number)
         self._confirmed_round = best
-        self._resolve_waiters()
+        self._resolve_confirmations()
 
-    def _resolve_waiters(self) -> None:
-        if not self.established:
+    def _resolve_confirmations(self) -> None:
+        if not self.is_established:
             return
-        ready = [waiter for waiter in self._waiters if waiter.round <= self._confirmed_round]
-        self._waiters = [waiter for waiter in self._waiters if waiter.round > self._confirmed_round]
-        for waiter in ready:
-            outcome = waiter.declined or Confirmed(self._context.snapshot)
-            self._context.effects.append(Resolve(waiter.ticket, outcome))
-        if self._waiters and self._confirmed_round == self._round:
+        ready = [
+            pending
+            for pending in self._pending_confirmations
+            if pending.required_round <= self._confirmed_round
+        ]
+        self._pending_confirmations = [
+            pending
+            for pending in self._pending_confirmations
+            if pending.required_round > self._confirmed_round
+        ]
+        for pending in ready:
+            outcome = pending.declined or Confirmed(self._context.snapshot)
+            self._context.effects.append(Resolve(pending.ticket, outcome))
+        if self._pending_confirmations and self._confirmed_round == self._latest_round:
             self._start_round()
 
     # Members
 
-    def _advance_membership(self) -> None:
+    def _start_membership_change(self) -> None:
         configuration = self._membership.next_configuration(self._document, self._progress)
         if configuration is not None:
             self._write(configuration, self._document.payload)
 
     def _replace_lost_members(self) -> None:
-        """Go on with other members where a document waits for copies of members that are lost.
+        """Replace lost members while a document waits for their copies.
 
-        While the members are fewer than `2 * tolerate + 1`, a copy quorum is more than a majority. One lost
-        disk is then enough to stop every commit, that of its replacement as well. The same payload is
-        written again under members that can commit it. Why nothing is lost: docs/control-state.md.
+        With fewer than `2 * tolerate + 1` members, a copy quorum is more than a majority. One lost disk then
+        stops every commit, including the commit that would replace it. So the same payload is written again
+        under members that can commit it. docs/control-state.md shows why no data is lost.
         """
         position = self._document.position
-        waited = self._context.now - self._written_at
-        if not self._writing or waited < self._context.timing.replace_after:
+        waited = self._context.now - self._write_started_at
+        if not self._commit_pending or waited < self._context.timing.replace_after:
             return
-        holders = self._voices(lambda state: state.stored >= position)
-        if not self._document.configuration.has_votes(holders):
+        holders = self._acknowledgements(lambda progress: progress.stored_position >= position)
+        if not self._document.configuration.has_vote_quorum(holders):
             return
-        configuration = self._membership.replacing_configuration(self._document, self._progress)
+        configuration = self._membership.replacement_configuration(self._document, self._progress)
         if configuration is not None:
             self._write(configuration, self._document.payload)
 
     def _receivers(self) -> tuple[str, ...]:
-        everyone = (*self._document.configuration.everyone(), *self._membership.learners())
+        everyone = (*self._document.configuration.everyone(), *self._membership.learner_addresses())
         return tuple(ip for ip in dict.fromkeys(everyone) if ip != self._context.ip)
 
     def _progress_of(self, ip: str, incarnation: int, token: int | None) -> MemberProgress:
-        """Return how far a storage has followed; that of another life or token has not."""
+        """Return the progress of a machine, starting anew if its incarnation or storage token changed."""
         progress = self._progress.setdefault(ip, MemberProgress())
         if progress.incarnation is None:
             progress.incarnation = incarnation
@@ -374,20 +414,22 @@
             self._progress[ip] = progress
         return progress
 
-    def _voices(self, fits: Callable[[MemberProgress], bool]) -> dict[str, int | None]:
-        """Return the machines whose progress fits, and this one, with the tokens that they told."""
-        voices = {ip: state.token for ip, state in self._progress.items() if fits(state)}
-        return voices | self._context.own_voice()
+    def _acknowledgements(self, matches: Callable[[MemberProgress], bool]) -> dict[str, int | None]:
+        """Return the machines whose progress matches, and this one, each with its storage token."""
+        acknowledgements = {
+            ip: progress.token for ip, progress in self._progress.items() if matches(progress)
+        }
+        return acknowledgements | self._context.own_acknowledgement()
 
-    def _voices_in_round(self, number: int) -> dict[str, int | None]:
-        return self._voices(lambda state: state.round >= number)
+    def _round_acknowledgements(self, number: int) -> dict[str, int | None]:
+        return self._acknowledgements(lambda progress: progress.acknowledged_round >= number)
 
     def _is_member(self, ip: str, token: int | None) -> bool:
         configuration = self._document.configuration
         return configuration.has_address(ip) if token is None else configuration.admits(Member(ip, token))
 
-    def _note_stored(self, progress: MemberProgress, stored: Position) -> None:
-        if stored.epoch == self.epoch and stored > progress.stored:
-            progress.note_stored(stored, self._context.now, self._context.timing.copy_patience)
+    def _record_stored(self, progress: MemberProgress, stored: Position) -> None:
+        if stored.epoch == self.epoch and stored > progress.stored_position:
+            progress.record_stored(stored, self._context.now, self._context.timing.copy_patience)
             self._check_commit()
-            self._advance()
+            self._start_next_write()
--- a/rookwood/coordination/lmdb_header.py
+++ b/rookwood/coordination/lmdb_header.py
@@ -1,16 +1,16 @@
-"""What the header of an lmdb file tells before the file is mapped.
+"""Checks an lmdb file by its header, before the file is mapped.
 
-Reading a mapped file beyond its end is a SIGBUS, which ends the process. lmdb does not compare the length of
-a file with the number of pages that its header names, so this is done here.
+Reading a mapped file beyond its end raises SIGBUS, which kills the process. lmdb does not compare the length
+of a file with the number of pages in its header, so this module does.
 """
 
 import enum
 import struct
 from pathlib import Path
 
-# A header ("meta page") stands at the start of each of the first two pages, after the page's own 16 bytes:
+# Each of the first two pages holds a header ("meta page" in lmdb), after the 16 bytes that start every page:
 # magic, data version, address, map size, the page size (first word of the free list's record), ...
-PAGE_NUMBER_BYTES = 8  # of the first page: 0
+PAGE_NUMBER_BYTES = 8  # the first page has the number 0
 MAGIC = 0xBEEFC0DE
 MAGIC_OFFSET = 16
 PAGE_SIZE_OFFSET = 40
@@ -21,7 +21,7 @@
 
 
 class FileForm(enum.Enum):
-    """How a file looks from outside."""
+    """What the headers and the length of a file show."""
 
     WHOLE = "whole"
     CUT_SHORT = "cut short"
@@ -29,36 +29,36 @@
 
 
 def inspect_file(path: Path) -> FileForm:
-    """Tell whether a file can be mapped as an lmdb file; raises OSError where it cannot be read."""
+    """Return whether a file can be mapped as an lmdb file; raises OSError if it cannot be read."""
     length = path.stat().st_size
     with path.open("rb") as file:
-        first = file.read(HEADER_BYTES)
-        magic = first[MAGIC_OFFSET : MAGIC_OFFSET + len(MAGIC_BYTES)]
-        if any(first[:PAGE_NUMBER_BYTES]) or not _may_become_magic(magic):
+        first_header = file.read(HEADER_BYTES)
+        magic = first_header[MAGIC_OFFSET : MAGIC_OFFSET + len(MAGIC_BYTES)]
+        if any(first_header[:PAGE_NUMBER_BYTES]) or not _is_magic_prefix(magic):
             return FileForm.FOREIGN
-        if len(first) < HEADER_BYTES or magic != MAGIC_BYTES:
+        if len(first_header) < HEADER_BYTES or magic != MAGIC_BYTES:
             return FileForm.CUT_SHORT
-        page_size = _word(first, PAGE_SIZE_OFFSET)
+        page_size = _read_uint32(first_header, PAGE_SIZE_OFFSET)
         file.seek(page_size)
-        second = file.read(HEADER_BYTES)
-    if len(second) < HEADER_BYTES:
+        second_header = file.read(HEADER_BYTES)
+    if len(second_header) < HEADER_BYTES:
         return FileForm.CUT_SHORT
-    newest = max(first, second, key=lambda header: _long(header, TRANSACTION_OFFSET))
-    needed = (_long(newest, LAST_PAGE_OFFSET) + 1) * page_size
-    return FileForm.WHOLE if length >= needed else FileForm.CUT_SHORT
+    newest = max(first_header, second_header, key=lambda header: _read_uint64(header, TRANSACTION_OFFSET))
+    required_length = (_read_uint64(newest, LAST_PAGE_OFFSET) + 1) * page_size
+    return FileForm.WHOLE if length >= required_length else FileForm.CUT_SHORT
 
 
-def _may_become_magic(magic: bytes) -> bool:
-    """Tell whether these bytes are the magic, or what a torn write leaves of it: its start, then zeros."""
+def _is_magic_prefix(magic: bytes) -> bool:
+    """Return whether these bytes are the magic number, or a torn write of it: its first bytes, then zeros."""
     stripped = magic.rstrip(b"\0")
     return MAGIC_BYTES.startswith(stripped)
 
 
-def _word(header: bytes, offset: int) -> int:
+def _read_uint32(header: bytes, offset: int) -> int:
     value: int = struct.unpack_from("<I", header, offset)[0]
     return value
 
 
-def _long(header: bytes, offset: int) -> int:
+def _read_uint64(header: bytes, offset: int) -> int:
     value: int = struct.unpack_from("<Q", header, offset)[0]
     return value
--- a/rookwood/coordination/membership.py
+++ b/rookwood/coordination/membership.py
@@ -1,7 +1,7 @@
-"""Machines that ask to be admitted, and the change of members that is due.
+"""Requests for admission to the group, and the resulting membership changes.
 
-A change has two steps, each a document of its own: first both sets of members are in force, then the new one
-alone.
+A membership change takes two steps, each with a document of its own. The first document has both the new and
+the outgoing members, the second one the new members alone.
 """
 
 from collections.abc import Mapping
@@ -11,67 +11,67 @@
 from rookwood.coordination.document import Configuration, Document, Member
 from rookwood.coordination.member_progress import MemberProgress
 
-HEALTHY_BEATS = 2
-"""Heartbeats without an answer after which a machine is not counted on."""
+MAX_MISSED_HEARTBEATS = 2
+"""A machine counts as unhealthy after this many heartbeat intervals without an acknowledgement."""
 
 
 @dataclass(frozen=True)
-class Learner:
-    """A machine that asks to be admitted with the storage of this token."""
+class AdmissionRequest:
+    """The latest request of a machine to be admitted with the storage of this token."""
 
     token: int
-    asked_at: float
+    requested_at: float
 
 
 class Membership:
-    """Decides for one epoch's primary who is admitted, and in whose place."""
+    """Decides for the primary of one epoch which machines are admitted, and which members they replace."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._started_at = context.now
-        self._learners: dict[str, Learner] = {}
+        self._requests: dict[str, AdmissionRequest] = {}
 
-    def learners(self) -> tuple[str, ...]:
-        """Return the addresses of those that ask to be admitted."""
-        return tuple(self._learners)
+    def learner_addresses(self) -> tuple[str, ...]:
+        """Return the addresses of the machines that asked to be admitted."""
+        return tuple(self._requests)
 
-    def ask(self, learner: Member) -> None:
-        """Note that a machine asks to be admitted."""
-        self._learners[learner.ip] = Learner(learner.token, self._context.now)
+    def record_request(self, learner: Member) -> None:
+        """Record that a machine asks to be admitted."""
+        self._requests[learner.ip] = AdmissionRequest(learner.token, self._context.now)
 
-    def drop_silent(self, configuration: Configuration) -> None:
-        """Forget those that ask no more, and those that are members by now."""
+    def drop_expired_requests(self, configuration: Configuration) -> None:
+        """Drop requests that were not repeated lately, and those of machines that are members by now."""
         limit = self._context.now - self._context.timing.learner_silence
-        for ip, learner in list(self._learners.items()):
-            if learner.asked_at < limit or configuration.admits(Member(ip, learner.token)):
-                del self._learners[ip]
+        for ip, learner in list(self._requests.items()):
+            if learner.requested_at < limit or configuration.admits(Member(ip, learner.token)):
+                del self._requests[ip]
 
     def next_configuration(
         self, document: Document, progress: Mapping[str, MemberProgress]
     ) -> Configuration | None:
-        """Return the members after the step that is due now, None if none is."""
+        """Return the configuration of the next step of a membership change, None if no change is due."""
         configuration = document.configuration
         if configuration.outgoing:
             return Configuration(configuration.members)
         members = self._next_members(document, progress)
         return None if members is None else Configuration(members, configuration.members)
 
-    def replacing_configuration(
+    def replacement_configuration(
         self, document: Document, progress: Mapping[str, MemberProgress]
     ) -> Configuration | None:
-        """Return members under which a document can be committed that lacks copies of lost members.
+        """Return a configuration that replaces lost members while a document waits for their copies.
 
-        The outgoing set stays the one that was in force before, since every other machine that may be elected
-        needs a majority of it.
+        The outgoing set stays the one before the change, since every other machine that may be elected needs
+        a majority of it.
         """
         members = self._next_members(document, progress)
         if members is None:
             return None
         return Configuration(members, document.configuration.outgoing or document.configuration.members)
 
-    def has_place(self, ip: str, token: int | None, configuration: Configuration) -> bool:
-        """Tell whether a machine asks to be admitted and would be, once its copy is current."""
-        learner = self._learners.get(ip)
+    def would_admit(self, ip: str, token: int | None, configuration: Configuration) -> bool:
+        """Return whether a machine asked to be admitted, and would be once it has the newest document."""
+        learner = self._requests.get(ip)
         if learner is None or learner.token != token or configuration.outgoing:
             return False
         return self._members_with(Member(ip, learner.token), configuration.members) is not None
@@ -79,7 +79,7 @@
     def _next_members(
         self, document: Document, progress: Mapping[str, MemberProgress]
     ) -> tuple[Member, ...] | None:
-        """Return the members with those that are to be admitted now, None if none is."""
+        """Return the members including those to be admitted now, None if there are none to admit."""
         members = document.configuration.members
         admitted = 0
         for learner in self._ready_learners(document, progress):
@@ -87,39 +87,40 @@
             if enlarged is None:
                 continue
             if len(enlarged) == len(members) and not admitted:
-                return enlarged  # takes the place of a lost member: one at a time
+                return enlarged  # it replaces a lost member; only one is replaced at a time
             if len(enlarged) > len(members):
                 members = enlarged
                 admitted += 1
         return members if admitted and self._may_grow_to(len(members)) else None
 
     def _may_grow_to(self, count: int) -> bool:
-        """Tell whether the members may become so many: an even set bears no more losses than one fewer.
+        """Return whether the group may grow to this many members.
 
-        One more alone is admitted when no other machine has asked for a while.
+        An even number tolerates no more losses than one member fewer, so the group grows to an even number
+        only after waiting a while for another machine.
         """
         return count % 2 == 1 or self._context.now - self._started_at >= self._context.timing.replace_after
 
     def _ready_learners(self, document: Document, progress: Mapping[str, MemberProgress]) -> list[Member]:
-        """Return the learners whose copy is current and synced, emptied members first.
+        """Return the learners that have synced the newest document, members with a new storage first.
 
-        One that has fallen silent is none of them: in the place of a lost member it would be lost as well,
-        and with one more loss the new members would have no majority.
+        An unresponsive learner is left out. If it replaced a lost member, it could be lost as well, and one
+        further loss would leave the new members without a majority.
         """
         configuration = document.configuration
-        silence = HEALTHY_BEATS * self._context.timing.heartbeat
+        silence = MAX_MISSED_HEARTBEATS * self._context.timing.heartbeat
         ready = [
             Member(ip, learner.token)
-            for ip, learner in self._learners.items()
+            for ip, learner in self._requests.items()
             if progress[ip].token == learner.token
-            and progress[ip].stored >= document.position
-            and self._context.heard_within(ip, silence)
+            and progress[ip].stored_position >= document.position
+            and self._context.is_in_contact(ip, silence)
             and not configuration.admits(Member(ip, learner.token))
         ]
         return sorted(ready, key=lambda member: not configuration.has_address(member.ip))
 
     def _members_with(self, learner: Member, members: tuple[Member, ...]) -> tuple[Member, ...] | None:
-        """Return the members once this learner is one of them, None if there is no place for it."""
+        """Return the members including this learner, None if there is no place for it."""
         if any(member.ip == learner.ip for member in members):
             return tuple(learner if member.ip == learner.ip else member for member in members)
         if len(members) < 2 * self._context.tolerate + 1:
@@ -134,14 +135,14 @@
         if self._context.now - self._started_at < span:
             return None
         lost = [
-            (self._context.heard_at(member.ip), member)
+            (self._context.last_message_at(member.ip), member)
             for member in members
             if member.ip != self._context.ip and self._is_lost(member, span)
         ]
         return min(lost, key=lambda entry: entry[0])[1] if lost else None
 
     def _is_lost(self, member: Member, span: float) -> bool:
-        """Tell whether a member was silent for the span, or begins anew with another storage."""
-        learner = self._learners.get(member.ip)
-        begins_anew = learner is not None and learner.token != member.token
-        return begins_anew or not self._context.heard_within(member.ip, span)
+        """Return whether a member was unresponsive for this long, or asks to join with a new storage."""
+        learner = self._requests.get(member.ip)
+        has_new_storage = learner is not None and learner.token != member.token
+        return has_new_storage or not self._context.is_in_contact(member.ip, span)
--- a/rookwood/coordination/messages.py
+++ b/rookwood/coordination/messages.py
@@ -1,7 +1,7 @@
 """The messages that members send to each other.
 
-Acknowledgements and promises tell the token of the sender's storage: they count only for the member that
-was admitted under it. Those of version 1 tell none, and their pre-votes no position.
+Acknowledgements and promises carry the token of the sender's storage, and count only for the member that was
+admitted with that storage. In version 1 they carry no token, and pre-vote requests carry no position.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Heartbeat:
-    """A round of the primary: tells its epoch and how far it has committed."""
+    """The primary's heartbeat: its epoch, the round, and its committed and its current position."""
 
     epoch: int
     round: int
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class HeartbeatAck:
-    """Answer to a heartbeat, with the newest document that the member has synced."""
+    """Response to a heartbeat; `stored` is the position of the newest document that the member has synced."""
 
     epoch: int
     round: int
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True)
 class Write:
-    """A document to be synced; `document.position.epoch` is the primary's epoch."""
+    """A document that the receiver is to sync; `document.position.epoch` is the primary's epoch."""
 
     document: Document
 
 
 @dataclass(frozen=True)
 class WriteAck:
-    """Tells the newest document that the member has synced."""
+    """Response to a write; `stored` is the position of the newest document that the member has synced."""
 
     epoch: int
     stored: Position
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class WriteFailed:
-    """Tells that the member's disk did not take the document."""
+    """Response to a write that the member could not store: its disk failed."""
 
     epoch: int
     position: Position
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """Tells a sender of an older epoch which epoch has been promised."""
+    """Rejects a message of an older epoch, and reports the epoch that the receiver has promised."""
 
     epoch: int
     promised: int
@@ -63,7 +63,10 @@
 
 @dataclass(frozen=True)
 class PreVoteRequest:
-    """Asks whether the receiver, too, hears no primary, and holds nothing newer than the sender."""
+    """Asks whether the receiver would vote for the sender: no live primary there, and no newer document.
+
+    `ballot` is a random number that relates replies to requests, `position` that of the sender's document.
+    """
 
     ballot: int
     position: Position | None = None
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True)
 class PreVoteReply:
-    """Answer to a pre-vote, with the highest epoch promised."""
+    """Response to a pre-vote request, with the highest epoch that the sender has promised."""
 
     ballot: int
     granted: bool
@@ -80,7 +83,7 @@
 
 @dataclass(frozen=True)
 class VoteRequest:
-    """Asks for a promise of an epoch; `position` is what the candidate holds."""
+    """Asks for a promise of an epoch; `position` is that of the candidate's document."""
 
     epoch: int
     position: Position
@@ -88,7 +91,10 @@
 
 @dataclass(frozen=True)
 class Promise:
-    """A durable promise of an epoch, with the document if it is newer than the candidate's."""
+    """A durable promise of an epoch, with the sender's document if it is newer than the candidate's.
+
+    `candidate` is the incarnation of the candidate's process to which the promise is made.
+    """
 
     epoch: int
     candidate: int
@@ -99,14 +105,20 @@
 
 @dataclass(frozen=True)
 class Inquiry:
-    """Asks for the receiver's state on behalf of a machine that is not an active member."""
+    """Asks for the receiver's state, on behalf of a machine that is not an active member.
+
+    `known` is the position of the newest configuration that the sender knows.
+    """
 
     known: Position
 
 
 @dataclass(frozen=True)
 class Situation:
-    """Answer to an inquiry; `document` is given if it is newer than what the inquirer knows."""
+    """Response to an inquiry; `document` is set if it is newer than what the inquirer knows.
+
+    `inquirer` is the incarnation of the process that asked.
+    """
 
     inquirer: int
     recovering: bool
@@ -116,14 +128,14 @@
 
 @dataclass(frozen=True)
 class JoinRequest:
-    """Asks the primary to be admitted with the storage that has this token."""
+    """Asks the primary to admit the sender as a member, with the storage that has this token."""
 
     token: int
 
 
 @dataclass(frozen=True)
 class MembershipNotice:
-    """Tells a machine that it is no member of a newer configuration."""
+    """Informs a candidate that it is not a member of the sender's newer configuration."""
 
     position: Position
     configuration: Configuration
@@ -131,7 +143,7 @@
 
 @dataclass(frozen=True)
 class TransferNow:
-    """Asks a backup to stand for election at once."""
+    """Asks a backup to stand for election at once; `epoch` is that of the primary that hands over."""
 
     epoch: int
 
--- a/rookwood/coordination/outcomes.py
+++ b/rookwood/coordination/outcomes.py
@@ -1,11 +1,11 @@
-"""Roles, snapshots and outcomes as callers of the group see them."""
+"""Roles, snapshots and call outcomes, as seen by the callers of a group."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The newest committed document known to this process."""
+    """The newest document that this process knows to be committed."""
 
     epoch: int
     sequence: int
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Primary:
-    """This process acts as primary."""
+    """This process is the primary, since it committed its first document at `since`."""
 
     epoch: int
     since: float
@@ -24,9 +24,9 @@
 class Following:
     """This process follows a primary.
 
-    `in_touch` tells whether it heard from the primary lately, `level` whether it holds the document of every
-    commit that the primary told it of. Documents come a moment after the news of their commit now and then,
-    so `level` alone makes no other role.
+    `in_contact` tells whether a message of the primary arrived within the lease time, `is_up_to_date` whether
+    this process has the document of every commit that the primary announced. A document may arrive shortly
+    after the announcement of its commit, so a change of `is_up_to_date` alone is not a change of role.
     """
 
     primary: str
@@ -36,26 +36,26 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether the newest committed document here was the newest of all a lease ago at most."""
+        """Whether the newest committed document here was the group's newest at most one lease time ago."""
         return self.in_touch and self.level
 
 
 @dataclass(frozen=True)
 class Backup(Following):
-    """A member that follows a primary."""
+    """A member of the group that follows a primary."""
 
 
 @dataclass(frozen=True)
 class Learner(Following):
-    """A process that is no member, and is in touch with a primary that sends it all documents.
+    """A process that is not a member, in contact with a primary that sends it all documents.
 
-    It has no vote and counts as no copy. There is one wherever there are more machines than members.
+    It has no vote, and its copy does not count. Machines beyond the intended number of members are learners.
     """
 
 
 @dataclass(frozen=True)
 class Unattached:
-    """This process knows no primary, or takes no part yet."""
+    """This process knows no primary, or does not participate yet."""
 
     reason: str
 
@@ -65,47 +65,47 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """The proposed change is in force."""
+    """The proposed change is committed."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True)
 class Declined:
-    """The change itself said no; leadership was confirmed after the call arrived."""
+    """The change function declined with `result`; leadership was confirmed after the call arrived."""
 
     answer: object
 
 
 @dataclass(frozen=True)
 class PayloadTooLarge:
-    """The answer of a change that was declined because it would lead to a payload above the limit."""
+    """The result of a change that was declined because its payload would exceed the size limit."""
 
     size: int
 
 
 @dataclass(frozen=True)
 class NotPrimary:
-    """This process is not the primary, and did nothing."""
+    """This process is not the primary and did nothing; `primary` is the address of the primary, if known."""
 
     primary: str | None
 
 
 @dataclass(frozen=True)
 class Overloaded:
-    """Too many changes wait for the primary; this one was refused, and is never in force."""
+    """Too many changes wait at the primary; this one was rejected and is never committed."""
 
 
 @dataclass(frozen=True)
 class Uncertain:
-    """The change may or may not be in force, or leadership could not be confirmed."""
+    """The change may or may not be committed, or leadership could not be confirmed."""
 
     why: str
 
 
 @dataclass(frozen=True)
 class Confirmed:
-    """Leadership was confirmed after the call arrived; the snapshot is the newest in force."""
+    """Leadership was confirmed after the call arrived; the snapshot is the newest committed document."""
 
     snapshot: Snapshot
 
--- a/rookwood/coordination/parent_choice.py
+++ b/rookwood/coordination/parent_choice.py
@@ -1,6 +1,6 @@
-"""To which of several parents a process is linked now: a bad one is left at once, a better one tried first.
+"""Chooses the parent of a process among several: it leaves a bad one at once, and tries a better one first.
 
-No I/O and no clock: time is passed in.
+This module does no I/O and reads no clock; the time is passed in.
 """
 
 from collections import deque
@@ -13,7 +13,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ParentTiming:
-    """Spans in seconds. `pause_limit` must exceed the usual interval between ticks."""
+    """Timeouts in seconds; `pause_limit` must exceed the usual interval between ticks.
+
+    open_limit         time within which a newly linked or tried parent must send a first message
+    silence_limit      time without a message after which a parent counts as unresponsive
+    lag_limit          time after which an announced update counts as late
+    return_after       how long a parent that was left is excluded, which doubles with each failure, and how
+                       long a link is kept before a better parent is tried
+    max_return_after   maximum duration of an exclusion
+    stable_after       time on one parent after which its earlier failures are forgotten
+    pause_limit        time between two ticks after which the process counts as stalled
+    """
 
     open_limit: float = 0.5
     silence_limit: float = 1.0
@@ -26,150 +36,155 @@
 
 @dataclass(slots=True)
 class _Exclusion:
-    """A parent that was left: not taken again before `until`, which grows with each `failures`."""
+    """The exclusion of a parent that was left, until a time that grows with the number of failures."""
 
     failures: int
     until: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Awaited:
+class _AwaitedUpdate:
     position: Position
-    told_at: float
+    announced_at: float
 
 
 class ParentChoice:
-    """Decides to which of the computed parents a dispatcher is linked now.
+    """Decides which of the computed parents a dispatcher is linked to.
 
-    A parent that fails, is silent or lags is left at once for the next one. The way back is slower: the
-    better parent is tried on a second link, and taken only after something was heard from it.
+    A parent that fails, is unresponsive or lags is left at once for the next one. The return to a better
+    parent is slower: it is tried on a second link, and chosen only after a message arrived from it.
     """
 
     def __init__(self, parents: Sequence[str], now: float, timing: ParentTiming | None = None) -> None:
-        """Begin with the first of the ordered parents."""
+        """Start with the first of the parents, which are in order of preference."""
         self._timing = timing or ParentTiming()
-        self._pauses = PauseDetector(self._timing.pause_limit, now)
+        self._pause_detector = PauseDetector(self._timing.pause_limit, now)
         self._parents = tuple(parents)
         self._exclusions: dict[str, _Exclusion] = {}
-        self._position = Position()
-        self._awaited: deque[_Awaited] = deque()
-        self._return_at = now
-        self._trial: str | None = None
-        self._link(self._parents[0], now)
+        self._newest_position = Position()
+        self._awaited_updates: deque[_AwaitedUpdate] = deque()
+        self._next_trial_at = now
+        self._trial_parent: str | None = None
+        self._switch_to(self._parents[0], now)
 
     @property
     def current(self) -> str:
-        """The parent to be linked to."""
-        return self._current
+        """The parent to which the dispatcher is to be linked."""
+        return self._current_parent
 
     @property
     def trial(self) -> str | None:
-        """A better parent to which a second link is to be opened, if there is one."""
-        return self._trial
+        """A better parent to which a second link is to be opened, None if there is none."""
+        return self._trial_parent
 
     def set_parents(self, parents: Sequence[str], now: float) -> None:
-        """Take newly computed parents; a link that works is kept for a while before it is changed."""
+        """Replace the parents; a working link is kept for a while even if it is no longer the best one."""
         if tuple(parents) == self._parents:
             return
         self._parents = tuple(parents)
-        self._trial = None
-        self._exclusions = {parent: e for parent, e in self._exclusions.items() if parent in parents}
-        self._return_at = max(self._return_at, now + self._timing.return_after)
+        self._trial_parent = None
+        self._exclusions = {
+            parent: exclusion for parent, exclusion in self._exclusions.items() if parent in parents
+        }
+        self._next_trial_at = max(self._next_trial_at, now + self._timing.return_after)
 
     def heard(self, parent: str, now: float) -> None:
-        """Anything arrived over the link to a parent."""
-        if parent == self._trial:
-            self._link(parent, now)
-            self._return_at = now + self._timing.return_after
-        if parent == self._current:
-            self._opened = True
-            self._heard_at = now
+        """Record that a message arrived over the link to a parent."""
+        if parent == self._trial_parent:
+            self._switch_to(parent, now)
+            self._next_trial_at = now + self._timing.return_after
+        if parent == self._current_parent:
+            self._has_received_message = True
+            self._last_message_at = now
 
     def received(self, position: Position) -> None:
-        """An update was taken in, over whichever link."""
-        self._position = max(self._position, position)
-        while self._awaited and self._awaited[0].position <= self._position:
-            self._awaited.popleft()
+        """Record the position of an update that arrived over any link."""
+        self._newest_position = max(self._newest_position, position)
+        while self._awaited_updates and self._awaited_updates[0].position <= self._newest_position:
+            self._awaited_updates.popleft()
 
     def digest(self, position: Position, now: float) -> None:
-        """A control machine tells the newest position."""
-        newest = self._awaited[-1].position if self._awaited else self._position
+        """Record the newest position, as announced by a control machine."""
+        newest = self._awaited_updates[-1].position if self._awaited_updates else self._newest_position
         if position > newest:
-            self._awaited.append(_Awaited(position, now))
+            self._awaited_updates.append(_AwaitedUpdate(position, now))
 
     def failed(self, parent: str, now: float) -> None:
-        """A link could not be opened, was refused or ended."""
-        self._leave(parent, now)
+        """Record that a link could not be opened, was refused by the parent, or ended."""
+        self._leave_parent(parent, now)
 
     def suspected(self, parent: str, now: float) -> None:
-        """The monitors of a parent suspect it or take it for dead."""
-        self._leave(parent, now)
+        """Record that the monitors of a parent suspect it or consider it dead."""
+        self._leave_parent(parent, now)
 
     def tick(self, now: float) -> str:
-        """Return the parent to be linked to now."""
-        if self._pauses.paused(now):
+        """Check all timeouts, and return the parent to be linked to now."""
+        if self._pause_detector.paused(now):
             self._restart_limits(now)
-        if self._silent(now) or self._lagging(now):
-            self._leave(self._current, now)
-        elif self._trial is not None and now - self._trial_at > self._timing.open_limit:
-            self._leave(self._trial, now)
-        elif self._trial is None and now >= self._return_at:
-            self._try_better(now)
-        return self._current
-
-    def _silent(self, now: float) -> bool:
-        limit = self._timing.silence_limit if self._opened else self._timing.open_limit
-        return now - self._heard_at > limit
-
-    def _lagging(self, now: float) -> bool:
-        return bool(self._awaited) and now - self._awaited[0].told_at > self._timing.lag_limit
-
-    def _leave(self, parent: str, now: float) -> None:
-        if parent not in (self._current, self._trial) and self._free_at(parent) > now:
+        if self._is_unresponsive(now) or self._is_lagging(now):
+            self._leave_parent(self._current_parent, now)
+        elif self._trial_parent is not None and now - self._trial_at > self._timing.open_limit:
+            self._leave_parent(self._trial_parent, now)
+        elif self._trial_parent is None and now >= self._next_trial_at:
+            self._start_trial(now)
+        return self._current_parent
+
+    def _is_unresponsive(self, now: float) -> bool:
+        limit = self._timing.silence_limit if self._has_received_message else self._timing.open_limit
+        return now - self._last_message_at > limit
+
+    def _is_lagging(self, now: float) -> bool:
+        return (
+            bool(self._awaited_updates)
+            and now - self._awaited_updates[0].announced_at > self._timing.lag_limit
+        )
+
+    def _leave_parent(self, parent: str, now: float) -> None:
+        if parent not in (self._current_parent, self._trial_parent) and self._excluded_until(parent) > now:
             return
         self._exclude(parent, now)
-        if parent == self._current:
-            self._link(self._best(now), now)
-            self._return_at = now + self._timing.return_after
-        elif parent == self._trial:
-            self._trial = None
+        if parent == self._current_parent:
+            self._switch_to(self._best_parent(now), now)
+            self._next_trial_at = now + self._timing.return_after
+        elif parent == self._trial_parent:
+            self._trial_parent = None
 
     def _exclude(self, parent: str, now: float) -> None:
         exclusion = self._exclusions.setdefault(parent, _Exclusion(0, now))
-        if parent == self._current and now - self._linked_at >= self._timing.stable_after:
+        if parent == self._current_parent and now - self._linked_at >= self._timing.stable_after:
             exclusion.failures = 0
-        pause = self._timing.return_after * 2**exclusion.failures
-        if pause < self._timing.max_return_after:
+        duration = self._timing.return_after * 2**exclusion.failures
+        if duration < self._timing.max_return_after:
             exclusion.failures += 1
-        exclusion.until = now + min(pause, self._timing.max_return_after)
+        exclusion.until = now + min(duration, self._timing.max_return_after)
 
-    def _try_better(self, now: float) -> None:
-        best = self._best(now)
-        if best != self._current:
-            self._trial = best
+    def _start_trial(self, now: float) -> None:
+        best = self._best_parent(now)
+        if best != self._current_parent:
+            self._trial_parent = best
             self._trial_at = now
 
-    def _best(self, now: float) -> str:
-        """Return the first parent that is not excluded, else the one that is free again first."""
+    def _best_parent(self, now: float) -> str:
+        """Return the first parent that is not excluded, or else the one whose exclusion ends first."""
         for parent in self._parents:
-            if self._free_at(parent) <= now:
+            if self._excluded_until(parent) <= now:
                 return parent
-        return min(self._parents, key=self._free_at)
+        return min(self._parents, key=self._excluded_until)
 
-    def _free_at(self, parent: str) -> float:
+    def _excluded_until(self, parent: str) -> float:
         exclusion = self._exclusions.get(parent)
         return exclusion.until if exclusion else float("-inf")
 
-    def _link(self, parent: str, now: float) -> None:
-        self._current = parent
+    def _switch_to(self, parent: str, now: float) -> None:
+        self._current_parent = parent
         self._linked_at = now
-        self._opened = False
-        self._trial = None
+        self._has_received_message = False
+        self._trial_parent = None
         self._restart_limits(now)
 
     def _restart_limits(self, now: float) -> None:
-        self._heard_at = now
+        self._last_message_at = now
         self._trial_at = now
-        if self._awaited:
-            newest = self._awaited[-1].position
-            self._awaited = deque([_Awaited(newest, now)])
+        if self._awaited_updates:
+            newest = self._awaited_updates[-1].position
+            self._awaited_updates = deque([_AwaitedUpdate(newest, now)])
--- a/rookwood/coordination/pauses.py
+++ b/rookwood/coordination/pauses.py
@@ -1,15 +1,15 @@
-"""Notices pauses of the own process, after which limits in time are to begin anew."""
+"""Detects that the own process stalled, so that its timeouts can start anew."""
 
 
 class PauseDetector:
-    """Notices that its own process did not run for a while."""
+    """Detects that the own process did not run for a while."""
 
     def __init__(self, limit: float, now: float) -> None:
         self._limit = limit
-        self._seen_at = now
+        self._last_call_at = now
 
     def paused(self, now: float) -> bool:
-        """Tell whether the time since the last call exceeds the limit; called at every tick."""
-        gap = now - self._seen_at
-        self._seen_at = now
+        """Return whether the time since the previous call exceeds the limit; to be called at every tick."""
+        gap = now - self._last_call_at
+        self._last_call_at = now
         return gap > self._limit
--- a/rookwood/coordination/proposals.py
+++ b/rookwood/coordination/proposals.py
@@ -1,7 +1,7 @@
-"""Changes that wait for the primary: a queue that is bounded by count and by bytes.
+"""Changes that wait at the primary, in a queue bounded by count and by bytes.
 
-One change is in flight at a time. Under many changes, or while a copy is awaited, the others would pile up
-until their callers give up. What finds no room is refused before anything was done for it.
+One change is in flight at a time. Under many changes, or while a commit waits for a copy, the others would
+pile up until their callers time out. A change that does not fit is rejected before any work is done for it.
 """
 
 from collections import deque
@@ -13,15 +13,15 @@
 Change = Callable[[bytes], bytes | Declined]
 
 MAX_WAITING_CHANGES = 64
-"""A change took 30 to 60 ms under load, so 64 take about the 3 s after which a caller gives up."""
+"""A change took 30 to 60 ms under load, so 64 changes take about 3 s, after which a caller times out."""
 
 MAX_WAITING_BYTES = 16 << 20
-"""64 whole configurations of 256 KB, which is one of 1,480 routes; a control machine has 296 MB in all."""
+"""Room for 64 configurations of 256 KB (1,480 routes each); a control machine has 296 MB of memory."""
 
 
 @dataclass(frozen=True)
 class Proposal:
-    """A change that waits for its turn, and the bytes that it keeps in memory meanwhile."""
+    """A waiting change, and the bytes of memory that it occupies while it waits."""
 
     ticket: int
     change: Change
@@ -29,7 +29,7 @@
 
 
 class ProposalQueue:
-    """Changes in the order in which they are to be made."""
+    """The waiting changes, in the order in which they are to be made."""
 
     def __init__(self) -> None:
         self._proposals: deque[Proposal] = deque()
@@ -42,32 +42,32 @@
         return len(self._proposals)
 
     def has_room(self, size: int) -> bool:
-        """Tell whether a change of this size may wait; one of any size may wait alone."""
+        """Return whether a change of this size fits; an empty queue accepts a change of any size."""
         if not self._proposals:
             return True
         return len(self._proposals) < MAX_WAITING_CHANGES and self._size + size <= MAX_WAITING_BYTES
 
     def append(self, proposal: Proposal) -> None:
-        """Queue a change."""
+        """Add a change to the end of the queue."""
         self._proposals.append(proposal)
         self._size += proposal.size
 
-    def take(self) -> Proposal:
+    def pop_next(self) -> Proposal:
         """Remove and return the change that waited longest."""
         proposal = self._proposals.popleft()
         self._size -= proposal.size
         return proposal
 
     def remove(self, ticket: int) -> None:
-        """Forget the change of a call that was given up."""
+        """Remove the change of a call that timed out, if it still waits."""
         for proposal in self._proposals:
             if proposal.ticket == ticket:
                 self._proposals.remove(proposal)
                 self._size -= proposal.size
                 return
 
-    def take_all(self) -> list[Proposal]:
-        """Remove and return everything that waits."""
+    def pop_all(self) -> list[Proposal]:
+        """Remove and return all waiting changes."""
         waiting = list(self._proposals)
         self._proposals.clear()
         self._size = 0
--- a/rookwood/coordination/relay_tree.py
+++ b/rookwood/coordination/relay_tree.py
@@ -1,8 +1,8 @@
 """The tree along which dispatchers relay the updates of the control machines to each other.
 
-Each dispatcher computes the tree from its own view of the others. A parent always has a smaller rank
-than its child, and the rank depends on nothing but the epoch and the identity. So the links of one
-epoch never form a cycle, even if no two views agree. No I/O and no clock: time is passed in.
+Each dispatcher computes the tree from its own view of the others. A parent always has a smaller rank than its
+child, and the rank depends only on the epoch and the identity. So the links of one epoch never form a cycle,
+even if no two views agree. This module does no I/O and reads no clock.
 """
 
 from collections import defaultdict
@@ -10,18 +10,20 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from rookwood.coordination.rendezvous import HASH_SPACE, ranked, weight
+from rookwood.coordination.rendezvous import HASH_SPACE, rank_members, weight
 
 DEFAULT_FAN_OUT = 16
 MIN_FAN_OUT = 4
 FALLBACK_PARENTS = 2
-MEAN_LOAD = 0.375  # of the children limit; slack keeps full parents, whose overflow moves others, rare
-MIN_WIDENING = 2
+# The mean share of the children limit that is in use. The slack makes full parents rare, since the children
+# that they turn away take the places of others.
+MEAN_FILL = 0.375
+MIN_LEVEL_GROWTH = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatcher:
-    """A dispatcher as the tree sees it."""
+    """A dispatcher as a node of the tree."""
 
     identity: str
     zone: str
@@ -29,25 +31,25 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Rank:
-    """The place of a dispatcher in the order of one epoch, the same in every view."""
+    """The position of a dispatcher in the order of one epoch, the same in every view."""
 
     weight: int
     identity: str
 
 
 def rank_of(identity: str, epoch: int) -> Rank:
-    """Return the rank of a dispatcher; it may have only parents of smaller rank."""
+    """Return the rank of a dispatcher; its parents must have a smaller rank."""
     return Rank(weight(f"rank {epoch}", identity), identity)
 
 
 class RelayTree:
-    """One view's tree of one epoch, with at most `fan_out` children for each node.
+    """The tree of one epoch in one dispatcher's view, with at most `fan_out` children for each node.
 
-    The dispatchers of smallest rank are children of the control machines. The others are sorted into
-    levels by rank alone, each level spanning `fan_out * MEAN_LOAD` times as many ranks as the one above
-    it. A dispatcher prefers parents from the level above its own, so the loss of one leaves the order
-    of preference of all others as it is. Others than its children move only to a place that became
-    free, or because a child that moved took theirs.
+    The dispatchers of smallest rank are children of the control machines. The others are sorted into levels
+    by rank alone, and each level spans `fan_out * MEAN_FILL` times as many ranks as the level above it. A
+    dispatcher prefers parents from the level above its own, so the loss of one dispatcher leaves the
+    preferences of all others as they are. Besides the children of the lost one, a dispatcher moves only to a
+    place that became free, or because a child that moved took its place.
     """
 
     def __init__(
@@ -57,11 +59,11 @@
         epoch: int,
         fan_out: int = DEFAULT_FAN_OUT,
     ) -> None:
-        """Compute the tree of all dispatchers; `roots` are the control machines."""
+        """Compute the tree of the dispatchers; `roots` are the addresses of the control machines."""
         self._dispatchers = {dispatcher.identity: dispatcher for dispatcher in dispatchers}
         self._roots = tuple(sorted(set(roots)))
         if not self._roots:
-            raise ValueError("a relay tree needs a root")
+            raise ValueError("a relay tree needs at least one root")
         if fan_out < MIN_FAN_OUT:
             raise ValueError(f"fan-out must be at least {MIN_FAN_OUT}")
         self._epoch = epoch
@@ -76,32 +78,35 @@
 
     @property
     def children_limit(self) -> int:
-        """How many children a dispatcher takes; a control machine is the last resort and takes all."""
+        """The maximum number of children of a dispatcher.
+
+        Control machines, as the last resort, accept any number.
+        """
         return self._fan_out
 
-    def parents(self, me: Dispatcher) -> tuple[str, ...]:
-        """Return the parent, then the fallbacks in order; the last ones are the control machines."""
-        if self._dispatchers.get(me.identity) != me:
-            dispatchers = {**self._dispatchers, me.identity: me}
+    def parents(self, dispatcher: Dispatcher) -> tuple[str, ...]:
+        """Return the parent and then the fallbacks in order; the control machines come last."""
+        if self._dispatchers.get(dispatcher.identity) != dispatcher:
+            dispatchers = {**self._dispatchers, dispatcher.identity: dispatcher}
             tree = RelayTree(dispatchers.values(), self._roots, self._epoch, self._fan_out)
-            return tree.parents(me)
-        parent = self._parents[me.identity]
-        roots = self._ranked_roots(me.identity)
+            return tree.parents(dispatcher)
+        parent = self._parents[dispatcher.identity]
+        roots = self._ranked_roots(dispatcher.identity)
         if parent in self._roots:
             return (parent, *(root for root in roots if root != parent))
-        others = (candidate for candidate in self._candidates(me.identity) if candidate != parent)
+        others = (candidate for candidate in self._candidates(dispatcher.identity) if candidate != parent)
         return (parent, *islice(others, FALLBACK_PARENTS), *roots)
 
     def depth(self, identity: str) -> int:
-        """Return the number of links between a dispatcher and its control machine."""
+        """Return the number of links from a dispatcher up to its control machine."""
         depth = 0
         while identity in self._parents:
             identity = self._parents[identity]
             depth += 1
         return depth
 
-    def accepts(self, parent: str, child: str) -> bool:
-        """Tell whether a dispatcher may take a child of this epoch; it also minds `children_limit`."""
+    def may_be_parent(self, parent: str, child: str) -> bool:
+        """Return whether the ranks of this epoch allow the parent; it must also respect `children_limit`."""
         return rank_of(parent, self._epoch) < rank_of(child, self._epoch)
 
     def _assign_levels(self) -> None:
@@ -109,21 +114,21 @@
             self._levels[self._level(identity)].append(identity)
 
     def _level(self, identity: str) -> int:
-        """Return the level of a dispatcher, 0 being the lowest in the tree."""
-        widening = max(MIN_WIDENING, round(self._fan_out * MEAN_LOAD))
+        """Return the level of a dispatcher; level 0 is the lowest in the tree."""
+        growth = max(MIN_LEVEL_GROWTH, round(self._fan_out * MEAN_FILL))
         level = 0
-        bound = HASH_SPACE // widening
+        bound = HASH_SPACE // growth
         while self._ranks[identity].weight < bound:
             level += 1
-            bound //= widening
+            bound //= growth
         return level
 
     def _assign_parents(self) -> None:
-        direct = min(len(self._order), len(self._roots) * self._fan_out)
-        root_limit = -(-direct // len(self._roots))
-        for identity in self._order[:direct]:
+        direct_children = min(len(self._order), len(self._roots) * self._fan_out)
+        root_limit = -(-direct_children // len(self._roots))
+        for identity in self._order[:direct_children]:
             self._attach(identity, self._ranked_roots(identity), root_limit)
-        for identity in self._order[direct:]:
+        for identity in self._order[direct_children:]:
             self._attach(identity, self._candidates(identity), self._fan_out)
 
     def _attach(self, identity: str, candidates: Iterable[str], limit: int) -> None:
@@ -132,16 +137,20 @@
         self._parents[identity] = parent
 
     def _ranked_roots(self, identity: str) -> list[str]:
-        return ranked(f"root {identity}", self._roots)
+        return rank_members(f"root {identity}", self._roots)
 
     def _candidates(self, identity: str) -> Iterator[str]:
-        """Yield possible parents: level above in the own zone, in other zones, then all in rank order."""
+        """Yield possible parents in order of preference.
+
+        Dispatchers of the level above in the own zone come first, then those of the level above in other
+        zones, then all others of smaller rank.
+        """
         zone = self._dispatchers[identity].zone
-        above = self._levels.get(self._level(identity) + 1, [])
+        parent_level = self._levels.get(self._level(identity) + 1, [])
         key = f"parent {identity}"
-        yield from ranked(key, (node for node in above if self._dispatchers[node].zone == zone))
-        yield from ranked(key, (node for node in above if self._dispatchers[node].zone != zone))
-        preferred = frozenset(above)
+        yield from rank_members(key, (node for node in parent_level if self._dispatchers[node].zone == zone))
+        yield from rank_members(key, (node for node in parent_level if self._dispatchers[node].zone != zone))
+        preferred = frozenset(parent_level)
         for node in self._order:
             if self._ranks[node] >= self._ranks[identity]:
                 return
