--- a/rookwood/coordination/replication.py
+++ b/rookwood/coordination/replication.py
@@ -1,20 +1,23 @@
-"""One replica's decisions: messages, time and results of writes go in, effects come out; no I/O."""
+"""The replica: a state machine without I/O.
+
+Messages, the time, calls and results of disk writes go in; effects to carry out come out.
+"""
 
 from random import Random
 
-from rookwood.coordination.admission import Admission, answer_inquiry, may_answer_candidate
+from rookwood.coordination.admission import Admission, may_respond_to_candidate, respond_to_inquiry
 from rookwood.coordination.campaign import Campaign
 from rookwood.coordination.context import Context
 from rookwood.coordination.document import Record
 from rookwood.coordination.effects import Effect, Persist, Resolve, RoleChanged
 from rookwood.coordination.following import Follower
 from rookwood.coordination.journal import (
-    Flushed,
     Journal,
     OwnPromiseStep,
     OwnWriteStep,
     PromiseStep,
     Step,
+    WriteResult,
     WriteStep,
 )
 from rookwood.coordination.leadership import Leadership
@@ -45,12 +48,15 @@
 
 
 def new_token(random: Random) -> int:
-    """Return a token for a storage that begins empty; 0 is that of the first members."""
+    """Return a random token for a new, empty storage; the first members of a group have the token 0."""
     return random.getrandbits(TOKEN_BITS) + 1
 
 
 class Replica:
-    """The protocol of one member, as a state machine over explicit time."""
+    """The replication protocol of one machine, as a state machine to which the time is passed in.
+
+    Each input returns the effects that its caller carries out in order.
+    """
 
     def __init__(
         self,
@@ -67,7 +73,7 @@
         stored = record or Record(new_token(random))
         journal = Journal(stored)
         self._context = Context(ip, incarnation, seeds, tolerate, timing or Timing(), random, journal, now)
-        self._context.offer(stored.document)
+        self._context.record_document(stored.document)
         self._admission: Admission | None = None
         self._leadership: Leadership | None = None
         self._follower = Follower(self._context)
@@ -75,49 +81,49 @@
         self._campaign = Campaign(self._context, self._voter)
         self._role: Role = Unattached("starting")
 
-    # What callers may ask at any time
+    # Queries
 
     def role(self, now: float) -> Role:
-        """Return the role at a moment: a lease may have run out since the last input."""
+        """Return the role at this time; the lease may have expired since the last input."""
         return self._compute_role(now)
 
     def snapshot(self) -> Snapshot:
-        """Return the newest committed document known here."""
+        """Return the newest document that is known to be committed."""
         return self._context.snapshot
 
     def members(self) -> tuple[str, ...]:
-        """Return the addresses of the members, as known here."""
+        """Return the addresses of the members in the newest known configuration."""
         return self._context.configuration().addresses()
 
     def is_member(self) -> bool:
-        """Tell whether this replica takes part with the storage it has."""
+        """Return whether this replica is a member with the storage that it has."""
         return self._context.is_member()
 
     def reachable(self, now: float) -> frozenset[str]:
-        """Return the members heard within the lease time, this one included."""
-        self._enter(now)
+        """Return the members from which a message arrived within the lease time, and this one."""
+        self._begin_input(now)
         lease = self._context.timing.lease
         members = self.members()
-        heard = {ip for ip in members if self._context.heard_within(ip, lease)}
-        return frozenset(heard | ({self._context.ip} & set(members)))
+        in_contact = {ip for ip in members if self._context.is_in_contact(ip, lease)}
+        return frozenset(in_contact | ({self._context.ip} & set(members)))
 
     def record(self) -> Record:
-        """Return the record that is known to be durable."""
+        """Return the record that is known to be synced to disk."""
         return self._context.journal.durable
 
     def promised(self) -> int:
-        """Return the highest epoch promised, synced or not."""
+        """Return the highest promised epoch, synced or not."""
         return self._context.journal.latest.promised
 
     def leads(self) -> bool:
-        """Tell whether this process leads an epoch, established or not."""
+        """Return whether this process won an epoch and leads it, even before its first commit."""
         return self._leadership is not None
 
     def next_wakeup(self) -> float:
-        """Return when `tick` is to be called next."""
+        """Return when `tick` must be called next."""
         moments = [self._context.now + self._context.timing.primary_silence]
-        if self._follower.lease_end() > self._context.now:
-            moments.append(self._follower.lease_end())
+        if self._follower.contact_expires_at() > self._context.now:
+            moments.append(self._follower.contact_expires_at())
         if not self._context.is_member():
             moments.append(self._admission.next_wakeup() if self._admission else self._context.now)
         elif self._leadership is not None:
@@ -129,90 +135,94 @@
     # Inputs
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due."""
-        self._enter(now)
-        self._check_disk()
+        """Do everything that is due at this time."""
+        self._begin_input(now)
+        self._check_stalled_disk()
         if self._context.is_member():
             self._admission = None
             self._tick_member()
         else:
-            self._tick_outside()
-        return self._finish()
+            self._tick_non_member()
+        return self._finish_input()
 
     def receive(self, sender: str, incarnation: int, message: Message, now: float) -> list[Effect]:
-        """Take a message."""
-        self._enter(now)
-        self._context.hear(sender, incarnation)
+        """Process a message."""
+        self._begin_input(now)
+        self._context.record_message(sender, incarnation)
         self._dispatch(sender, incarnation, message)
-        return self._finish()
+        return self._finish_input()
 
     def persisted(self, ticket: int, stored: Record | None, succeeded: bool, now: float) -> list[Effect]:
-        """Take the result of a durable write; `stored` is what the disk holds after a failure."""
-        self._enter(now)
+        """Process the result of a disk write; after a failure, `stored` is the record that the disk holds."""
+        self._begin_input(now)
         journal = self._context.journal
         retry_at = now + self._context.timing.disk_retry
-        flushed = journal.succeed(ticket) if succeeded else journal.fail(ticket, stored, retry_at)
-        if flushed is not None:
-            self._on_flushed(flushed)
-        return self._finish()
+        result = journal.complete_write(ticket) if succeeded else journal.fail_write(ticket, stored, retry_at)
+        if result is not None:
+            self._on_write_result(result)
+        return self._finish_input()
 
     def disconnected(self, peer: str, now: float) -> list[Effect]:
-        """Take the hint that a peer closed its connection: an ended primary is suspected sooner."""
-        self._enter(now)
+        """Process the end of a peer's connection: if the peer was the primary, an election follows sooner."""
+        self._begin_input(now)
         follows = peer == self._follower.primary and self._leadership is None
-        if follows and self._follower.suspect():
-            self._campaign.wait(self._context.timing.disconnect_silence)
-        if self._voter.candidate_ended(peer):
-            self._campaign.wait(0.0)
-        return self._finish()
+        if follows and self._follower.shorten_primary_deadline():
+            self._campaign.schedule_election(self._context.timing.disconnect_silence)
+        if self._voter.drop_favour_for(peer):
+            self._campaign.schedule_election(0.0)
+        return self._finish_input()
 
     def propose(self, ticket: int, change: Change, now: float, size: int = 0) -> list[Effect]:
-        """Start a call that changes the document; `size` is what it keeps in memory while it waits."""
-        self._enter(now)
-        leadership = self._acting_for(ticket)
+        """Start a call that changes the document; `size` is the memory that it occupies while it waits."""
+        self._begin_input(now)
+        leadership = self._leadership_for_call(ticket)
         if leadership is not None:
             leadership.propose(Proposal(ticket, change, size))
-        return self._finish()
+        return self._finish_input()
 
     def confirm(self, ticket: int, now: float) -> list[Effect]:
         """Start a call that confirms leadership."""
-        self._enter(now)
-        leadership = self._acting_for(ticket)
+        self._begin_input(now)
+        leadership = self._leadership_for_call(ticket)
         if leadership is not None:
             leadership.confirm(ticket)
-        return self._finish()
+        return self._finish_input()
 
     def abandon(self, ticket: int, now: float) -> list[Effect]:
-        """Forget a call whose limit is over."""
-        self._enter(now)
+        """Drop a call that timed out."""
+        self._begin_input(now)
         if self._leadership is not None:
             self._leadership.abandon(ticket)
-        return self._finish()
+        return self._finish_input()
 
     def transfer(self, now: float) -> list[Effect]:
-        """Hand the leadership to another member once the write under way is done."""
-        self._enter(now)
+        """Hand the leadership over to another member once the write under way is committed."""
+        self._begin_input(now)
         if self._leadership is not None:
-            self._leadership.leave()
-        return self._finish()
+            self._leadership.begin_handover()
+        return self._finish_input()
 
     # Time
 
-    def _enter(self, now: float) -> None:
-        """Begin an input. After a pause of this process, what it reads next may have been sent long ago."""
+    def _begin_input(self, now: float) -> None:
+        """Record the time of an input.
+
+        If this process stalled for longer than the lease, messages that arrive now may have been sent long
+        ago, so they don't count as contact for one lease time.
+        """
         lease = self._context.timing.lease
         if now - self._context.now > lease:
-            self._follower.distrust(now + lease)
+            self._follower.ignore_stale_messages(now + lease)
         self._context.now = now
 
-    def _check_disk(self) -> None:
+    def _check_stalled_disk(self) -> None:
         context = self._context
-        if context.journal.stalled_for(context.now) > context.timing.disk_limit:
+        if context.journal.current_write_duration(context.now) > context.timing.disk_limit:
             self._hand_over()
-            self._campaign.end()
+            self._campaign.abort()
 
-    def _tick_outside(self) -> None:
-        self._end_participation()
+    def _tick_non_member(self) -> None:
+        self._stop_participating()
         if self._admission is None:
             self._admission = Admission(self._context)
         self._admission.tick()
@@ -225,11 +235,11 @@
         else:
             self._campaign.tick()
 
-    def _check_victory(self) -> None:
-        candidacy = self._campaign.take_victory()
+    def _take_over_if_elected(self) -> None:
+        candidacy = self._campaign.pop_won_candidacy()
         if candidacy is not None:
-            self._follower.lead(candidacy.epoch)
-            self._leadership = Leadership(self._context, candidacy.epoch, candidacy.newest)
+            self._follower.record_own_leadership(candidacy.epoch)
+            self._leadership = Leadership(self._context, candidacy.epoch, candidacy.newest_document)
 
     # Messages
 
@@ -258,9 +268,9 @@
                 self._on_vote_request(sender, incarnation, message)
             case Promise():
                 self._campaign.on_promise(sender, incarnation, message)
-                self._check_victory()
+                self._take_over_if_elected()
             case Inquiry():
-                answer_inquiry(self._context, sender, incarnation, message)
+                respond_to_inquiry(self._context, sender, incarnation, message)
             case Situation():
                 if self._admission is not None:
                     self._admission.on_situation(message)
@@ -268,29 +278,29 @@
                 if self._leadership is not None:
                     self._leadership.on_join_request(sender, incarnation, message.token)
             case MembershipNotice():
-                self._context.note_configuration(message.position, message.configuration)
+                self._context.record_configuration(message.position, message.configuration)
             case TransferNow():
                 self._on_transfer_now(message)
 
     def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
-        if self._follower.accepts(sender, heartbeat.epoch):
+        if self._follower.accepts_epoch(sender, heartbeat.epoch):
             self._follow(sender, heartbeat.epoch)
-            self._follower.acknowledge_round(sender, heartbeat)
+            self._follower.acknowledge_heartbeat(sender, heartbeat)
 
     def _on_write(self, sender: str, write: Write) -> None:
         document = write.document
-        if self._follower.accepts(sender, document.position.epoch):
-            self._context.note_configuration(document.position, document.configuration)
+        if self._follower.accepts_epoch(sender, document.position.epoch):
+            self._context.record_configuration(document.position, document.configuration)
             self._follow(sender, document.position.epoch)
-            self._follower.store(sender, write)
+            self._follower.store_document(sender, write)
 
     def _follow(self, primary: str, epoch: int) -> None:
         if self._leadership is not None and epoch > self._leadership.epoch:
             self._step_down()
-        self._campaign.end_before(epoch)
+        self._campaign.abort_up_to(epoch)
         self._voter.end_favour()
         self._follower.follow(primary, epoch)
-        self._campaign.wait(self._context.timing.primary_silence)
+        self._campaign.schedule_election(self._context.timing.primary_silence)
 
     def _on_refused(self, refused: Refused) -> None:
         if self._leadership is not None and refused.promised > self._leadership.epoch:
@@ -298,69 +308,69 @@
         self._campaign.on_refused(refused)
 
     def _on_pre_vote_request(self, sender: str, request: PreVoteRequest) -> None:
-        if not may_answer_candidate(self._context, sender, request.position):
+        if not may_respond_to_candidate(self._context, sender, request.position):
             return
-        free = not self._follower.hears_primary() and self._leadership is None
-        willing = free and self._campaign.gives_way(sender, request)
-        if self._voter.answer_pre_vote(sender, request, willing):
+        has_no_primary = not self._follower.has_live_primary() and self._leadership is None
+        willing = has_no_primary and self._campaign.yields_to(sender, request)
+        if self._voter.respond_to_pre_vote(sender, request, willing):
             self._campaign.withdraw_pre_vote()
 
     def _on_vote_request(self, sender: str, incarnation: int, request: VoteRequest) -> None:
-        if not may_answer_candidate(self._context, sender, request.position):
+        if not may_respond_to_candidate(self._context, sender, request.position):
             return
         step = PromiseStep(sender, incarnation, request.epoch, request.position)
-        if self._voter.answer_vote(step):
+        if self._voter.respond_to_vote_request(step):
             self._step_down()
-            self._campaign.end()
-            self._campaign.wait(self._context.timing.primary_silence)
+            self._campaign.abort()
+            self._campaign.schedule_election(self._context.timing.primary_silence)
 
     def _on_transfer_now(self, request: TransferNow) -> None:
         promised = self._context.journal.latest.promised
-        if request.epoch >= promised and self._leadership is None and self._campaign.may_stand():
-            self._campaign.stand_at_once(request.epoch)
+        if request.epoch >= promised and self._leadership is None and self._campaign.can_stand():
+            self._campaign.stand_immediately(request.epoch)
 
     # Durable writes
 
-    def _on_flushed(self, flushed: Flushed) -> None:
-        if flushed.succeeded:
-            for step in flushed.steps:
+    def _on_write_result(self, result: WriteResult) -> None:
+        if result.succeeded:
+            for step in result.steps:
                 self._run_step(step)
             return
-        for step in flushed.steps:
+        for step in result.steps:
             if isinstance(step, WriteStep):
-                self._follower.refuse_write(step)
+                self._follower.report_failed_write(step)
         self._hand_over()
-        self._end_participation()
-        if flushed.lost:
-            self._context.journal.restart(Record(new_token(self._context.random)))
+        self._stop_participating()
+        if result.storage_lost:
+            self._context.journal.reset(Record(new_token(self._context.random)))
 
     def _run_step(self, step: Step) -> None:
         match step:
             case PromiseStep():
-                self._context.run_promise(step)
+                self._context.send_promise(step)
             case WriteStep():
                 self._follower.acknowledge_write(step)
             case OwnPromiseStep():
                 self._campaign.on_own_promise(step.epoch)
-                self._check_victory()
+                self._take_over_if_elected()
             case OwnWriteStep():
                 if self._leadership is not None:
-                    self._leadership.on_own_write()
+                    self._leadership.on_own_copy_durable()
 
     # Leadership
 
-    def _acting(self) -> Leadership | None:
+    def _active_leadership(self) -> Leadership | None:
         leadership = self._leadership
-        if leadership is None or not leadership.established or leadership.leaving:
+        if leadership is None or not leadership.is_established or leadership.is_leaving:
             return None
         if not leadership.has_lease(self._context.now):
             self._step_down()
             return None
         return leadership
 
-    def _acting_for(self, ticket: int) -> Leadership | None:
-        """Return the leadership if it may act; else the call is answered."""
-        leadership = self._acting()
+    def _leadership_for_call(self, ticket: int) -> Leadership | None:
+        """Return the leadership if it may act; otherwise resolve the call as `NotPrimary`."""
+        leadership = self._active_leadership()
         if leadership is None:
             primary = self._follower.primary
             outcome = NotPrimary(None if primary == self._context.ip else primary)
@@ -370,7 +380,7 @@
     def _hand_over(self) -> None:
         if self._leadership is None:
             return
-        successor = self._leadership.successor()
+        successor = self._leadership.choose_successor()
         if successor is not None:
             self._context.send(successor, TransferNow(self._leadership.epoch))
         self._step_down()
@@ -380,23 +390,23 @@
             return
         self._leadership.close()
         self._leadership = None
-        self._follower.forget()
-        self._campaign.wait(self._context.timing.primary_silence)
+        self._follower.forget_primary()
+        self._campaign.schedule_election(self._context.timing.primary_silence)
 
-    def _end_participation(self) -> None:
+    def _stop_participating(self) -> None:
         self._step_down()
-        self._campaign.end()
+        self._campaign.abort()
 
-    # Results
+    # Effects
 
-    def _finish(self) -> list[Effect]:
+    def _finish_input(self) -> list[Effect]:
         context = self._context
         leadership = self._leadership
-        if leadership is not None and leadership.is_ready_to_leave():
+        if leadership is not None and leadership.is_ready_for_handover():
             self._hand_over()
-        begun = context.journal.begin(context.now)
-        if begun is not None:
-            context.effects.append(Persist(*begun))
+        write = context.journal.begin_write(context.now)
+        if write is not None:
+            context.effects.append(Persist(*write))
         self._update_role()
         effects, context.effects = context.effects, []
         return effects
--- a/rookwood/coordination/storage.py
+++ b/rookwood/coordination/storage.py
@@ -1,8 +1,8 @@
-"""The durable record of one member, kept in two lmdb environments that are written in turn.
+"""The durable record of one member, kept in two lmdb environments that are written alternately.
 
-The environment that holds the newest record is not touched while the next one is written, so a torn
-write leaves the previous record whole. Each record carries a serial number and a checksum. A marker file
-tells that a first record was once stored, so that a disk whose files are broken is never taken for a new one.
+The environment with the newest record is not touched while the next record is written, so a torn write leaves
+the previous record intact. Each record has a serial number and a checksum. A marker file shows that a record
+was stored at least once, so that a disk with corrupt files is never mistaken for a new one.
 """
 
 import enum
@@ -29,7 +29,7 @@
 
 
 class FaultKind(enum.Enum):
-    """Why no record was read from a file."""
+    """Why a file did not yield a record."""
 
     TORN = "torn"
     FOREIGN = "foreign"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class SlotFault:
-    """What is wrong with one of the files."""
+    """The fault of one of the two files."""
 
     slot: str
     kind: FaultKind
@@ -48,34 +48,34 @@
 
 @dataclass(frozen=True)
 class Found:
-    """The newest stored record."""
+    """The newest stored record was read."""
 
     record: Record
 
 
 @dataclass(frozen=True)
 class Empty:
-    """No write was ever finished here."""
+    """No write was ever completed here."""
 
 
 @dataclass(frozen=True)
 class Lost:
-    """A record was stored here and cannot be read any more, or the files are not ours."""
+    """A record was stored here but cannot be read any more, or the files are not those of a storage."""
 
     faults: tuple[SlotFault, ...]
 
 
 @dataclass(frozen=True)
 class Inaccessible:
-    """The disk does not let its files be read at present; what they hold is not known."""
+    """The files cannot be read at present, so their content is unknown."""
 
     faults: tuple[SlotFault, ...]
 
 
 LoadOutcome = Found | Empty | Lost | Inaccessible
 
-# What lmdb says of a file whose content is broken, as opposed to a disk that fails.
-_BROKEN = (
+# The errors that lmdb raises for a corrupt file, as opposed to a failing disk.
+_CORRUPTION_ERRORS = (
     lmdb.BadTxnError,
     lmdb.CorruptedError,
     lmdb.CursorFullError,
@@ -91,72 +91,79 @@
 
 
 @dataclass(frozen=True)
-class _Stored:
+class _SlotRecord:
     serial: int
     record: Record
 
 
 class Storage:
-    """One record on disk; used by one thread at a time."""
+    """Stores one record on disk; must be used by one thread at a time."""
 
     def __init__(self, directory: str, disk_mb: int) -> None:
         self._directory = Path(directory)
         map_bytes = disk_mb * MEGABYTE // (2 * len(SLOTS))
         self._map_bytes = max(MIN_MAP_BYTES, min(MAX_MAP_BYTES, map_bytes))
         self._environments: dict[str, lmdb.Environment] = {}
-        self._named: set[str] = set()
-        self._broken: set[str] = set()
-        self._found_slot: str | None = None
+        self._directory_synced_slots: set[str] = set()
+        self._broken_slots: set[str] = set()
+        self._unsynced_slot: str | None = None
         self._next_slot = SLOTS[0]
         self._serial = 0
 
     @property
     def slot_in_turn(self) -> str:
-        """The file that the next write goes to; it holds nothing that is needed."""
+        """The file to which the next write goes; its present content is not needed."""
         return self._next_slot
 
     def load(self) -> LoadOutcome:
         """Return the newest stored record, or why there is none.
 
-        A file that cannot be read at present may hold the newest record, so the other one then counts for
-        nothing. A torn file beside a whole one is a write that was cut short. A single torn file is a first
-        write that was cut short, as long as there is no marker: nothing had been acknowledged.
+        A file that cannot be read at present may hold the newest record, so the other file is not used then.
+        A torn file beside an intact one is an interrupted write. A single torn file without the marker is an
+        interrupted first write, so nothing was acknowledged yet.
         """
         try:
             existing = [slot for slot in SLOTS if self._path(slot).exists()]
-            marked = (self._directory / MARKER).exists()
+            has_marker = (self._directory / MARKER).exists()
         except OSError as error:
             return Inaccessible((SlotFault(MARKER, FaultKind.INACCESSIBLE, str(error)),))
-        read = [(slot, self._read(slot)) for slot in existing]
-        faults = tuple(result for _, result in read if isinstance(result, SlotFault))
-        self._broken |= {fault.slot for fault in faults}
+        results = [(slot, self._read(slot)) for slot in existing]
+        faults = tuple(result for _, result in results if isinstance(result, SlotFault))
+        self._broken_slots |= {fault.slot for fault in faults}
         if any(fault.kind is FaultKind.INACCESSIBLE for fault in faults):
             return Inaccessible(faults)
-        found = [(result.serial, slot, result.record) for slot, result in read if isinstance(result, _Stored)]
-        if found:
-            self._serial, newest, record = max(found, key=lambda entry: entry[0])
-            self._next_slot = _other(newest)
-            self._found_slot = newest
+        records = [
+            (result.serial, slot, result.record)
+            for slot, result in results
+            if isinstance(result, _SlotRecord)
+        ]
+        if records:
+            self._serial, newest, record = max(records, key=lambda entry: entry[0])
+            self._next_slot = _other_slot(newest)
+            self._unsynced_slot = newest
             return Found(record)
-        first_write_cut_short = all(fault.kind is FaultKind.TORN for fault in faults)
-        if marked or len(existing) == len(SLOTS) or not first_write_cut_short:
+        is_interrupted_first_write = all(fault.kind is FaultKind.TORN for fault in faults)
+        if has_marker or len(existing) == len(SLOTS) or not is_interrupted_first_write:
             return Lost(faults)
         return Empty()
 
     def save(self, record: Record) -> bool:
-        """Store the record and sync it; after a failure the environments are opened anew."""
+        """Store and sync the record, and return whether that succeeded.
+
+        After a failure the environments are closed, and opened again by the next access.
+        """
         slot = self._next_slot
         try:
             self._write(slot, _pack(self._serial + 1, record))
-        except _BROKEN:
-            self._broken.add(slot)
+        except _CORRUPTION_ERRORS:
+            self._broken_slots.add(slot)
             self.close()
             return False
         except (lmdb.Error, OSError):
             self.close()
             return False
         self._serial += 1
-        self._next_slot = _other(slot)
+        self._next_slot = _other_slot(slot)
         return True
 
     def close(self) -> None:
@@ -168,39 +175,43 @@
                 environment.close()
 
     def _write(self, slot: str, packed: bytes) -> None:
-        self._sync_found()
+        self._sync_loaded_record()
         with self._open_or_replace(slot).begin(write=True) as transaction:
             transaction.put(RECORD_KEY, packed)
         self._sync(slot)
-        if slot not in self._named:
-            self._mark()
+        if slot not in self._directory_synced_slots:
+            self._write_marker()
             _sync_directory(self._directory)
-            self._named.add(slot)
+            self._directory_synced_slots.add(slot)
 
-    def _sync_found(self) -> None:
-        """Sync the record that was found, before the older one is overwritten.
+    def _sync_loaded_record(self) -> None:
+        """Sync the record that was loaded, before the older one is overwritten.
 
-        The process before may have been killed between the write and its sync. The record then stands on
-        the disk only as far as this machine keeps its power, and the older one is all that is safe.
+        The previous process may have been killed between the write and its sync. The loaded record may then
+        be in the page cache only, and a loss of power would leave nothing but the older record.
         """
-        if self._found_slot is not None:
-            self._sync(self._found_slot)
+        if self._unsynced_slot is not None:
+            self._sync(self._unsynced_slot)
             _sync_directory(self._directory)
-            self._found_slot = None
+            self._unsynced_slot = None
 
     def _sync(self, slot: str) -> None:
-        """Sync a file; this covers lmdb's header too, which it leaves to the flags of a second descriptor."""
+        """Sync a file, including its header.
+
+        lmdb syncs the header on commit only by the open flags of a second descriptor, and not at all with
+        `metasync=False`.
+        """
         self._open(slot).sync(True)
 
-    def _mark(self) -> None:
-        """Note that a record is stored; the record has been synced by now."""
+    def _write_marker(self) -> None:
+        """Create the marker file; the record has been synced by now."""
         path = self._directory / MARKER
         if path.exists():
             return
         with path.open("wb") as marker:
             os.fsync(marker.fileno())
 
-    def _read(self, slot: str) -> _Stored | SlotFault:
+    def _read(self, slot: str) -> _SlotRecord | SlotFault:
         path = self._path(slot)
         try:
             form = inspect_file(path)
@@ -210,7 +221,7 @@
                 return SlotFault(slot, FaultKind.TORN, "shorter than its own header says")
             with self._open(slot).begin() as transaction:
                 packed = transaction.get(RECORD_KEY)
-        except _BROKEN as error:
+        except _CORRUPTION_ERRORS as error:
             return SlotFault(slot, FaultKind.TORN, str(error))
         except (lmdb.Error, OSError) as error:
             return SlotFault(slot, FaultKind.INACCESSIBLE, str(error))
@@ -219,15 +230,15 @@
         return _unpack(slot, bytes(packed))
 
     def _open_or_replace(self, slot: str) -> lmdb.Environment:
-        """Open the environment to be written, which holds no record that is needed; a broken one is replaced.
+        """Open the environment to be written, replacing a corrupt file; its record is not needed any more.
 
-        A file whose pages are torn can often be opened, and refuses every write from then on.
+        lmdb can often open a file with torn pages, but then rejects every write to it.
         """
-        if slot in self._broken:
+        if slot in self._broken_slots:
             if slot in self._environments:
                 self._environments.pop(slot).close()
             self._path(slot).unlink(missing_ok=True)
-            self._broken.discard(slot)
+            self._broken_slots.discard(slot)
         return self._open(slot)
 
     def _open(self, slot: str) -> lmdb.Environment:
@@ -242,7 +253,7 @@
         return self._directory / slot
 
 
-def _other(slot: str) -> str:
+def _other_slot(slot: str) -> str:
     return SLOTS[1] if slot == SLOTS[0] else SLOTS[0]
 
 
@@ -267,7 +278,7 @@
     return zlib.crc32(body).to_bytes(CHECKSUM_BYTES) + body
 
 
-def _unpack(slot: str, packed: bytes) -> _Stored | SlotFault:
+def _unpack(slot: str, packed: bytes) -> _SlotRecord | SlotFault:
     body = packed[CHECKSUM_BYTES:]
     if zlib.crc32(body).to_bytes(CHECKSUM_BYTES) != packed[:CHECKSUM_BYTES]:
         return SlotFault(slot, FaultKind.TORN, "wrong checksum")
@@ -275,4 +286,4 @@
         record = decode_record(body[SERIAL_BYTES:])
     except DecodeError as error:
         return SlotFault(slot, FaultKind.OTHER_VERSION, str(error))
-    return _Stored(int.from_bytes(body[:SERIAL_BYTES]), record)
+    return _SlotRecord(int.from_bytes(body[:SERIAL_BYTES]), record)
--- a/rookwood/coordination/storage_thread.py
+++ b/rookwood/coordination/storage_thread.py
@@ -1,8 +1,8 @@
-"""One thread for everything that touches the disk, which a process that ends does not wait for.
+"""A thread for all disk access, which does not keep its process from exiting.
 
-A disk may stall for good. A thread of the library's executors is joined when the interpreter ends, so a write
-that hangs would keep a process from ending until it is killed. This thread is a daemon: what hangs is left to
-the end of the process, and is then in doubt as after a kill.
+A disk may stall for good. Threads of the standard library's executors are joined when the interpreter exits,
+so a hanging write would keep the process alive until it is killed. This thread is a daemon: a write that
+hangs when the process exits may or may not reach the disk, as after a kill.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 
 
 class StorageThread:
-    """Runs functions one after another, in the order in which they were given."""
+    """Runs functions one after another, in the order in which they were submitted."""
 
     def __init__(self, name: str) -> None:
         self._jobs: SimpleQueue[Job | None] = SimpleQueue()
-        self._thread = threading.Thread(target=self._work, name=name, daemon=True)
+        self._thread = threading.Thread(target=self._run_jobs, name=name, daemon=True)
         self._thread.start()
 
     async def run(self, function: Callable[..., Result], *arguments: Any) -> Result:
-        """Return what the function returns, or raise what it raises."""
+        """Run the function on the thread; return what it returns, or raise what it raises."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Result] = loop.create_future()
 
@@ -33,22 +33,22 @@
             try:
                 result = function(*arguments)
             except BaseException as error:
-                _tell(loop, _set_exception, future, error)
+                _call_in_loop(loop, _set_exception, future, error)
             else:
-                _tell(loop, _set_result, future, result)
+                _call_in_loop(loop, _set_result, future, result)
 
         self._jobs.put(job)
         return await future
 
     def close(self) -> None:
-        """Let the thread end once it has done what was given so far."""
+        """Let the thread end after the functions submitted so far."""
         self._jobs.put(None)
 
     def join(self) -> None:
         """Wait until the thread has ended."""
         self._thread.join()
 
-    def _work(self) -> None:
+    def _run_jobs(self) -> None:
         while True:
             job = self._jobs.get()
             if job is None:
@@ -56,8 +56,8 @@
             job()
 
 
-def _tell(loop: asyncio.AbstractEventLoop, function: Callable[..., None], *arguments: Any) -> None:
-    with suppress(RuntimeError):  # the loop ended meanwhile
+def _call_in_loop(loop: asyncio.AbstractEventLoop, function: Callable[..., None], *arguments: Any) -> None:
+    with suppress(RuntimeError):  # the loop was closed in the meantime
         loop.call_soon_threadsafe(function, *arguments)
 
 
--- a/rookwood/coordination/transport.py
+++ b/rookwood/coordination/transport.py
@@ -1,4 +1,4 @@
-"""Framed messages between members over TCP: two connections for each pair and direction."""
+"""Framed messages between members over TCP, with two connections for each pair and direction."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 from rookwood.coordination.lanes import (
     LENGTH_BYTES,
     MAX_FRAME_BYTES,
-    Lane,
+    Channel,
     Preamble,
     carries_document,
     encode_frame,
@@ -22,45 +22,50 @@
 
 MAX_BUFFER_BYTES = MAX_FRAME_BYTES
 MAX_QUEUE_FRAMES = 64
-CONNECT_LIMIT = 0.5
-RECONNECT_PAUSE = 0.2
-DOCUMENTS_PAUSE = 1.0  # seconds between two attempts to open a connection for documents
+CONNECT_TIMEOUT = 0.5
+RECONNECT_DELAY = 0.2
+DOCUMENT_RECONNECT_DELAY = 1.0  # seconds between two attempts to open a document channel
 SILENCE_LIMIT = 1.5
-UNACKNOWLEDGED_LIMIT_MS = 1000
-UNSENT_KERNEL_BYTES = 64 * 1024  # of a document that the kernel may hold beyond what is on its way
+UNACKNOWLEDGED_TIMEOUT_MS = 1000
+UNSENT_KERNEL_BYTES = 64 * 1024  # unsent bytes of a document that the kernel may buffer
 
 Receiver = Callable[[str, int, Message], None]
 
 
 @dataclass
 class Link:
-    """An outgoing connection to one peer, with what waits for it."""
+    """An outgoing connection to a peer, and the messages that wait for it.
 
-    lane: Lane
+    `queue` holds frames until the connection is open. On a document channel, `sending_document` is in
+    transmission, and `waiting_documents` has the newest document of each message type behind it.
+    `unanswered_since` is when the first message was sent after the last one from the peer.
+    """
+
+    channel: Channel
     writer: asyncio.StreamWriter | None = None
     queue: list[bytes] = field(default_factory=list)
-    opening: asyncio.Task[None] | None = None
-    watch: asyncio.Task[None] | None = None
-    first_unanswered: float | None = None
-    blocked_until: float = 0.0
-    sending: Message | None = None
-    waiting: dict[type[Message], Message] = field(default_factory=dict)
-    flushing: asyncio.Task[None] | None = None
+    open_task: asyncio.Task[None] | None = None
+    watch_task: asyncio.Task[None] | None = None
+    unanswered_since: float | None = None
+    next_attempt_at: float = 0.0
+    sending_document: Message | None = None
+    waiting_documents: dict[type[Message], Message] = field(default_factory=dict)
+    flush_task: asyncio.Task[None] | None = None
 
 
 @dataclass(frozen=True)
-class Incoming:
-    """A connection that a peer opened, and the life of its process."""
+class IncomingConnection:
+    """A connection that a peer opened, and the incarnation of the peer."""
 
     writer: asyncio.StreamWriter
     incarnation: int
 
 
 class Transport:
-    """Sends and receives messages; anything may be lost, which the protocol bears.
+    """Sends and receives messages, any of which may be lost; the protocol tolerates that.
 
-    Messages on one connection keep their order. Documents have a connection of their own, on which one is
-    on its way and the newest of each kind waits for it.
+    Messages on one connection keep their order. Documents have a channel of their own. It transmits one at a
+    time, and keeps only the newest waiting document of each message type.
     """
 
     def __init__(
@@ -78,9 +83,9 @@
         self._port = port
         self._receiver = receiver
         self._on_disconnect = on_disconnect
-        self._links: dict[tuple[str, Lane], Link] = {}
-        self._incoming: dict[tuple[str, Lane], Incoming] = {}
-        self._readers: set[asyncio.Task[None]] = set()
+        self._links: dict[tuple[str, Channel], Link] = {}
+        self._incoming: dict[tuple[str, Channel], IncomingConnection] = {}
+        self._connection_tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         self._closed = False
         self.traffic = MessageTraffic()
@@ -96,7 +101,7 @@
             self._server.close()
         for link in self._links.values():
             self._close_link(link)
-        tasks = [*self._readers]
+        tasks = [*self._connection_tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -106,35 +111,37 @@
         if self._closed:
             return
         now = asyncio.get_running_loop().time()
-        if carries_document(message) and self._is_open_for_documents(to, now):
-            self._send_document(self._link(to, Lane.DOCUMENTS), message, now)
+        if carries_document(message) and self._ensure_document_channel(to, now):
+            self._send_document(self._link(to, Channel.DOCUMENTS), message, now)
             return
-        link = self._link(to, Lane.CONTROL)
-        self._drop_silent(link, now)
+        link = self._link(to, Channel.CONTROL)
+        self._close_if_unresponsive(link, now)
         frame = self._encode(message)
         if link.writer is not None:
             self._write(link, frame, now)
-            self._start_opening_documents(to, now)
+            self._open_document_channel(to, now)
             return
         link.queue = [*link.queue, frame][-MAX_QUEUE_FRAMES:]
         self._start_opening(to, link, now)
 
-    def takes_documents(self, peer: str) -> bool:
-        """Tell whether the connection for documents is open to a peer that has opened its own."""
-        link = self._links.get((peer, Lane.DOCUMENTS))
-        return link is not None and link.writer is not None and (peer, Lane.DOCUMENTS) in self._incoming
+    def has_document_channel(self, peer: str) -> bool:
+        """Return whether the document channel is open in both directions."""
+        link = self._links.get((peer, Channel.DOCUMENTS))
+        return link is not None and link.writer is not None and (peer, Channel.DOCUMENTS) in self._incoming
 
     def open_links(self) -> int:
-        """Return how many members a connection is open to."""
-        return sum(link.writer is not None for link in self._links.values() if link.lane is Lane.CONTROL)
+        """Return the number of members to which a control channel is open."""
+        return sum(
+            link.writer is not None for link in self._links.values() if link.channel is Channel.CONTROL
+        )
 
     def queued_bytes(self) -> int:
-        """Return the bytes that wait for a connection or for the kernel, over all links."""
+        """Return the bytes that wait for a connection or for the kernel, on all links together."""
         waiting = sum(len(frame) for link in self._links.values() for frame in link.queue)
         return waiting + sum(writer.transport.get_write_buffer_size() for writer in self._writers())
 
     async def drain(self, limit: float) -> None:
-        """Wait until what was sent has left this process, or the limit is over."""
+        """Wait until all sent messages have left this process, at most `limit` seconds."""
         with suppress(TimeoutError, ConnectionError):
             async with asyncio.timeout(limit):
                 for writer in self._writers():
@@ -150,39 +157,39 @@
 
     # Outgoing connections
 
-    def _link(self, to: str, lane: Lane) -> Link:
-        return self._links.setdefault((to, lane), Link(lane))
+    def _link(self, to: str, channel: Channel) -> Link:
+        return self._links.setdefault((to, channel), Link(channel))
 
-    def _is_open_for_documents(self, peer: str, now: float) -> bool:
-        """Tell the same as `takes_documents`, and open a connection that ended by itself."""
-        link = self._link(peer, Lane.DOCUMENTS)
-        self._drop_silent(link, now)
-        if link.writer is None and (peer, Lane.DOCUMENTS) in self._incoming:
+    def _ensure_document_channel(self, peer: str, now: float) -> bool:
+        """Return `has_document_channel`; reopen this member's side if only that one was closed."""
+        link = self._link(peer, Channel.DOCUMENTS)
+        self._close_if_unresponsive(link, now)
+        if link.writer is None and (peer, Channel.DOCUMENTS) in self._incoming:
             self._start_opening(peer, link, now)
-        return self.takes_documents(peer)
+        return self.has_document_channel(peer)
 
     def _send_document(self, link: Link, message: Message, now: float) -> None:
-        """Send a document, or let it wait in place of an earlier one while another is on its way."""
-        if link.flushing is None:
-            link.sending = message
+        """Send a document, or let it replace the waiting one while another is in transmission."""
+        if link.flush_task is None:
+            link.sending_document = message
             self._write(link, self._encode(message), now)
-            link.flushing = asyncio.create_task(self._flush(link))
-        elif message != link.sending:
-            link.waiting[type(message)] = message
+            link.flush_task = asyncio.create_task(self._flush(link))
+        elif message != link.sending_document:
+            link.waiting_documents[type(message)] = message
 
     async def _flush(self, link: Link) -> None:
-        """Wait until the document has left this process, and send what waits."""
+        """Wait until the document has left this process, then send the waiting ones."""
         writer = link.writer
         with suppress(OSError):
             while writer is not None and link.writer is writer:
                 await writer.drain()
-                if not link.waiting:
+                if not link.waiting_documents:
                     break
-                link.sending = link.waiting.pop(next(iter(link.waiting)))
-                self._write(link, self._encode(link.sending), asyncio.get_running_loop().time())
+                link.sending_document = link.waiting_documents.pop(next(iter(link.waiting_documents)))
+                self._write(link, self._encode(link.sending_document), asyncio.get_running_loop().time())
         if link.writer is writer:
-            link.sending = None
-            link.flushing = None
+            link.sending_document = None
+            link.flush_task = None
 
     def _write(self, link: Link, frame: bytes, now: float) -> None:
         writer = link.writer
@@ -191,70 +198,73 @@
             self._close_link(link)
             return
         writer.write(frame)
-        if link.first_unanswered is None:
-            link.first_unanswered = now
+        if link.unanswered_since is None:
+            link.unanswered_since = now
 
-    def _drop_silent(self, link: Link, now: float) -> None:
-        if link.first_unanswered is not None and now - link.first_unanswered > SILENCE_LIMIT:
+    def _close_if_unresponsive(self, link: Link, now: float) -> None:
+        if link.unanswered_since is not None and now - link.unanswered_since > SILENCE_LIMIT:
             self._close_link(link)
 
     def _close_link(self, link: Link) -> None:
         writer, link.writer = link.writer, None
-        link.first_unanswered = None
-        link.sending = None
-        link.waiting = {}
+        link.unanswered_since = None
+        link.sending_document = None
+        link.waiting_documents = {}
         if writer is not None:
             writer.transport.abort()
-        if link.watch is not None:
-            link.watch.cancel()
-            link.watch = None
-        if link.flushing is not None:
-            link.flushing.cancel()
-            link.flushing = None
-        if link.opening is not None and self._closed:
-            link.opening.cancel()
+        if link.watch_task is not None:
+            link.watch_task.cancel()
+            link.watch_task = None
+        if link.flush_task is not None:
+            link.flush_task.cancel()
+            link.flush_task = None
+        if link.open_task is not None and self._closed:
+            link.open_task.cancel()
 
     def _start_opening(self, to: str, link: Link, now: float) -> None:
-        if link.opening is None and now >= link.blocked_until:
-            link.opening = asyncio.create_task(self._open(to, link))
+        if link.open_task is None and now >= link.next_attempt_at:
+            link.open_task = asyncio.create_task(self._open(to, link))
 
     async def _open(self, to: str, link: Link) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_LIMIT):
+            async with asyncio.timeout(CONNECT_TIMEOUT):
                 reader, writer = await asyncio.open_connection(to, self._port)
         except (OSError, TimeoutError):
-            link.blocked_until = loop.time() + RECONNECT_PAUSE
+            link.next_attempt_at = loop.time() + RECONNECT_DELAY
             link.queue = []
             return
         finally:
-            link.opening = None
-        _prepare_socket(writer, link.lane)
-        writer.write(Preamble(link.lane, self._ip, self._incarnation).encode())
+            link.open_task = None
+        _prepare_socket(writer, link.channel)
+        writer.write(Preamble(link.channel, self._ip, self._incarnation).encode())
         link.writer = writer
-        link.watch = asyncio.create_task(self._watch(link, reader, writer))
+        link.watch_task = asyncio.create_task(self._close_when_peer_closes(link, reader, writer))
         frames, link.queue = link.queue, []
         for frame in frames:
             if link.writer is not None:
                 self._write(link, frame, loop.time())
-        if link.lane is Lane.CONTROL:
-            self._start_opening_documents(to, loop.time())
+        if link.channel is Channel.CONTROL:
+            self._open_document_channel(to, loop.time())
 
-    def _start_opening_documents(self, to: str, now: float) -> None:
-        """Open the connection for documents as well, which tells the peer that this member takes them.
+    def _open_document_channel(self, to: str, now: float) -> None:
+        """Open the document channel too, which shows the peer that this member accepts documents on it.
 
-        One that ended alone is opened again a while later; a member of the version before ends each.
+        A document channel that was closed by itself is opened again after a delay, since a member of the
+        previous version closes each one.
         """
-        link = self._link(to, Lane.DOCUMENTS)
-        if link.writer is None and link.opening is None and now >= link.blocked_until:
+        link = self._link(to, Channel.DOCUMENTS)
+        if link.writer is None and link.open_task is None and now >= link.next_attempt_at:
             self._start_opening(to, link, now)
-            link.blocked_until = now + DOCUMENTS_PAUSE
+            link.next_attempt_at = now + DOCUMENT_RECONNECT_DELAY
 
-    async def _watch(self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _close_when_peer_closes(
+        self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         with suppress(OSError):
             await reader.read(1)
         if link.writer is writer:
-            link.watch = None
+            link.watch_task = None
             self._close_link(link)
 
     # Incoming connections
@@ -262,7 +272,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._readers.add(task)
+        self._connection_tasks.add(task)
         preamble = None
         try:
             preamble = await read_preamble(reader)
@@ -270,8 +280,8 @@
             while True:
                 message = await self._receive(reader)
                 if not self._is_current(preamble, writer):
-                    return  # what is still buffered here is of an earlier life, or of an older connection
-                self._note_answer(preamble.sender)
+                    return  # the rest belongs to an earlier incarnation or a replaced connection
+                self._record_reply(preamble.sender)
                 self._receiver(preamble.sender, preamble.incarnation, message)
         except (OSError, EOFError, DecodeError, UnicodeDecodeError):
             pass
@@ -279,9 +289,9 @@
             if not self._closed:
                 raise
         finally:
-            self._readers.discard(task)
+            self._connection_tasks.discard(task)
             if preamble is not None and self._is_current(preamble, writer):
-                self._end_incoming(preamble)
+                self._remove_incoming(preamble)
             writer.transport.abort()
 
     async def _receive(self, reader: asyncio.StreamReader) -> Message:
@@ -291,40 +301,40 @@
         return message
 
     def _is_current(self, preamble: Preamble, writer: asyncio.StreamWriter) -> bool:
-        incoming = self._incoming.get((preamble.sender, preamble.lane))
+        incoming = self._incoming.get((preamble.sender, preamble.channel))
         return incoming is not None and incoming.writer is writer
 
     def _replace_incoming(self, preamble: Preamble, writer: asyncio.StreamWriter) -> None:
-        """Take the newest connection of a peer, which also shows that it can be called at once.
+        """Replace the connection of a peer by a newer one, and allow reconnecting to the peer at once.
 
-        What an earlier life of the peer opened ends, on either lane.
+        Connections of an earlier incarnation of the peer are closed on both channels.
         """
-        for lane in Lane:
-            previous = self._incoming.get((preamble.sender, lane))
-            is_earlier_life = previous is not None and previous.incarnation != preamble.incarnation
-            if previous is not None and (lane is preamble.lane or is_earlier_life):
-                del self._incoming[preamble.sender, lane]
+        for channel in Channel:
+            previous = self._incoming.get((preamble.sender, channel))
+            is_earlier_incarnation = previous is not None and previous.incarnation != preamble.incarnation
+            if previous is not None and (channel is preamble.channel or is_earlier_incarnation):
+                del self._incoming[preamble.sender, channel]
                 previous.writer.transport.abort()
-            if (preamble.sender, lane) in self._links:
-                self._links[preamble.sender, lane].blocked_until = 0.0
-        self._incoming[preamble.sender, preamble.lane] = Incoming(writer, preamble.incarnation)
+            if (preamble.sender, channel) in self._links:
+                self._links[preamble.sender, channel].next_attempt_at = 0.0
+        self._incoming[preamble.sender, preamble.channel] = IncomingConnection(writer, preamble.incarnation)
 
-    def _end_incoming(self, preamble: Preamble) -> None:
-        del self._incoming[preamble.sender, preamble.lane]
-        if preamble.lane is Lane.CONTROL and not self._closed:
+    def _remove_incoming(self, preamble: Preamble) -> None:
+        del self._incoming[preamble.sender, preamble.channel]
+        if preamble.channel is Channel.CONTROL and not self._closed:
             self._on_disconnect(preamble.sender)
 
-    def _note_answer(self, sender: str) -> None:
-        for lane in Lane:
-            link = self._links.get((sender, lane))
+    def _record_reply(self, sender: str) -> None:
+        for channel in Channel:
+            link = self._links.get((sender, channel))
             if link is not None:
-                link.first_unanswered = None
+                link.unanswered_since = None
 
 
-def _prepare_socket(writer: asyncio.StreamWriter, lane: Lane) -> None:
+def _prepare_socket(writer: asyncio.StreamWriter, channel: Channel) -> None:
     connection = writer.get_extra_info("socket")
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
-    if lane is Lane.DOCUMENTS:
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
+    if channel is Channel.DOCUMENTS:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT_KERNEL_BYTES)
         writer.transport.set_write_buffer_limits(high=0)
--- a/tests/test_coordination_disk.py
+++ b/tests/test_coordination_disk.py
@@ -1,4 +1,4 @@
-"""Disks in trouble, under control groups and under the storage itself: full, stalled, slow, torn."""
+"""Control groups and their storage on full, stalled and slow disks, and with torn writes."""
 
 import asyncio
 import subprocess
@@ -19,7 +19,7 @@
 
 REPOSITORY = Path(__file__).parent.parent
 
-# A limit on the length of files has writes fail inside lmdb, as on a full disk.
+# A limit on the size of files makes writes fail inside lmdb, as on a full disk.
 FULL_DISK_SCRIPT = """
 import resource, sys
 from rookwood.coordination.document import Configuration, Document, Member, Position, Record
@@ -68,7 +68,7 @@
 """
 
 
-STALLED_AT_END_SCRIPT = """
+STALLED_AT_EXIT_SCRIPT = """
 import asyncio, sys, threading
 from rookwood.coordination.storage_thread import StorageThread
 
@@ -85,7 +85,7 @@
 
 
 class StorageThreadTest(unittest.IsolatedAsyncioTestCase):
-    async def test_jobs_run_in_their_order_and_raise_to_whoever_gave_them(self) -> None:
+    async def test_functions_run_in_order_and_raise_to_their_callers(self) -> None:
         thread = StorageThread("test")
         self.addCleanup(thread.close)
         done: list[int] = []
@@ -95,10 +95,10 @@
             await thread.run(lambda: 1 // 0)
         self.assertEqual(7, await thread.run(int, "7"))
 
-    async def test_a_process_ends_while_its_disk_hangs(self) -> None:
+    async def test_process_exits_while_its_disk_hangs(self) -> None:
         done = await asyncio.to_thread(
             subprocess.run,
-            [sys.executable, "-c", STALLED_AT_END_SCRIPT],
+            [sys.executable, "-c", STALLED_AT_EXIT_SCRIPT],
             cwd=REPOSITORY,
             capture_output=True,
             text=True,
@@ -109,22 +109,22 @@
 
 class FullDiskTest(unittest.TestCase):
     def run_script(self, script: str) -> str:
-        """Run a script in a process of its own, with an empty folder as its argument."""
+        """Run a script in a separate process with an empty directory as its argument; return its output."""
         with tempfile.TemporaryDirectory() as directory:
             done = subprocess.run(
                 [sys.executable, "-c", script, directory], cwd=REPOSITORY, capture_output=True, text=True
             )
         return done.stdout.strip() or done.stderr
 
-    def test_storage_heals_after_its_disk_refused_every_write(self) -> None:
+    def test_storage_recovers_after_its_disk_rejected_every_write(self) -> None:
         self.assertEqual(self.run_script(FULL_DISK_SCRIPT), "healed")
 
-    def test_storage_that_starts_on_a_full_disk_is_empty_and_heals(self) -> None:
+    def test_storage_that_starts_on_a_full_disk_is_empty_and_recovers(self) -> None:
         self.assertEqual(self.run_script(FULL_AT_START_SCRIPT), "healed")
 
 
 class FaultyStorageTest(unittest.TestCase):
-    def test_first_write_that_comes_out_torn_leaves_an_empty_storage(self) -> None:
+    def test_torn_first_write_leaves_an_empty_storage(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             storage = FaultyStorage(directory, 128)
             storage.load()
@@ -145,15 +145,15 @@
         self.cluster = Cluster(directory.name)
         self.addAsyncCleanup(self.cluster.stop_all)
 
-    async def begin(self) -> tuple[str, FaultyStorage]:
-        """Three members with one commit; returns the primary and its disk."""
+    async def start_with_one_commit(self) -> tuple[str, FaultyStorage]:
+        """Start three members and make one commit; return the primary and its disk."""
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
-        await self.commit_anywhere(b"a")
+        await self.commit_at_any_primary(b"a")
         return primary, self.cluster.disks[primary]
 
-    async def commit_anywhere(self, text: bytes) -> None:
-        """Have a change taken by whoever is primary, sent again while it gets no clear answer."""
+    async def commit_at_any_primary(self, text: bytes) -> None:
+        """Commit a change at the current primary, and repeat it until its outcome is `Committed`."""
 
         def once(payload: bytes) -> bytes:
             return payload if payload.endswith(text) else payload + text
@@ -167,90 +167,90 @@
                 if isinstance(await self.cluster.groups[primary].propose(once, limit=1.5), Committed):
                     return
 
-    async def until_refused(self, disk: FaultyStorage) -> None:
-        """Wait until a disk has refused a write."""
+    async def until_write_rejected(self, disk: FaultyStorage) -> None:
+        """Wait until a disk has rejected a write."""
         await eventually(lambda: disk.writes_refused > 0, "a write was refused")
 
-    async def until_all_hold(self, payload: bytes) -> None:
+    async def until_all_have(self, payload: bytes) -> None:
         """Wait until every member has this payload."""
         await self.cluster.until(lambda: all(self.cluster.payload(ip) == payload for ip in FIRST_MEMBERS))
 
     async def until_replaced(self, primary: str) -> None:
-        """Wait until another member leads."""
+        """Wait until another member is primary."""
         await self.cluster.until(lambda: self.cluster.primary_address() not in (None, primary))
 
-    async def test_primary_whose_disk_is_full_hands_over_and_follows_once_it_has_room(self) -> None:
-        primary, disk = await self.begin()
+    async def test_primary_with_a_full_disk_hands_over_and_follows_once_there_is_space(self) -> None:
+        primary, disk = await self.start_with_one_commit()
         disk.full = True
-        await self.commit_anywhere(b"b")
+        await self.commit_at_any_primary(b"b")
         self.assertNotEqual(self.cluster.primary_address(), primary)
         self.assertGreater(disk.writes_refused, 0)
         disk.full = False
-        await self.until_all_hold(b"ab")
+        await self.until_all_have(b"ab")
         self.assertIn(primary, self.cluster.groups[primary].members())
         await self.cluster.until_led()
-        await self.commit_anywhere(b"c")
-        await self.until_all_hold(b"abc")
+        await self.commit_at_any_primary(b"c")
+        await self.until_all_have(b"abc")
 
-    async def test_backup_whose_disk_is_full_holds_nothing_up(self) -> None:
-        primary, _ = await self.begin()
+    async def test_backup_with_a_full_disk_does_not_block_commits(self) -> None:
+        primary, _ = await self.start_with_one_commit()
         backup = next(ip for ip in FIRST_MEMBERS if ip != primary)
         self.cluster.disks[backup].full = True
-        await self.commit_anywhere(b"b")
+        await self.commit_at_any_primary(b"b")
         self.cluster.disks[backup].full = False
-        await self.until_all_hold(b"ab")
+        await self.until_all_have(b"ab")
 
-    async def test_primary_whose_disk_stalls_hands_over_and_follows_once_it_goes_on(self) -> None:
-        primary, disk = await self.begin()
+    async def test_primary_with_a_stalled_disk_hands_over_and_follows_once_it_resumes(self) -> None:
+        primary, disk = await self.start_with_one_commit()
         disk.stall()
-        await self.commit_anywhere(b"b")
+        await self.commit_at_any_primary(b"b")
         self.assertNotEqual(self.cluster.primary_address(), primary)
         disk.resume()
-        await self.until_all_hold(b"ab")
+        await self.until_all_have(b"ab")
 
-    async def test_machine_that_stops_does_not_wait_for_a_disk_that_hangs(self) -> None:
-        """The process ends all the same; a write under way is in doubt, as after a kill."""
-        self.enterContext(patch.object(group, "CLOSE_LIMIT", 0.05))
-        primary, disk = await self.begin()
+    async def test_stop_does_not_wait_for_a_hanging_disk(self) -> None:
+        """A write under way may or may not reach the disk, as after a kill."""
+        self.enterContext(patch.object(group, "CLOSE_TIMEOUT", 0.05))
+        primary, disk = await self.start_with_one_commit()
         disk.stall()
-        await self.commit_anywhere(b"b")
+        await self.commit_at_any_primary(b"b")
         async with asyncio.timeout(10):
             await self.cluster.groups[primary].stop()
         disk.resume()
 
-    async def test_slow_disks_take_changes(self) -> None:
-        await self.begin()
+    async def test_changes_commit_on_slow_disks(self) -> None:
+        await self.start_with_one_commit()
         for disk in self.cluster.disks.values():
             disk.delay = 0.05
-        await self.commit_anywhere(b"b")
-        await self.until_all_hold(b"ab")
+        await self.commit_at_any_primary(b"b")
+        await self.until_all_have(b"ab")
 
     async def test_torn_write_of_the_primary_loses_nothing(self) -> None:
-        _, disk = await self.begin()
+        _, disk = await self.start_with_one_commit()
         disk.tear_next_write()
-        await self.commit_anywhere(b"b")
-        await self.until_all_hold(b"ab")
+        await self.commit_at_any_primary(b"b")
+        await self.until_all_have(b"ab")
 
-    async def test_all_torn_in_the_middle_of_a_write_come_back_with_what_was_acknowledged(self) -> None:
-        await self.begin()
-        await self.commit_anywhere(b"b")
+    async def test_acknowledged_changes_survive_torn_writes_on_all_members(self) -> None:
+        await self.start_with_one_commit()
+        await self.commit_at_any_primary(b"b")
         await asyncio.gather(*(self.cluster.stop(ip) for ip in FIRST_MEMBERS))
         for ip in FIRST_MEMBERS:
             tear_slot_in_turn(self.cluster.directory(ip), 128)
         await asyncio.gather(*(self.cluster.start(ip, bootstrap=False) for ip in FIRST_MEMBERS))
-        await self.until_all_hold(b"ab")
+        await self.until_all_have(b"ab")
 
-    async def test_first_members_whose_disks_are_full_form_a_group_once_there_is_room(self) -> None:
+    async def test_first_members_with_full_disks_form_a_group_once_there_is_space(self) -> None:
         for full in (FIRST_MEMBERS[:1], FIRST_MEMBERS):
             with self.subTest(full=len(full)):
                 self.cluster.full_at_start = frozenset(full)
                 await self.cluster.start_all()
                 for ip in full:
-                    await self.until_refused(self.cluster.disks[ip])
+                    await self.until_write_rejected(self.cluster.disks[ip])
                 for ip in full:
                     self.cluster.disks[ip].full = False
-                await self.commit_anywhere(b"a")
-                await self.until_all_hold(b"a")
+                await self.commit_at_any_primary(b"a")
+                await self.until_all_have(b"a")
                 for ip in FIRST_MEMBERS:
                     await eventually((Path(self.cluster.directory(ip)) / MARKER).exists, "it has stored it")
                 roles = [group.role() for group in self.cluster.groups.values()]
--- a/tests/test_coordination_group.py
+++ b/tests/test_coordination_group.py
@@ -1,4 +1,4 @@
-"""Control groups over loopback sockets, in one process: commit, failover, recovery, replacement, transfer."""
+"""Control groups over loopback sockets in one process: commit, failover, recovery, replacement, transfer."""
 
 import asyncio
 import shutil
@@ -37,11 +37,11 @@
 NEWCOMER = "127.0.0.4"
 LIMIT = 15.0
 COMMITS_OF_AN_ADMISSION = 2
-CHANGES_AMID_RESETS = 12
+CHANGES_DURING_RESETS = 12
 
 
 class Cluster:
-    """The groups of one test, with a signal for whatever they tell."""
+    """The control groups of one test, with an event that is set at each commit and role change."""
 
     def __init__(self, directory: str, timing: Timing | None = None) -> None:
         self._timing = timing or Timing()
@@ -51,7 +51,7 @@
         self.full_at_start: frozenset[str] = frozenset()
         self._directory = Path(directory)
         self._port = find_free_port(*FIRST_MEMBERS, NEWCOMER)
-        self._told = asyncio.Event()
+        self._changed = asyncio.Event()
 
     async def start(self, ip: str, bootstrap: bool) -> ControlGroup:
         """Start the group of one machine."""
@@ -70,10 +70,10 @@
 
         def on_commit(snapshot: Snapshot) -> None:
             self.commits[ip].append(snapshot)
-            self._told.set()
+            self._changed.set()
 
         def on_role(role: Role) -> None:
-            self._told.set()
+            self._changed.set()
 
         self.disks[ip] = FaultyStorage(settings.directory, settings.disk_mb)
         self.disks[ip].full = ip in self.full_at_start
@@ -93,25 +93,25 @@
         await self.groups.pop(ip).stop(transfer)
 
     async def stop_all(self) -> None:
-        """Stop what still runs."""
+        """Stop all groups that are still running."""
         for ip in list(self.groups):
             await self.stop(ip)
 
     def directory(self, ip: str) -> str:
-        """Return where a machine keeps its files."""
+        """Return the directory of a machine's storage."""
         return str(self._directory / ip)
 
     def wipe(self, ip: str) -> None:
-        """Empty the disk of a machine; one that never took a write has no folder yet."""
+        """Delete the storage of a machine, if it has written any."""
         if (self._directory / ip).exists():
             shutil.rmtree(self._directory / ip)
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait until a condition holds, looking whenever a group tells something."""
+        """Wait until a condition holds; it is checked at each commit and role change."""
         async with asyncio.timeout(LIMIT):
             while not condition():
-                self._told.clear()
-                await self._told.wait()
+                self._changed.clear()
+                await self._changed.wait()
 
     def primary_address(self) -> str | None:
         """Return the address of the primary, None if there is not exactly one."""
@@ -132,8 +132,8 @@
             isinstance(role, Backup) and role.primary == primary and role.fresh for role in roles
         )
 
-    async def until_repaired(self, ip: str, before: int) -> None:
-        """Wait until an emptied member was admitted: two commits after the sequence before."""
+    async def until_admitted(self, ip: str, before: int) -> None:
+        """Wait until a wiped member is admitted: two commits after the sequence `before`."""
         await self.until(lambda: self.sequence(ip) >= before + COMMITS_OF_AN_ADMISSION)
 
     def sequence(self, ip: str) -> int:
@@ -150,7 +150,7 @@
 
 
 def once(text: bytes) -> Callable[[bytes], bytes | Declined]:
-    """A change that may be sent again: it is made only where it is missing."""
+    """Return an idempotent change: it appends the text only where it is missing."""
     return lambda payload: payload if payload.endswith(text) else payload + text
 
 
@@ -174,7 +174,7 @@
             positions = [(snapshot.epoch, snapshot.sequence) for snapshot in snapshots]
             self.assertEqual(positions, sorted(set(positions)))
 
-    async def test_declined_change_is_answered_and_not_in_force(self) -> None:
+    async def test_declined_change_is_resolved_and_not_committed(self) -> None:
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
         group = self.cluster.groups[primary]
@@ -190,7 +190,7 @@
         self.assertTrue(all(isinstance(outcome, Committed) for outcome in outcomes))
         self.assertEqual(group.snapshot().payload, b"x" * 20)
 
-    async def test_changes_beyond_those_that_may_wait_are_refused_and_never_made(self) -> None:
+    async def test_changes_beyond_the_queue_limit_are_rejected_and_never_made(self) -> None:
         await self.cluster.start_all()
         group = self.cluster.groups[await self.cluster.until_led()]
         beyond = 10
@@ -202,7 +202,7 @@
         made = b"".join(b"%d," % number for number in range(changes - beyond))
         self.assertEqual(group.snapshot().payload, made)
 
-    async def test_largest_payload_reaches_all_and_a_larger_one_changes_nothing(self) -> None:
+    async def test_largest_payload_reaches_all_members_and_a_larger_one_changes_nothing(self) -> None:
         await self.cluster.start_all()
         group = self.cluster.groups[await self.cluster.until_led()]
         largest = bytes(MAX_PAYLOAD_BYTES)
@@ -212,7 +212,7 @@
         await self.cluster.until(lambda: all(self.cluster.payload(ip) == largest for ip in FIRST_MEMBERS))
         self.assertIsInstance(await group.propose(lambda payload: b"small"), Committed)
 
-    async def test_backup_answers_that_it_is_not_the_primary(self) -> None:
+    async def test_backup_resolves_calls_as_not_primary(self) -> None:
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
         backup = next(ip for ip in FIRST_MEMBERS if ip != primary)
@@ -220,7 +220,7 @@
         self.assertEqual(await group.propose(appending(b"a")), NotPrimary(primary))
         self.assertEqual(await group.confirm(), NotPrimary(primary))
 
-    async def test_confirm_gives_the_newest_document(self) -> None:
+    async def test_confirm_returns_the_newest_document(self) -> None:
         await self.cluster.start_all()
         group = self.cluster.groups[await self.cluster.until_led()]
         await group.propose(appending(b"a"))
@@ -235,7 +235,7 @@
         outcome = await self.cluster.groups[primary].propose(appending(b"a"))
         self.assertIsInstance(outcome, Uncertain | NotPrimary)
 
-    async def test_document_outlives_the_primary(self) -> None:
+    async def test_document_survives_the_loss_of_the_primary(self) -> None:
         await self.cluster.start_all()
         first = await self.cluster.until_led()
         await self.commit(first, b"a")
@@ -247,7 +247,7 @@
         await self.cluster.until_led()
         await self.cluster.until(lambda: self.cluster.payload(first) == b"ab")
 
-    async def test_document_outlives_a_restart_of_all(self) -> None:
+    async def test_document_survives_a_restart_of_all_members(self) -> None:
         await self.cluster.start_all()
         await self.commit(await self.cluster.until_led(), b"a")
         await self.cluster.stop_all()
@@ -265,7 +265,7 @@
         before = self.cluster.sequence(primary)
         await self.cluster.start(wiped, bootstrap=False)
         await self.cluster.until_led()
-        await self.cluster.until_repaired(wiped, before)
+        await self.cluster.until_admitted(wiped, before)
         self.assertEqual(self.cluster.payload(wiped), b"a")
         await self.cluster.stop(primary)
         second = await self.cluster.until_led()
@@ -301,7 +301,7 @@
         self.assertEqual(self.cluster.payload(second), b"a")
         self.assertNotIn(gone, self.cluster.groups[second].members())
 
-    async def test_removed_member_comes_back_as_a_spare(self) -> None:
+    async def test_removed_member_returns_as_a_learner(self) -> None:
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
         gone = next(ip for ip in FIRST_MEMBERS if ip != primary)
@@ -315,12 +315,12 @@
         epoch = self.cluster.groups[primary].snapshot().epoch
         await self.cluster.until(lambda: returned.role() == Learner(primary, epoch, in_touch=True))
 
-    async def test_connections_that_are_reset_again_and_again_lose_nothing(self) -> None:
-        """Resets strike control machines as well: a change that was taken stays, others are sent again."""
+    async def test_repeated_connection_resets_lose_no_committed_change(self) -> None:
+        """Committed changes must survive connection resets between control machines; others are repeated."""
         await self.cluster.start_all()
         await self.cluster.until_led()
-        taken = b""
-        for number in range(CHANGES_AMID_RESETS):
+        committed = b""
+        for number in range(CHANGES_DURING_RESETS):
             text = b"%d," % number
             victim = FIRST_MEMBERS[number % len(FIRST_MEMBERS)]
             outcome: object = None
@@ -331,19 +331,19 @@
                 await asyncio.sleep(0)
                 self.reset_connections(victim)
                 outcome = await proposing
-            taken += text
-            self.assertEqual(taken, outcome.snapshot.payload)
-        await self.cluster.until(lambda: all(self.cluster.payload(ip) == taken for ip in FIRST_MEMBERS))
+            committed += text
+            self.assertEqual(committed, outcome.snapshot.payload)
+        await self.cluster.until(lambda: all(self.cluster.payload(ip) == committed for ip in FIRST_MEMBERS))
 
     def reset_connections(self, ip: str) -> None:
-        """Reset what a member has open to others, and others to it."""
+        """Reset all connections between a member and the others."""
         transport = self.cluster.groups[ip].transport
         opened = [link.writer for link in transport._links.values() if link.writer is not None]
         accepted = [incoming.writer for incoming in transport._incoming.values()]
         for writer in (*opened, *accepted):
             reset_connection(writer)
 
-    async def test_planned_transfer_leaves_hardly_any_time_without_a_primary(self) -> None:
+    async def test_planned_transfer_takes_little_time_without_a_primary(self) -> None:
         await self.cluster.start_all()
         first = await self.cluster.until_led()
         await self.commit(first, b"a")
@@ -355,7 +355,7 @@
         self.assertNotEqual(second, first)
         self.assertEqual(self.cluster.payload(second), b"a")
 
-    async def test_foreign_file_on_a_first_start_is_no_first_record(self) -> None:
+    async def test_foreign_file_at_a_first_start_counts_as_lost_storage(self) -> None:
         for name in ("control-a.mdb", "control-b.mdb"):
             path = Path(self.cluster.directory(FIRST_MEMBERS[0])) / name
             path.parent.mkdir(parents=True, exist_ok=True)
@@ -367,7 +367,7 @@
             await self.cluster.stop(FIRST_MEMBERS[0])
             self.cluster.wipe(FIRST_MEMBERS[0])
 
-    async def test_reachable_members_are_those_heard_lately(self) -> None:
+    async def test_reachable_members_are_those_that_sent_messages_lately(self) -> None:
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
         group = self.cluster.groups[primary]
@@ -386,7 +386,7 @@
             await asyncio.to_thread(group._storage_thread.join)
         self.assertEqual(["save", "close"], steps)
 
-    async def test_calls_pending_at_stop_are_answered(self) -> None:
+    async def test_calls_pending_at_stop_are_resolved(self) -> None:
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
         for ip in FIRST_MEMBERS:
--- a/tests/test_coordination_storage.py
+++ b/tests/test_coordination_storage.py
@@ -1,4 +1,4 @@
-"""The stored record and the messages in binary form: torn, full, broken, and read back."""
+"""Encoding of messages and records, and the storage of records in torn, corrupt and foreign files."""
 
 import tempfile
 import unittest
@@ -73,29 +73,29 @@
 
 
 class CodecTest(unittest.TestCase):
-    def test_messages_come_back_as_they_were(self) -> None:
+    def test_messages_survive_encoding_and_decoding(self) -> None:
         for message in MESSAGES:
             with self.subTest(message=message):
                 self.assertEqual(decode_message(encode_message(message)), message)
 
-    def test_record_comes_back_as_it_was(self) -> None:
+    def test_record_survives_encoding_and_decoding(self) -> None:
         self.assertEqual(decode_record(encode_record(RECORD)), RECORD)
 
-    def test_cut_and_lengthened_frames_are_refused(self) -> None:
+    def test_truncated_and_extended_frames_are_rejected(self) -> None:
         for message in MESSAGES:
             frame = encode_message(message)
             for broken in (frame[:-1], frame + b"\0", b"", frame[:1]):
                 with self.subTest(message=message, broken=broken), self.assertRaises(DecodeError):
                     decode_message(broken)
 
-    def test_unknown_types_and_versions_are_refused(self) -> None:
+    def test_unknown_types_and_versions_are_rejected(self) -> None:
         for frame in (b"\xff\x01", b"\x01\x63abc"):
             with self.assertRaises(DecodeError):
                 decode_message(frame)
 
     @given(st.binary(max_size=200))
     @settings(max_examples=300, deadline=None)
-    def test_any_bytes_are_a_message_or_an_error(self, frame: bytes) -> None:
+    def test_any_bytes_decode_to_a_message_or_an_error(self, frame: bytes) -> None:
         try:
             decode_message(frame)
         except DecodeError:
@@ -103,7 +103,9 @@
 
     @given(st.sampled_from(MESSAGES), st.data())
     @settings(max_examples=300, deadline=None)
-    def test_changed_frames_are_a_message_or_an_error(self, message: Message, data: st.DataObject) -> None:
+    def test_changed_frames_decode_to_a_message_or_an_error(
+        self, message: Message, data: st.DataObject
+    ) -> None:
         frame = bytearray(encode_message(message))
         frame[data.draw(st.integers(0, len(frame) - 1))] = data.draw(st.integers(0, 255))
         try:
@@ -113,7 +115,7 @@
 
 
 class RecordingStorage(Storage):
-    """Tells which files were opened and synced, in order."""
+    """Records the order in which files are written and synced."""
 
     def __init__(self, directory: str, disk_mb: int) -> None:
         super().__init__(directory, disk_mb)
@@ -153,7 +155,7 @@
         finally:
             storage.close()
 
-    def test_nothing_is_found_at_first(self) -> None:
+    def test_new_storage_is_empty(self) -> None:
         self.assertEqual(self.load(), Empty())
 
     def test_newest_record_is_found(self) -> None:
@@ -162,21 +164,21 @@
             self.save(record)
             self.assertEqual(self.load(), Found(record))
 
-    def test_several_records_of_one_process(self) -> None:
+    def test_newest_of_several_records_of_one_process_is_found(self) -> None:
         self.save(*(Record(5, promised) for promised in range(7)))
         self.assertEqual(self.load(), Found(Record(5, 6)))
 
-    def test_writes_alternate_so_that_a_torn_one_leaves_the_last(self) -> None:
+    def test_writes_alternate_between_the_files(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
         for torn in SLOTS:
             path = self.directory / torn
-            whole = path.read_bytes()
-            path.write_bytes(b"\xaa" * len(whole))
+            intact = path.read_bytes()
+            path.write_bytes(b"\xaa" * len(intact))
             found = self.load()
             self.assertIn(found, (Found(Record(5, 1)), Found(Record(5, 2))))
-            path.write_bytes(whole)
+            path.write_bytes(intact)
 
-    def test_writing_goes_on_after_a_torn_write(self) -> None:
+    def test_storage_is_writable_after_a_torn_write(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
         for content in (b"\xaa" * 8192, b"", b"short"):
             with self.subTest(content=content[:8]):
@@ -189,22 +191,22 @@
                 (self.directory / SLOTS[1]).unlink()
 
     def lost_kinds(self) -> list[FaultKind]:
-        """The faults of a storage that has to count as lost."""
+        """Load a storage that must count as lost, and return the kinds of its faults."""
         outcome = self.load()
         assert isinstance(outcome, Lost), outcome
         return [fault.kind for fault in outcome.faults]
 
-    def test_writing_goes_on_where_any_page_is_torn(self) -> None:
-        """lmdb opens many such files, and refuses to write to them."""
+    def test_storage_is_writable_after_any_page_is_torn(self) -> None:
+        """lmdb opens many such files, but then rejects writes to them."""
         large = Record(5, 2, True, Document(Position(1, 1), CONFIGURATION, bytes(9000)))
         self.save(Record(5, 1), large, Record(5, 3), large, Record(5, 4))
         path = self.directory / SLOTS[1]
-        whole = path.read_bytes()
-        for start in range(0, len(whole), 4096):
-            cut = whole[start : start + 100] + bytes(3996)
-            for content in (bytes(4096), b"\xff" * 4096, whole[4096:8192], cut):
+        intact = path.read_bytes()
+        for start in range(0, len(intact), 4096):
+            truncated_page = intact[start : start + 100] + bytes(3996)
+            for content in (bytes(4096), b"\xff" * 4096, intact[4096:8192], truncated_page):
                 with self.subTest(start=start, content=content[:4]):
-                    path.write_bytes(whole[:start] + content + whole[start + 4096 :])
+                    path.write_bytes(intact[:start] + content + intact[start + 4096 :])
                     storage = self.open()
                     storage.load()
                     record = Record(5, 6)
@@ -226,36 +228,36 @@
         first = [f"sync {newest}", f"write {older}", f"sync {older}"]
         self.assertEqual(storage.steps, [*first, f"write {newest}", f"sync {newest}"])
 
-    def test_first_write_that_was_torn_counts_as_none(self) -> None:
+    def test_torn_first_write_counts_as_empty(self) -> None:
         self.save(Record(5, 1))
-        whole = (self.directory / SLOTS[0]).read_bytes()
+        intact = (self.directory / SLOTS[0]).read_bytes()
         (self.directory / MARKER).unlink()
-        for size in (0, 1, 16, 18, 100, 4096, 5000, 8192, len(whole) - 4096):
-            for tail in (b"", bytes(len(whole) - size)):
+        for size in (0, 1, 16, 18, 100, 4096, 5000, 8192, len(intact) - 4096):
+            for tail in (b"", bytes(len(intact) - size)):
                 with self.subTest(size=size, tail=len(tail)):
-                    (self.directory / SLOTS[0]).write_bytes(whole[:size] + tail)
+                    (self.directory / SLOTS[0]).write_bytes(intact[:size] + tail)
                     self.assertEqual(self.load(), Empty())
 
-    def test_broken_file_after_a_finished_write_counts_as_lost(self) -> None:
+    def test_corrupt_file_after_a_completed_write_counts_as_lost(self) -> None:
         self.save(Record(5, 1))
-        whole = (self.directory / SLOTS[0]).read_bytes()
-        for size in (0, 1, 16, 100, 4096, 8192, len(whole) - 4096):
+        intact = (self.directory / SLOTS[0]).read_bytes()
+        for size in (0, 1, 16, 100, 4096, 8192, len(intact) - 4096):
             with self.subTest(size=size):
-                (self.directory / SLOTS[0]).write_bytes(whole[:size])
+                (self.directory / SLOTS[0]).write_bytes(intact[:size])
                 self.assertEqual(self.lost_kinds(), [FaultKind.TORN])
         (self.directory / SLOTS[0]).unlink()
         self.assertEqual(self.lost_kinds(), [])
 
-    def test_file_cut_short_beside_a_whole_one_leaves_the_last(self) -> None:
-        """lmdb maps it all the same, and reading beyond its end ends the process with SIGBUS."""
+    def test_truncated_file_leaves_the_record_of_the_other_file(self) -> None:
+        """lmdb maps a truncated file, and reading beyond its end would kill the process with SIGBUS."""
         large = Record(5, 2, True, Document(Position(1, 1), CONFIGURATION, bytes(range(256)) * 800))
         self.save(Record(5, 1), large)
         path = self.directory / SLOTS[1]
-        whole = path.read_bytes()
-        for size in (*range(0, 8192, 1024), *range(8192, len(whole) - 4096, 4096)):
-            path.write_bytes(whole[:size])
+        intact = path.read_bytes()
+        for size in (*range(0, 8192, 1024), *range(8192, len(intact) - 4096, 4096)):
+            path.write_bytes(intact[:size])
             self.assertEqual(self.load(), Found(Record(5, 1)))
-        path.write_bytes(whole)
+        path.write_bytes(intact)
         self.assertEqual(self.load(), Found(large))
 
     def test_foreign_files_count_as_lost(self) -> None:
@@ -279,21 +281,21 @@
             self.save(RECORD)
         self.assertEqual(self.lost_kinds(), [FaultKind.OTHER_VERSION])
 
-    def test_older_file_in_place_of_the_other_one_leaves_the_newest(self) -> None:
+    def test_newest_record_is_found_beside_an_older_copy_of_the_other_file(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
         older = (self.directory / SLOTS[1]).read_bytes()
         self.save(Record(5, 3), Record(5, 4), Record(5, 5))
         (self.directory / SLOTS[1]).write_bytes(older)
         self.assertEqual(self.load(), Found(Record(5, 5)))
 
-    def test_disk_without_a_marker_as_the_version_before_left_it_is_read(self) -> None:
+    def test_disk_without_a_marker_from_the_previous_version_is_read(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
         (self.directory / MARKER).unlink()
         self.assertEqual(self.load(), Found(Record(5, 2)))
         self.save(Record(5, 3))
         self.assertTrue((self.directory / MARKER).exists())
 
-    def test_file_that_can_not_be_read_at_present_is_not_passed_over(self) -> None:
+    def test_temporarily_unreadable_file_is_not_skipped(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
         for fault in (OSError(5, "Input/output error"), lmdb.DiskError("no space"), lmdb.Error("map failed")):
             storage = self.open()
@@ -304,7 +306,7 @@
             self.assertEqual(storage.load(), Found(Record(5, 2)))
             storage.close()
 
-    def test_broken_storage_is_told_from_an_empty_one(self) -> None:
+    def test_storage_with_two_foreign_files_counts_as_lost(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
         for slot in SLOTS:
             (self.directory / slot).write_bytes(b"\xaa" * 8192)
@@ -318,7 +320,7 @@
         path.write_bytes(content.replace(b"payload\0", b"pAyload\0"))
         self.assertEqual(self.lost_kinds(), [FaultKind.TORN])
 
-    def test_record_too_large_for_the_map_is_refused_and_the_last_one_kept(self) -> None:
+    def test_record_too_large_for_the_map_is_rejected_and_the_last_one_kept(self) -> None:
         storage = self.open(disk_mb=1)
         self.assertTrue(storage.save(Record(5, 1)))
         self.assertTrue(storage.save(Record(5, 2)))
@@ -328,12 +330,12 @@
         self.assertTrue(storage.save(Record(5, 4)))
         self.assertEqual(storage.load(), Found(Record(5, 4)))
 
-    def test_directory_that_can_not_be_made_is_a_failed_write(self) -> None:
+    def test_write_fails_if_the_directory_cannot_be_created(self) -> None:
         self.directory.parent.parent.mkdir(parents=True, exist_ok=True)
         self.directory.parent.write_bytes(b"a file")
         self.assertFalse(self.open().save(Record(5, 1)))
 
-    def test_document_of_some_hundred_kilobytes_is_kept(self) -> None:
+    def test_documents_of_hundreds_of_kilobytes_are_stored_in_bounded_files(self) -> None:
         records = [
             Record(5, n, True, Document(Position(1, n), CONFIGURATION, bytes(400_000))) for n in range(12)
         ]
--- a/tests/test_coordination_storage_histories.py
+++ b/tests/test_coordination_storage_histories.py
@@ -1,6 +1,6 @@
-"""Storage under random histories: failed, torn and doubtful writes, kills and losses of power.
+"""Storage under random histories of failed and torn writes, kills and power losses.
 
-The reference knows which record was stored last, and whether a write since then is in doubt.
+The model knows which record was stored last, and the later write of unknown outcome, if there is one.
 """
 
 import shutil
@@ -20,14 +20,14 @@
 
 
 class StorageMachine(RuleBasedStateMachine):
-    """One disk over the lives of many processes."""
+    """One disk, used by a sequence of processes."""
 
     def __init__(self) -> None:
         super().__init__()
         self.directory = Path(tempfile.mkdtemp())
         self.storage = FaultyStorage(str(self.directory), DISK_MB)
         self.stored: Record | None = None
-        self.doubtful: Record | None = None
+        self.uncertain: Record | None = None
         self.count = 0
 
     def teardown(self) -> None:
@@ -37,33 +37,33 @@
 
     @initialize()
     def start(self) -> None:
-        """The first process begins."""
+        """Load the storage in the first process."""
         assert self.storage.load() == Empty()
 
-    @rule(size=st.sampled_from([0, 100, 5000, 60_000]), trouble=st.sampled_from(["", "", "", "full", "torn"]))
-    def save(self, size: int, trouble: str) -> None:
-        """Store a record; after a failure read back, as a member does."""
+    @rule(size=st.sampled_from([0, 100, 5000, 60_000]), fault=st.sampled_from(["", "", "", "full", "torn"]))
+    def save(self, size: int, fault: str) -> None:
+        """Store a record; after a failure load the storage again, as a member does."""
         record = self.next_record(size)
-        self.storage.full = trouble == "full"
-        if trouble == "torn":
+        self.storage.full = fault == "full"
+        if fault == "torn":
             self.storage.tear_next_write()
         if self.storage.save(record):
-            self.stored, self.doubtful = record, None
+            self.stored, self.uncertain = record, None
             return
         self.storage.full = False
-        self.doubtful = record
-        self.read_back()
+        self.uncertain = record
+        self.reload()
 
     @rule()
     def kill(self) -> None:
-        """The process is killed, and another begins."""
+        """Kill the process and start another."""
         self.storage.close()
         self.storage = FaultyStorage(str(self.directory), DISK_MB)
-        self.read_back()
+        self.reload()
 
     @rule(data=st.data())
-    def lose_power_in_the_middle_of_a_write(self, data: st.DataObject) -> None:
-        """Any page of the file in turn, and its end, may come out torn."""
+    def lose_power_during_a_write(self, data: st.DataObject) -> None:
+        """Tear any pages and the end of the file to which the next write goes."""
         path = self.directory / self.storage.slot_in_turn
         self.storage.close()
         if path.exists() and self.stored is not None:
@@ -73,49 +73,49 @@
                 content[start : (page + 1) * PAGE] = bytes((page + 1) * PAGE - start)
             path.write_bytes(content[: data.draw(st.integers(0, len(content)))])
         self.storage = FaultyStorage(str(self.directory), DISK_MB)
-        self.read_back()
+        self.reload()
 
     @invariant()
     def disk_stays_small(self) -> None:
-        """Files do not grow with the number of writes."""
+        """Check that the files do not grow with the number of writes."""
         sizes = [path.stat().st_size for path in self.directory.iterdir()]
         assert sum(sizes) < DISK_MB << 20
 
     def next_record(self, size: int) -> Record:
-        """A record unlike all before."""
+        """Return a record that differs from all earlier ones."""
         self.count += 1
         return Record(5, self.count, True, Document(Position(1, self.count), payload=bytes(size)))
 
-    def read_back(self) -> None:
-        """What is found is what was stored last, or the write in doubt."""
+    def reload(self) -> None:
+        """Check that the loaded record is the last stored one, or the write of unknown outcome."""
         outcome = self.storage.load()
         if self.stored is None:
-            assert outcome == Empty() or outcome == Found(self.doubtful), outcome  # type: ignore[arg-type]
+            assert outcome == Empty() or outcome == Found(self.uncertain), outcome  # type: ignore[arg-type]
         else:
-            candidates = [Found(record) for record in (self.stored, self.doubtful) if record is not None]
+            candidates = [Found(record) for record in (self.stored, self.uncertain) if record is not None]
             assert outcome in candidates, outcome
         if isinstance(outcome, Found):
-            self.stored, self.doubtful = outcome.record, None
+            self.stored, self.uncertain = outcome.record, None
 
 
-class HealedStorageMachine(StorageMachine):
-    """The same, and whatever came before, at most one write in two fails once the trouble is over."""
+class RecoveringStorageMachine(StorageMachine):
+    """Also checks that the first or the second write succeeds once the disk is healthy again."""
 
     @rule()
     def heal(self) -> None:
-        """A healthy disk takes a write, at the second try at the latest."""
+        """Store a record on a healthy disk, at the second attempt at the latest."""
         record = self.next_record(100)
         if not self.storage.save(record):
-            self.read_back()
+            self.reload()
             assert self.storage.save(record)
-        self.stored, self.doubtful = record, None
-        with_fresh_eyes = Storage(str(self.directory), DISK_MB)
+        self.stored, self.uncertain = record, None
+        reopened = Storage(str(self.directory), DISK_MB)
         self.storage.close()
-        assert with_fresh_eyes.load() == Found(record)
-        with_fresh_eyes.close()
+        assert reopened.load() == Found(record)
+        reopened.close()
         self.storage = FaultyStorage(str(self.directory), DISK_MB)
-        self.read_back()
+        self.reload()
 
 
-StorageTest = HealedStorageMachine.TestCase
+StorageTest = RecoveringStorageMachine.TestCase
 StorageTest.settings = settings(max_examples=100, stateful_step_count=25, deadline=None)
--- a/tests/test_fresh_backup.py
+++ b/tests/test_fresh_backup.py
@@ -1,4 +1,4 @@
-"""A backup whose documents lag behind the commits that it was told of."""
+"""A backup whose documents lag behind the commits that were announced to it."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 class FreshBackupTest(unittest.TestCase):
-    def test_a_backup_whose_documents_lag_does_not_count_as_fresh(self) -> None:
-        """Dispatchers take its position for the newest: they say 404 by it (`HeartbeatAnswer.fresh`)."""
+    def test_backup_whose_documents_lag_is_not_fresh(self) -> None:
+        """Dispatchers respond 404 by a position that counts as fresh (`HeartbeatAnswer.fresh`)."""
         harness = ReplicaHarness()
         harness.start_all()
         harness.lead(A)
@@ -30,7 +30,7 @@
         harness.now += Timing().copy_patience
         harness.tick(A)
         self.assertIsInstance(harness.outcomes[1], Committed)
-        delayed = harness.take(Write, C)  # its connection is slow or stuck; heartbeats have one of their own
+        delayed = harness.take(Write, C)  # the document channel is slow or stuck; heartbeats have another one
         self.assertEqual(1, len(delayed))
         for _ in range(20):  # 4 s
             harness.now += Timing().heartbeat
@@ -46,11 +46,11 @@
         role = harness.replicas[C].role(harness.now)
         assert isinstance(role, Backup)
         newest = harness.replicas[A].snapshot()
-        told = harness.replicas[C].snapshot()
+        known = harness.replicas[C].snapshot()
         self.assertEqual(before.sequence + 1, newest.sequence)
         self.assertFalse(
-            role.fresh and Position(told.epoch, told.sequence) < Position(newest.epoch, newest.sequence),
-            f"fresh with {told.sequence}, {newest.sequence} is committed, and it was told so by heartbeats",
+            role.fresh and Position(known.epoch, known.sequence) < Position(newest.epoch, newest.sequence),
+            f"fresh at {known.sequence}, though the commit of {newest.sequence} was announced by heartbeats",
         )
 
 
--- a/tests/test_fresh_claims.py
+++ b/tests/test_fresh_claims.py
@@ -1,4 +1,4 @@
-"""When a control machine may say that it is fresh: dispatchers and operators take its word for it."""
+"""When a control machine may claim to be fresh; dispatchers and operators rely on this claim."""
 
 from __future__ import annotations
 
@@ -27,38 +27,38 @@
         self.harness.lead(A)
 
     def role_of(self, ip: str) -> Backup:
-        """The role of a backup."""
+        """Return the role of a machine, which must be a backup."""
         role = self.harness.replicas[ip].role(self.harness.now)
         assert isinstance(role, Backup), role
         return role
 
-    def hear(self, ip: str, epoch: int, committed: Position) -> None:
-        """Let a backup hear a primary."""
+    def receive_heartbeat(self, ip: str, epoch: int, committed: Position) -> None:
+        """Deliver a heartbeat of a primary to a machine."""
         self.harness.receive(ip, A, Heartbeat(epoch, 99, committed, committed))
 
-    def test_a_backup_is_fresh_while_it_hears_an_established_primary(self) -> None:
+    def test_backup_is_fresh_while_in_contact_with_an_established_primary(self) -> None:
         self.assertTrue(self.role_of(C).fresh)
 
-    def test_nobody_is_fresh_by_a_primary_that_has_committed_nothing_yet(self) -> None:
-        """What its predecessors committed may be missing here, and it cannot tell before its first commit."""
-        self.hear(C, epoch=50, committed=Position())
+    def test_backup_is_not_fresh_before_the_first_commit_of_a_primary(self) -> None:
+        """Commits of earlier primaries may be missing here, which shows only with the primary's first one."""
+        self.receive_heartbeat(C, epoch=50, committed=Position())
         role = self.role_of(C)
         self.assertTrue(role.in_touch)
         self.assertFalse(role.fresh)
 
-    def test_what_waited_while_the_process_stood_still_makes_nobody_fresh(self) -> None:
-        """Heartbeats wait in the kernel meanwhile; the first ones that are read may be seconds old."""
+    def test_messages_queued_during_a_stall_do_not_make_a_backup_fresh(self) -> None:
+        """Heartbeats wait in the kernel during a stall, so the first ones read then may be seconds old."""
         epoch = self.role_of(C).epoch
         committed = self.harness.replicas[C].record().document.position
         self.harness.now += 4.0
-        self.hear(C, epoch, committed)
+        self.receive_heartbeat(C, epoch, committed)
         self.assertFalse(self.role_of(C).fresh)
         for _ in range(6):
             self.harness.now += LEASE / 5
-            self.hear(C, epoch, committed)
-        self.assertTrue(self.role_of(C).fresh, "heartbeats have gone on to come since it woke")
+            self.receive_heartbeat(C, epoch, committed)
+        self.assertTrue(self.role_of(C).fresh, "heartbeats have continued since the stall")
 
-    def test_claims_of_simulated_machines_hold(self) -> None:
+    def test_claims_of_simulated_machines_are_true(self) -> None:
         for plan in (FREEZES, GROWING):
             for seed in SEEDS:
                 with self.subTest(seed=seed):
@@ -66,10 +66,10 @@
 
 
 class MutantTest(unittest.TestCase):
-    """The watch must find the faults that it found first."""
+    """The check of claims must detect the fault that it once found."""
 
     def violations(self, plan: Plan) -> list[str]:
-        """What the seeds come to."""
+        """Return the invariant violations that the seeds find."""
         found = []
         for seed in SEEDS:
             try:
@@ -78,11 +78,11 @@
                 found.append(str(error))
         return found
 
-    def test_a_backup_that_is_level_without_any_commit_is_found(self) -> None:
-        def is_level(follower: Follower) -> bool:
-            return follower._context.applied >= follower._committed
+    def test_backup_that_claims_to_be_up_to_date_without_any_commit_is_found(self) -> None:
+        def is_up_to_date(follower: Follower) -> bool:
+            return follower._context.applied_position >= follower._committed_position
 
-        with patch.object(Follower, "_is_level", is_level):
+        with patch.object(Follower, "_is_up_to_date", is_up_to_date):
             self.assertIn("claims to be fresh", " ".join(self.violations(GROWING)))
 
 
--- a/tests/test_lost_learner.py
+++ b/tests/test_lost_learner.py
@@ -1,4 +1,4 @@
-"""A machine that asked to be admitted is lost: it must not take a place among the members."""
+"""A learner that is lost must not be admitted as a member."""
 
 import unittest
 
--- a/tests/test_relay_tree.py
+++ b/tests/test_relay_tree.py
@@ -1,4 +1,4 @@
-"""The relay tree of the dispatchers, and the choice of a parent, in simulated time."""
+"""The relay tree of the dispatchers, and the choice of a parent in simulated time."""
 
 import unittest
 from collections import Counter
@@ -17,7 +17,7 @@
 ZONES = 4
 TICK = 0.1
 TIMING = ParentTiming()
-MOVED_BESIDES_CHILDREN = 4
+MAX_OTHERS_MOVED = 4
 
 
 def dispatchers(count: int) -> list[Dispatcher]:
@@ -33,21 +33,21 @@
 class RelayTreeTest(unittest.TestCase):
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 120), st.integers(0, 50), st.integers(4, 20), st.integers(0, 2**32))
-    def test_links_of_differing_views_form_no_cycle(
+    def test_links_of_different_views_form_no_cycle(
         self, count: int, epoch: int, fan_out: int, seed: int
     ) -> None:
         random = Random(seed)
         members = dispatchers(count)
-        for me in members:
+        for dispatcher in members:
             view = [member for member in members if random.random() < 0.6]
             tree = RelayTree(view, ROOTS, epoch, fan_out)
-            parents = tree.parents(me)
+            parents = tree.parents(dispatcher)
             self.assertEqual(set(parents[-len(ROOTS) :]), set(ROOTS))
             self.assertEqual(len(set(parents)), len(parents))
             for parent in set(parents) - set(ROOTS):
-                self.assertLess(rank_of(parent, epoch), rank_of(me.identity, epoch))
-                self.assertTrue(tree.accepts(parent, me.identity))
-                self.assertFalse(tree.accepts(me.identity, parent))
+                self.assertLess(rank_of(parent, epoch), rank_of(dispatcher.identity, epoch))
+                self.assertTrue(tree.may_be_parent(parent, dispatcher.identity))
+                self.assertFalse(tree.may_be_parent(dispatcher.identity, parent))
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 150), st.integers(1, 5), st.integers(0, 50), st.integers(4, 20))
@@ -59,9 +59,9 @@
         tree = RelayTree(members, roots, epoch, fan_out)
         children = Counter(parents_of(tree, members).values())
         self.assertLessEqual(max(children.values(), default=0), fan_out)
-        direct = min(count, root_count * fan_out)
-        self.assertEqual(sum(children[root] for root in roots), direct)
-        self.assertLessEqual(max(children[root] for root in roots), -(-direct // root_count))
+        direct_children = min(count, root_count * fan_out)
+        self.assertEqual(sum(children[root] for root in roots), direct_children)
+        self.assertLessEqual(max(children[root] for root in roots), -(-direct_children // root_count))
 
     def test_depth_is_logarithmic_and_every_dispatcher_reaches_a_root(self) -> None:
         for count, bound in ((8, 1), (70, 2), (320, 3), (1000, 3)):
@@ -86,9 +86,9 @@
                 moved = {name for name, parent in after.items() if parent != before[name]}
                 children = {name for name in after if before[name] == lost.identity}
                 self.assertLessEqual(children, moved)
-                self.assertLessEqual(len(moved - children), MOVED_BESIDES_CHILDREN)
+                self.assertLessEqual(len(moved - children), MAX_OTHERS_MOVED)
 
-    def test_loss_of_a_leaf_below_dispatchers_moves_almost_nobody(self) -> None:
+    def test_loss_of_a_leaf_below_dispatchers_moves_almost_no_dispatcher(self) -> None:
         members = dispatchers(320)
         lost_leaves = moved = 0
         for epoch in range(8):
@@ -99,7 +99,7 @@
                 rest = [member for member in members if member != lost]
                 after = parents_of(RelayTree(rest, ROOTS, epoch), rest)
                 changed = sum(parent != before[name] for name, parent in after.items())
-                self.assertLessEqual(changed, MOVED_BESIDES_CHILDREN)
+                self.assertLessEqual(changed, MAX_OTHERS_MOVED)
                 lost_leaves += 1
                 moved += changed
         self.assertLessEqual(moved, lost_leaves // 10)
@@ -112,20 +112,20 @@
         same = sum(zones[name] == zones[parents[name]] for name in below)
         self.assertGreater(same / len(below), 0.9)
 
-    def test_order_of_the_view_does_not_matter(self) -> None:
+    def test_order_of_the_dispatchers_does_not_matter(self) -> None:
         members = dispatchers(100)
         forward = parents_of(RelayTree(members, ROOTS, 1), members)
         backward = parents_of(RelayTree(members[::-1], ROOTS[::-1], 1), members)
         self.assertEqual(forward, backward)
 
-    def test_dispatcher_that_its_view_lacks_is_placed_as_well(self) -> None:
+    def test_dispatcher_missing_from_its_own_view_gets_the_same_parents(self) -> None:
         members = dispatchers(100)
-        whole = RelayTree(members, ROOTS, 1)
-        for me in members[:10]:
-            others = [member for member in members if member != me]
-            self.assertEqual(RelayTree(others, ROOTS, 1).parents(me), whole.parents(me))
+        full_tree = RelayTree(members, ROOTS, 1)
+        for dispatcher in members[:10]:
+            others = [member for member in members if member != dispatcher]
+            self.assertEqual(RelayTree(others, ROOTS, 1).parents(dispatcher), full_tree.parents(dispatcher))
 
-    def test_tree_without_a_root_or_with_a_tiny_fan_out_is_refused(self) -> None:
+    def test_tree_without_a_root_or_with_a_small_fan_out_is_rejected(self) -> None:
         with self.assertRaises(ValueError):
             RelayTree(dispatchers(3), (), 1)
         with self.assertRaises(ValueError):
@@ -138,24 +138,24 @@
         self.choice = ParentChoice(("parent", "fallback", "root"), self.now)
         self.choice.heard("parent", self.now)
 
-    def run_until(self, end: float, *heard: str) -> None:
+    def run_until(self, end: float, *responsive_parents: str) -> None:
         while self.now < end:
             self.now += TICK
-            for parent in heard:
+            for parent in responsive_parents:
                 self.choice.heard(parent, self.now)
             self.choice.tick(self.now)
 
-    def test_parent_that_is_heard_is_kept(self) -> None:
+    def test_responsive_parent_is_kept(self) -> None:
         self.run_until(60.0, "parent")
         self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
 
-    def test_silent_parent_is_left_within_the_limit(self) -> None:
+    def test_unresponsive_parent_is_left_after_the_silence_limit(self) -> None:
         self.run_until(TIMING.silence_limit - TICK)
         self.assertEqual(self.choice.current, "parent")
         self.run_until(TIMING.silence_limit + 2 * TICK)
         self.assertEqual(self.choice.current, "fallback")
 
-    def test_fallback_that_never_answers_is_left_sooner(self) -> None:
+    def test_fallback_that_never_responds_is_left_after_the_open_limit(self) -> None:
         self.choice.failed("parent", self.now)
         self.run_until(TIMING.open_limit + 2 * TICK)
         self.assertEqual(self.choice.current, "root")
@@ -178,20 +178,20 @@
         self.choice.suspected("parent", self.now)
         self.assertEqual(self.choice.current, "fallback")
 
-    def test_failure_of_another_parent_changes_nothing_now(self) -> None:
+    def test_failed_fallback_is_skipped_when_the_parent_fails(self) -> None:
         self.choice.suspected("fallback", self.now)
         self.assertEqual(self.choice.current, "parent")
         self.choice.failed("parent", self.now)
         self.assertEqual(self.choice.current, "root")
 
-    def test_return_waits_until_the_better_parent_was_heard(self) -> None:
+    def test_return_waits_for_a_message_of_the_better_parent(self) -> None:
         self.choice.failed("parent", self.now)
         self.run_until(TIMING.return_after + 2 * TICK, "fallback")
         self.assertEqual((self.choice.current, self.choice.trial), ("fallback", "parent"))
         self.run_until(self.now + TICK, "fallback", "parent")
         self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
 
-    def test_dead_parent_is_tried_ever_more_rarely_and_the_link_is_kept(self) -> None:
+    def test_dead_parent_is_tried_less_and_less_often_and_the_link_is_kept(self) -> None:
         self.choice.failed("parent", self.now)
         trials = 0
         trying = False
@@ -203,7 +203,7 @@
         self.assertLessEqual(trials, 8)
         self.assertGreaterEqual(trials, 3)
 
-    def test_flapping_parent_is_damped(self) -> None:
+    def test_switches_to_a_flapping_parent_are_limited(self) -> None:
         switches = 0
         for _ in range(1200):
             before = self.choice.current
@@ -213,7 +213,7 @@
             switches += self.choice.current != before
         self.assertLessEqual(switches, 16)
 
-    def test_own_pause_is_not_taken_for_silence_or_lag(self) -> None:
+    def test_own_stall_does_not_count_as_silence_or_lag_of_the_parent(self) -> None:
         self.choice.digest(Position(1, 5), self.now)
         self.choice.tick(30.0)
         self.now = 30.0
@@ -221,7 +221,7 @@
         self.run_until(31.0 - 2 * TICK)
         self.assertEqual(self.choice.current, "parent")
 
-    def test_new_parents_are_taken_after_a_while_without_a_gap(self) -> None:
+    def test_new_parents_are_adopted_after_a_while_without_a_gap(self) -> None:
         self.choice.set_parents(("better", "root"), self.now)
         self.run_until(TIMING.return_after - TICK, "parent")
         self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
@@ -230,7 +230,7 @@
         self.run_until(self.now + TICK, "parent", "better")
         self.assertEqual(self.choice.current, "better")
 
-    def test_all_excluded_takes_the_one_that_is_free_first(self) -> None:
+    def test_parent_whose_exclusion_ends_first_is_chosen_if_all_are_excluded(self) -> None:
         for parent in ("parent", "fallback", "root"):
             self.now += TICK
             self.choice.failed(parent, self.now)
@@ -238,7 +238,7 @@
 
 
 class Relay:
-    """Dispatchers with links over which heartbeats pass; a parent takes only what its limits allow."""
+    """Dispatchers that exchange heartbeats over links; a parent accepts children within its limits only."""
 
     def __init__(self, count: int, epoch: int) -> None:
         self.now = 0.0
@@ -273,7 +273,7 @@
         if parent in ROOTS:
             return False
         full = self.children(parent) >= self.tree.children_limit
-        return full or not self.tree.accepts(parent, child)
+        return full or not self.tree.may_be_parent(parent, child)
 
     def children(self, parent: str) -> int:
         return sum(p == parent and name not in self.dead for name, p in self.linked.items())
@@ -290,8 +290,8 @@
 
 
 class MassLossTest(unittest.TestCase):
-    STEPS_TO_ATTACH = 25  # silence of the parent, two fallbacks that never answer, and a step for each
-    STEPS_AFTER = 300
+    STEPS_TO_ATTACH = 25  # the parent's silence limit, two unresponsive fallbacks, and a step for each
+    STEPS_AFTER_ATTACHING = 300
 
     def test_all_survivors_attach_after_a_third_died_at_once_and_stay_attached(self) -> None:
         for seed in range(3):
@@ -303,7 +303,7 @@
             for _ in range(self.STEPS_TO_ATTACH):
                 relay.step()
             self.assertEqual(relay.detached(), 0)
-            for _ in range(self.STEPS_AFTER):
+            for _ in range(self.STEPS_AFTER_ATTACHING):
                 relay.step()
                 self.assertEqual(relay.detached(), 0)
             for member in relay.members:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Single rules of the replication, each on replicas whose messages and writes the test moves by hand."""
+"""Single rules of the replication, on replicas whose messages and writes the test delivers one by one."""
 
 import unittest
 
@@ -37,7 +37,7 @@
 FIVE = (A, B, C, D, "10.0.0.5")
 
 
-def voices(*addresses: str) -> dict[str, int | None]:
+def acknowledgements(*addresses: str) -> dict[str, int | None]:
     return dict.fromkeys(addresses, 0)
 
 
@@ -59,23 +59,23 @@
         self.assertEqual(copy_quorum(3, 2), 3)
         self.assertEqual(copy_quorum(1, 0), 1)
 
-    def test_change_of_members_needs_both_sets(self) -> None:
+    def test_membership_change_needs_quorums_of_both_sets(self) -> None:
         old = tuple(Member(ip) for ip in (A, B, C))
         new = tuple(Member(ip) for ip in (A, B, D))
         changing = Configuration(new, old)
-        self.assertTrue(changing.has_votes(voices(A, B)))
-        self.assertFalse(changing.has_votes(voices(A, C)))
-        self.assertFalse(changing.has_votes(voices(A, D)))
-        self.assertFalse(changing.has_copies(voices(B, D), 1))
+        self.assertTrue(changing.has_vote_quorum(acknowledgements(A, B)))
+        self.assertFalse(changing.has_vote_quorum(acknowledgements(A, C)))
+        self.assertFalse(changing.has_vote_quorum(acknowledgements(A, D)))
+        self.assertFalse(changing.has_copy_quorum(acknowledgements(B, D), 1))
 
-    def test_storage_counts_only_under_the_token_that_was_admitted(self) -> None:
+    def test_storage_counts_only_with_the_admitted_token(self) -> None:
         old = tuple(Member(ip) for ip in (A, B, C))
         new = (Member(A), Member(B), Member(C, 7))
-        self.assertFalse(Configuration(old).has_votes({A: 0, C: 7}))
-        self.assertTrue(Configuration(new).has_votes({A: 0, C: 7}))
-        self.assertFalse(Configuration(new).has_votes({A: 0, C: 0}))
-        self.assertFalse(Configuration(new, old).has_votes({A: 0, C: 7}))
-        self.assertTrue(Configuration(new, old).has_votes({A: 0, B: 0}))
+        self.assertFalse(Configuration(old).has_vote_quorum({A: 0, C: 7}))
+        self.assertTrue(Configuration(new).has_vote_quorum({A: 0, C: 7}))
+        self.assertFalse(Configuration(new).has_vote_quorum({A: 0, C: 0}))
+        self.assertFalse(Configuration(new, old).has_vote_quorum({A: 0, C: 7}))
+        self.assertTrue(Configuration(new, old).has_vote_quorum({A: 0, B: 0}))
 
 
 class WriteTest(unittest.TestCase):
@@ -84,7 +84,7 @@
         self.harness.start_all()
         self.harness.lead(A)
 
-    def test_commit_needs_the_own_copy_and_another(self) -> None:
+    def test_commit_needs_copies_of_the_primary_and_another_member(self) -> None:
         self.harness.propose(A, 1, b"x")
         write = self.harness.take(Write, B)[0]
         self.harness.receive(B, A, write)
@@ -96,7 +96,7 @@
         self.harness.tick(A)
         self.assertIsInstance(self.harness.outcomes[1], Committed)
 
-    def test_commit_waits_shortly_for_the_copies_of_healthy_members(self) -> None:
+    def test_commit_waits_briefly_for_copies_of_healthy_members(self) -> None:
         self.harness.propose(A, 1, b"x")
         self.harness.sync(A)
         for ip in (B, C):
@@ -106,7 +106,7 @@
             self.harness.receive(A, ip, self.harness.take(WriteAck, A)[0])
         self.assertIsInstance(self.harness.outcomes[1], Committed)
 
-    def test_member_that_lags_is_waited_for_once(self) -> None:
+    def test_commits_wait_only_once_for_a_lagging_member(self) -> None:
         for ticket in (1, 2):
             self.harness.propose(A, ticket, b"x")
             self.harness.take(Write, C)
@@ -120,7 +120,7 @@
                 self.harness.tick(A)
             self.assertIsInstance(self.harness.outcomes[ticket], Committed)
 
-    def test_own_copy_alone_does_not_commit(self) -> None:
+    def test_copy_of_the_primary_alone_does_not_commit(self) -> None:
         self.harness.propose(A, 1, b"x")
         self.harness.sync(A)
         self.assertNotIn(1, self.harness.outcomes)
@@ -132,7 +132,7 @@
         self.harness.sync(B)
         self.assertEqual(len(self.harness.take(WriteAck)), 1)
 
-    def test_backup_tells_a_failed_write_and_takes_it_later(self) -> None:
+    def test_backup_reports_a_failed_write_and_stores_it_later(self) -> None:
         self.harness.propose(A, 1, b"x")
         write = self.harness.take(Write, B)[0]
         self.harness.receive(B, A, write)
@@ -148,7 +148,7 @@
         self.harness.sync(B)
         self.assertEqual(len(self.harness.take(WriteAck)), 1)
 
-    def test_failed_write_found_in_the_cache_is_not_acknowledged(self) -> None:
+    def test_failed_write_found_in_the_page_cache_is_not_acknowledged(self) -> None:
         self.harness.propose(A, 1, b"x")
         write = self.harness.take(Write, B)[0]
         self.harness.receive(B, A, write)
@@ -167,7 +167,7 @@
         self.harness.sync(B)
         self.assertEqual(len(self.harness.take(WriteAck)), 1)
 
-    def test_doubled_write_is_acknowledged_again(self) -> None:
+    def test_duplicated_write_is_acknowledged_again(self) -> None:
         self.harness.propose(A, 1, b"x")
         write = self.harness.take(Write, B)[0]
         self.harness.receive(B, A, write)
@@ -177,20 +177,20 @@
         self.assertEqual(len(acknowledgements), 2)
         self.assertEqual(acknowledgements[0], acknowledgements[1])
 
-    def test_changes_are_written_one_after_the_other(self) -> None:
+    def test_changes_are_written_one_after_another(self) -> None:
         self.harness.propose(A, 1, b"x")
         self.harness.propose(A, 2, b"y")
         self.harness.settle()
         self.assertIsInstance(self.harness.outcomes[2], Committed)
         self.assertEqual(self.harness.commits[A][-2:], [b"x", b"xy"])
 
-    def test_backup_applies_at_the_notice_that_follows_a_commit(self) -> None:
+    def test_backup_applies_a_document_when_its_commit_is_announced(self) -> None:
         self.harness.propose(A, 1, b"x")
         self.harness.settle()
         self.assertEqual(self.harness.commits[B][-1], b"x")
         self.assertEqual(self.harness.commits[C][-1], b"x")
 
-    def test_backup_applies_a_document_whose_commit_was_told_before_it_came(self) -> None:
+    def test_backup_applies_a_document_whose_commit_was_announced_before_it_arrived(self) -> None:
         self.harness.propose(A, 1, b"x")
         write = self.harness.take(Write, B)[0]
         self.harness.settle()
@@ -202,7 +202,7 @@
         self.harness.receive(B, A, write)
         self.assertEqual(self.harness.commits[B][-1], b"x")
 
-    def test_write_of_an_older_epoch_is_refused(self) -> None:
+    def test_write_of_an_older_epoch_is_rejected(self) -> None:
         self.harness.lead(B)
         self.harness.receive(C, A, Write(document_at(1, 9)))
         self.assertEqual(self.harness.take(WriteAck), [])
@@ -241,7 +241,7 @@
         self.assertIsInstance(self.harness.outcomes[1], NotPrimary)
         self.assertNotIsInstance(self.harness.replicas[A].role(self.harness.now), Primary)
 
-    def test_frozen_primary_answers_nothing_after_its_lease(self) -> None:
+    def test_stalled_primary_confirms_nothing_after_its_lease(self) -> None:
         self.harness.now += 5.0
         self.assertNotIsInstance(self.harness.replicas[A].role(self.harness.now), Primary)
         self.harness.confirm(A, 1)
@@ -260,7 +260,7 @@
         self.harness = ReplicaHarness()
         self.harness.start_all()
 
-    def test_promise_is_told_only_once_synced(self) -> None:
+    def test_promise_is_sent_only_once_synced(self) -> None:
         self.harness.receive(B, A, VoteRequest(1, Position()))
         self.assertEqual(self.harness.take(Promise), [])
         self.harness.sync(B)
@@ -274,7 +274,7 @@
         self.assertEqual(self.harness.take(Promise, C), [])
         self.assertEqual(len(self.harness.take(Refused, C)), 1)
 
-    def test_promise_is_repeated_to_the_same_life_of_the_candidate_only(self) -> None:
+    def test_promise_is_repeated_only_to_the_same_incarnation_of_the_candidate(self) -> None:
         self.harness.receive(B, A, VoteRequest(1, Position()))
         self.harness.sync(B)
         self.harness.receive(B, A, VoteRequest(1, Position()))
@@ -283,7 +283,7 @@
         self.harness.receive(B, A, VoteRequest(1, Position()))
         self.assertEqual(self.harness.take(Promise), [])
 
-    def test_promise_to_an_earlier_life_is_not_counted(self) -> None:
+    def test_promise_to_an_earlier_incarnation_is_not_counted(self) -> None:
         self.harness.receive(A, "test", TransferNow(0))
         self.harness.sync(A)
         stale = Promise(1, candidate=99, stored=Position(), document=None)
@@ -302,7 +302,7 @@
         self.assertEqual(self.harness.replicas[C].snapshot().payload, b"x")
         self.assertEqual(self.harness.replicas[C].snapshot().sequence, 3)
 
-    def test_no_pre_vote_is_won_while_the_others_hear_a_primary(self) -> None:
+    def test_no_pre_vote_is_granted_while_there_is_a_live_primary(self) -> None:
         self.harness.lead(A)
         self.harness.receive(B, C, PreVoteRequest(5))
         reply = self.harness.take(PreVoteReply)[0]
@@ -312,45 +312,45 @@
     def test_member_favours_one_candidate_for_a_bounded_time(self) -> None:
         self.harness.receive(C, A, PreVoteRequest(1))
         self.harness.receive(C, B, PreVoteRequest(2))
-        self.assertEqual(self.granted(), [True, False])
+        self.assertEqual(self.granted_pre_votes(), [True, False])
         self.harness.now += Timing().pre_vote_favour + 0.01
         self.harness.receive(C, B, PreVoteRequest(3))
-        self.assertEqual(self.granted(), [True])
+        self.assertEqual(self.granted_pre_votes(), [True])
 
-    def test_candidate_that_stalls_does_not_block_the_others_for_long(self) -> None:
+    def test_stalled_candidate_does_not_block_the_others_for_long(self) -> None:
         for number in range(4):
             self.harness.receive(C, A, PreVoteRequest(number))
             self.harness.now += Timing().favour * 0.6
-        self.assertEqual(self.granted(), [True] * 4)
+        self.assertEqual(self.granted_pre_votes(), [True] * 4)
         self.harness.receive(C, A, PreVoteRequest(8))
-        self.assertEqual(self.granted(), [True])
+        self.assertEqual(self.granted_pre_votes(), [True])
         self.harness.receive(C, B, PreVoteRequest(9))
-        self.assertEqual(self.granted(), [True])
+        self.assertEqual(self.granted_pre_votes(), [True])
         self.harness.receive(C, A, PreVoteRequest(10))
-        self.assertEqual(self.granted(), [False])
+        self.assertEqual(self.granted_pre_votes(), [False])
 
-    def test_candidate_with_a_newer_document_goes_before_the_one_that_is_favoured(self) -> None:
+    def test_candidate_with_a_newer_document_takes_precedence_over_the_favoured_one(self) -> None:
         self.harness.receive(C, A, PreVoteRequest(1, Position(1, 1)))
         self.harness.receive(C, B, PreVoteRequest(2, Position(1, 1)))
         self.harness.receive(C, B, PreVoteRequest(3, Position(1, 2)))
         self.harness.receive(C, A, PreVoteRequest(4, Position(1, 1)))
-        self.assertEqual(self.granted(), [True, False, True, False])
+        self.assertEqual(self.granted_pre_votes(), [True, False, True, False])
 
-    def test_member_that_could_stand_itself_grants_no_one_with_an_older_document(self) -> None:
+    def test_member_that_can_stand_grants_no_pre_vote_for_an_older_document(self) -> None:
         self.harness.lead(A)
         self.harness.pass_time(0.3)
         self.harness.now += 2.0
         self.harness.receive(C, B, PreVoteRequest(1, Position()))
         self.harness.receive(C, B, PreVoteRequest(2, Position(1, 1)))
-        self.assertEqual(self.granted(), [False, True])
+        self.assertEqual(self.granted_pre_votes(), [False, True])
 
     def test_candidate_whose_process_ended_is_not_favoured(self) -> None:
         self.harness.receive(C, A, PreVoteRequest(1))
         self.harness.apply(C, self.harness.replicas[C].disconnected(A, self.harness.now))
         self.harness.receive(C, B, PreVoteRequest(2))
-        self.assertEqual(self.granted(), [True, True])
+        self.assertEqual(self.granted_pre_votes(), [True, True])
 
-    def test_member_that_promised_keeps_a_second_candidate_waiting(self) -> None:
+    def test_member_that_promised_does_not_respond_to_a_second_candidate_for_a_while(self) -> None:
         self.harness.receive(C, A, VoteRequest(1, Position()))
         self.harness.receive(C, B, VoteRequest(2, Position()))
         self.harness.sync_all()
@@ -361,7 +361,7 @@
         self.harness.sync_all()
         self.assertEqual(len(self.harness.take(Promise, B)), 1)
 
-    def test_of_two_that_stand_at_once_the_lower_address_goes_first(self) -> None:
+    def test_lower_address_wins_between_simultaneous_candidates(self) -> None:
         self.harness.now += 2.0
         for ip in (A, B):
             self.harness.tick(ip)
@@ -371,7 +371,7 @@
         self.assertTrue(replies[A].granted)
         self.assertFalse(replies[B].granted)
 
-    def test_candidate_gives_up_before_the_favour_of_those_that_promised_lapses(self) -> None:
+    def test_candidate_gives_up_before_the_favour_of_its_voters_expires(self) -> None:
         self.assertLess(Timing().election_limit, Timing().favour)
         self.harness.receive(A, "test", TransferNow(0))
         self.harness.sync_all()
@@ -383,11 +383,11 @@
             self.harness.receive(A, voter, promise)
         self.assertEqual(self.harness.take(Write), [])
 
-    def granted(self) -> list[bool]:
+    def granted_pre_votes(self) -> list[bool]:
         replies = self.harness.take(PreVoteReply)
         return [reply.granted for reply in replies if isinstance(reply, PreVoteReply)]
 
-    def test_silence_of_the_primary_leads_to_an_election(self) -> None:
+    def test_unresponsive_primary_leads_to_an_election(self) -> None:
         self.harness.lead(A)
         self.harness.down.add(A)
         self.harness.pass_time(1.6)
@@ -417,7 +417,7 @@
         self.assertEqual(sum(isinstance(role, Primary) for role in roles), 1)
         self.assertIsInstance(self.harness.replicas[A].role(self.harness.now), Backup)
 
-    def test_primary_leaves_only_when_its_copies_stand_elsewhere(self) -> None:
+    def test_primary_hands_over_only_once_healthy_members_have_its_document(self) -> None:
         self.harness.propose(A, 1, b"x")
         self.harness.sync(A)
         self.harness.receive(B, A, self.harness.take(Write, B)[0])
@@ -430,7 +430,7 @@
         self.harness.receive(A, C, self.harness.take(WriteAck, A)[0])
         self.assertEqual(len(self.harness.take(TransferNow)), 1)
 
-    def test_primary_leaves_in_time_though_a_copy_is_missing(self) -> None:
+    def test_primary_hands_over_by_its_deadline_though_a_copy_is_missing(self) -> None:
         self.harness.propose(A, 1, b"x")
         self.harness.down.add(C)
         self.harness.apply(A, self.harness.replicas[A].transfer(self.harness.now))
@@ -438,14 +438,14 @@
         self.assertIsInstance(self.harness.outcomes[1], Committed)
         self.assertIsInstance(self.harness.replicas[B].role(self.harness.now), Primary)
 
-    def test_primary_whose_disk_fails_hands_over(self) -> None:
+    def test_primary_with_a_failed_disk_hands_over(self) -> None:
         before = self.harness.disks[A]
         self.harness.propose(A, 1, b"x")
         self.harness.fail_write(A, before)
         self.assertIsInstance(self.harness.outcomes[1], Uncertain)
         self.assertEqual(len(self.harness.take(TransferNow)), 1)
 
-    def test_primary_whose_disk_stalls_hands_over(self) -> None:
+    def test_primary_with_a_stalled_disk_hands_over(self) -> None:
         self.harness.propose(A, 1, b"x")
         self.harness.sent.clear()
         for _ in range(6):
@@ -457,7 +457,7 @@
         self.assertEqual(len(self.harness.take(TransferNow)), 1)
         self.assertIsInstance(self.harness.outcomes[1], Uncertain)
 
-    def test_member_whose_disk_failed_is_not_chosen_as_successor(self) -> None:
+    def test_member_with_a_failed_disk_is_not_chosen_as_successor(self) -> None:
         self.harness.propose(A, 1, b"x")
         writes = {ip: self.harness.take(Write, ip)[0] for ip in (B, C)}
         before = self.harness.disks[C]
@@ -469,7 +469,7 @@
         successors = [to for _, to, message in self.harness.sent if isinstance(message, TransferNow)]
         self.assertEqual(successors, [B])
 
-    def test_member_whose_disk_failed_answers_heartbeats_but_does_not_vote(self) -> None:
+    def test_member_with_a_failed_disk_acknowledges_heartbeats_but_does_not_vote(self) -> None:
         self.harness.propose(A, 1, b"x")
         before = self.harness.disks[B]
         self.harness.receive(B, A, self.harness.take(Write, B)[0])
@@ -494,7 +494,7 @@
         self.harness.start(ip, None)
         self.harness.sync_all()
 
-    def test_emptied_member_votes_for_nobody(self) -> None:
+    def test_wiped_member_grants_no_vote(self) -> None:
         self.harness.down.add(A)
         self.wipe(B)
         self.harness.settle()
@@ -506,7 +506,7 @@
         answers = self.harness.take(Promise) + self.harness.take(PreVoteReply)
         self.assertEqual(answers + self.harness.take(VoteRequest), [])
 
-    def test_emptied_member_counts_neither_as_copy_nor_in_rounds_under_its_old_token(self) -> None:
+    def test_wiped_member_counts_neither_as_copy_nor_in_rounds_with_its_old_token(self) -> None:
         self.harness.down.update((B, C))
         self.harness.propose(A, 2, b"y")
         self.harness.confirm(A, 3)
@@ -518,7 +518,7 @@
         self.assertNotIn(2, self.harness.outcomes)
         self.assertNotIn(3, self.harness.outcomes)
 
-    def test_promise_that_was_lost_is_given_to_no_other(self) -> None:
+    def test_wiped_member_neither_promises_nor_acknowledges_with_its_old_token(self) -> None:
         self.harness.receive(C, "test", TransferNow(5))
         self.harness.sync(C)
         self.harness.receive(B, C, self.harness.take(VoteRequest, B)[0])
@@ -529,10 +529,10 @@
             self.harness.receive(B, A, message)
             self.harness.sync_all()
         self.assertEqual(self.harness.take(Promise), [])
-        told = [ack.token for ack in self.harness.take(WriteAck, A) if isinstance(ack, WriteAck)]
-        self.assertNotIn(0, told)
+        tokens = [ack.token for ack in self.harness.take(WriteAck, A) if isinstance(ack, WriteAck)]
+        self.assertNotIn(0, tokens)
 
-    def test_emptied_member_is_back_at_once_under_a_new_token(self) -> None:
+    def test_wiped_member_is_readmitted_at_once_with_a_new_token(self) -> None:
         self.wipe(B)
         token = self.harness.replicas[B].record().token
         self.harness.settle()
@@ -544,7 +544,7 @@
             self.assertEqual(configuration.members, (Member(A), Member(B, token), Member(C)))
             self.assertEqual(configuration.outgoing, ())
 
-    def test_member_that_is_gone_does_not_hold_up_the_return_of_another(self) -> None:
+    def test_lost_member_does_not_delay_the_readmission_of_another(self) -> None:
         harness = ReplicaHarness(FIVE, tolerate=2)
         harness.start_all()
         harness.lead(A)
@@ -554,7 +554,7 @@
         harness.settle()
         self.assertIsInstance(harness.replicas[B].role(harness.now), Backup)
 
-    def test_emptied_member_is_admitted_only_by_a_majority_without_it(self) -> None:
+    def test_wiped_member_is_admitted_only_by_a_majority_without_it(self) -> None:
         self.harness.down.add(C)
         self.wipe(B)
         self.harness.pass_time(3.0)
@@ -564,7 +564,7 @@
         self.harness.pass_time(2.5)
         self.assertIsInstance(self.harness.replicas[B].role(self.harness.now), Backup | Primary)
 
-    def test_more_wiped_members_than_copies_do_not_begin_anew(self) -> None:
+    def test_wiped_majority_does_not_form_a_new_group(self) -> None:
         for ip in (A, B):
             self.wipe(ip)
         self.harness.pass_time(3.0)
@@ -586,14 +586,14 @@
         self.harness.start_all()
         self.harness.lead(A)
 
-    def test_silent_member_is_replaced_by_one_that_asks(self) -> None:
+    def test_unresponsive_member_is_replaced_by_a_machine_that_asks_to_join(self) -> None:
         self.harness.down.add(C)
         self.harness.start(D, None)
         self.harness.pass_time(3.0)
         self.assertEqual(set(self.harness.replicas[A].members()), {A, B, D})
         self.assertIsInstance(self.harness.replicas[D].role(self.harness.now), Backup)
 
-    def test_group_grows_to_the_size_that_is_tolerated(self) -> None:
+    def test_group_grows_to_the_size_that_tolerate_requires(self) -> None:
         harness = ReplicaHarness((A,), tolerate=1)
         harness.start_all()
         harness.lead(A)
@@ -604,13 +604,13 @@
         self.assertEqual(len(harness.replicas[A].members()), 3)
         self.assertEqual(len(set(harness.replicas[A].members())), 3)
 
-    def test_member_that_is_heard_is_not_replaced(self) -> None:
+    def test_responsive_member_is_not_replaced(self) -> None:
         self.harness.start(D, None)
         self.harness.pass_time(4.0)
         self.assertEqual(self.harness.replicas[A].members(), MEMBERS)
         self.assertEqual(self.harness.replicas[D].role(self.harness.now), Learner(A, 1, True))
 
-    def test_learner_that_hears_the_primary_no_more_knows_none(self) -> None:
+    def test_learner_out_of_contact_knows_no_primary(self) -> None:
         self.harness.start(D, None)
         self.harness.pass_time(1.0)
         self.assertEqual(self.harness.replicas[D].role(self.harness.now), Learner(A, 1, True))
@@ -618,7 +618,7 @@
         self.harness.pass_time(2.0)
         self.assertEqual(self.harness.replicas[D].role(self.harness.now), Unattached("joining"))
 
-    def test_removed_member_is_told_and_joins_anew(self) -> None:
+    def test_removed_member_is_notified_and_becomes_a_learner(self) -> None:
         self.harness.down.add(C)
         self.harness.start(D, None)
         self.harness.pass_time(3.0)
@@ -629,13 +629,13 @@
         self.assertEqual(self.harness.replicas[C].role(self.harness.now), Learner(A, 1, True))
         self.assertLess(self.harness.replicas[A].record().promised, 50)
 
-    def test_member_wiped_and_taken_in_by_a_deposed_primary_does_not_count(self) -> None:
+    def test_member_wiped_and_restored_by_a_deposed_primary_does_not_count(self) -> None:
         self.harness.down.add(C)
         self.harness.start(D, None)
         self.harness.pass_time(3.0)
         self.harness.start(D, None)
-        learner = Write(document_at(1, 1, b"old"))
-        self.harness.receive(D, C, learner)
+        stale = Write(document_at(1, 1, b"old"))
+        self.harness.receive(D, C, stale)
         self.harness.sync_all()
         self.harness.sent.clear()
         newest = self.harness.replicas[A].record().document
@@ -650,7 +650,7 @@
             assert isinstance(acknowledgement, WriteAck)
             self.assertNotIn(acknowledgement.token, (None, admitted.token))
 
-    def test_candidate_with_a_newer_document_is_answered_by_a_member_that_does_not_know_it(self) -> None:
+    def test_unknown_candidate_with_a_newer_document_gets_a_response(self) -> None:
         self.harness.now += 2.0
         self.harness.receive(B, D, PreVoteRequest(1, Position(9, 9)))
         self.harness.receive(B, D, VoteRequest(10, Position(9, 9)))
--- a/tests/test_replication_codec.py
+++ b/tests/test_replication_codec.py
@@ -1,4 +1,4 @@
-"""Messages whose format changed: the version before is read, the present one keeps all it holds."""
+"""Messages whose encoding changed: version 1 can still be decoded, and version 2 keeps all fields."""
 
 import unittest
 
@@ -27,19 +27,19 @@
 
 
 class VersionTest(unittest.TestCase):
-    def test_messages_of_the_first_version_are_read(self) -> None:
+    def test_messages_of_version_1_are_decoded(self) -> None:
         for frame, message in FIRST_VERSION.items():
             with self.subTest(message=message):
                 self.assertEqual(decode_message(bytes.fromhex(frame)), message)
 
-    def test_present_messages_keep_tokens_and_positions(self) -> None:
+    def test_messages_of_version_2_keep_tokens_and_positions(self) -> None:
         for message in SECOND_VERSION:
             with self.subTest(message=message):
                 frame = encode_message(message)
                 self.assertEqual(frame[1], 2)
                 self.assertEqual(decode_message(frame), message)
 
-    def test_later_versions_are_refused(self) -> None:
+    def test_later_versions_are_rejected(self) -> None:
         for message in SECOND_VERSION:
             frame = bytearray(encode_message(message))
             frame[1] += 1
--- a/tests/test_replication_explore.py
+++ b/tests/test_replication_explore.py
@@ -1,17 +1,17 @@
-"""The replication explored exhaustively within small bounds; broken variants of it have to be found."""
+"""Exhaustive exploration of the replication within small bounds; it must detect broken variants."""
 
 import unittest
 
 from rookwood.coordination.exploration_ledger import BrokenError
-from rookwood.coordination.explore import Bounds, Explorer, Report
+from rookwood.coordination.explore import Bounds, ExplorationReport, Explorer
 from tests.test_replication_mutants import (
     Patch,
     acknowledge_before_sync,
     commit_before_own_sync,
     commit_without_second_copy,
     epoch_promised_twice,
-    found_record_taken_for_synced,
     half_of_the_members_elects,
+    loaded_record_treated_as_synced,
     older_epoch_accepted,
     promise_forgotten_at_restart,
     stale_copy_elected,
@@ -19,17 +19,17 @@
     write_under_way_answered_as_not_done,
 )
 
-MOST_STATES = 30_000
-CHANGE = Bounds(changes=1, elections=0, states=MOST_STATES)
-CHANGE_AND_POWER_LOSS = Bounds(changes=1, elections=0, power_losses=1, states=MOST_STATES)
-ELECTION = Bounds(changes=0, elections=1, states=MOST_STATES)
-CHANGE_AND_ELECTION = Bounds(changes=1, elections=1, instant_writes=True, states=MOST_STATES)
+MAX_STATES = 30_000
+CHANGE = Bounds(changes=1, elections=0, states=MAX_STATES)
+CHANGE_AND_POWER_LOSS = Bounds(changes=1, elections=0, power_losses=1, states=MAX_STATES)
+ELECTION = Bounds(changes=0, elections=1, states=MAX_STATES)
+CHANGE_AND_ELECTION = Bounds(changes=1, elections=1, instant_writes=True, states=MAX_STATES)
 
 
 class SoundTest(unittest.TestCase):
-    """All states within the bounds are visited, and each holds the invariants."""
+    """All states within the bounds are visited, and the invariants hold in each."""
 
-    def assert_sound(self, bounds: Bounds) -> Report:
+    def assert_sound(self, bounds: Bounds) -> ExplorationReport:
         report = Explorer(bounds).explore()
         self.assertTrue(report.whole)
         return report
@@ -43,13 +43,13 @@
     def test_election(self) -> None:
         self.assertEqual(self.assert_sound(ELECTION).epochs, 2)
 
-    def test_unfinished_exploration_says_so(self) -> None:
+    def test_unfinished_exploration_is_reported_as_such(self) -> None:
         report = Explorer(Bounds(changes=0, elections=1, states=100)).explore()
         self.assertFalse(report.whole)
 
 
 class MutantTest(unittest.TestCase):
-    """Variants that are broken on purpose break an invariant within the bounds."""
+    """Deliberately broken variants violate an invariant within the bounds."""
 
     def assert_found(self, mutant: Patch, bounds: Bounds, why: str) -> None:
         with mutant, self.assertRaises(BrokenError) as caught:
@@ -76,22 +76,22 @@
         self.assert_found(older_epoch_accepted(), CHANGE_AND_ELECTION, "lacks an acknowledged change")
 
     def test_write_under_way_answered_as_not_done(self) -> None:
-        self.assert_found(write_under_way_answered_as_not_done(), CHANGE_AND_ELECTION, "refused")
+        self.assert_found(write_under_way_answered_as_not_done(), CHANGE_AND_ELECTION, "rejected")
 
     def test_promise_forgotten_at_restart(self) -> None:
-        bounds = Bounds(changes=0, elections=1, kills=1, states=MOST_STATES)
+        bounds = Bounds(changes=0, elections=1, kills=1, states=MAX_STATES)
         self.assert_found(promise_forgotten_at_restart(), bounds, "goes back")
 
     def test_epoch_promised_twice(self) -> None:
-        bounds = Bounds(changes=0, elections=2, instant_writes=True, states=MOST_STATES)
+        bounds = Bounds(changes=0, elections=2, instant_writes=True, states=MAX_STATES)
         self.assert_found(epoch_promised_twice(), bounds, "two primaries")
 
-    def test_found_record_taken_for_synced(self) -> None:
-        bounds = Bounds(changes=1, elections=0, kills=1, states=MOST_STATES)
-        self.assert_found(found_record_taken_for_synced(), bounds, "lacks an acknowledged change")
+    def test_loaded_record_treated_as_synced(self) -> None:
+        bounds = Bounds(changes=1, elections=0, kills=1, states=MAX_STATES)
+        self.assert_found(loaded_record_treated_as_synced(), bounds, "lacks an acknowledged change")
 
     def test_tokens_ignored(self) -> None:
-        bounds = Bounds(changes=1, elections=0, wipes=1, instant_writes=True, states=MOST_STATES)
+        bounds = Bounds(changes=1, elections=0, wipes=1, instant_writes=True, states=MAX_STATES)
         self.assert_found(tokens_ignored(), bounds, "lacks an acknowledged change")
 
 
--- a/tests/test_replication_failover.py
+++ b/tests/test_replication_failover.py
@@ -1,4 +1,4 @@
-"""Simulated time without a primary: a bounded part of `failover_times`."""
+"""Simulated time without a primary after a fault: a subset of what `failover_times` measures."""
 
 import unittest
 
--- a/tests/test_replication_mutants.py
+++ b/tests/test_replication_mutants.py
@@ -1,4 +1,4 @@
-"""Variants of the replication that are broken on purpose: the simulation has to find each of them."""
+"""Deliberately broken variants of the replication, each of which the simulation must detect."""
 
 import unittest
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 from rookwood.coordination.context import Context
 from rookwood.coordination.document import Configuration, Document, Position, Record
 from rookwood.coordination.effects import CommitApplied, Resolve
-from rookwood.coordination.election import Candidacy, Supporter
+from rookwood.coordination.election import Candidacy, GrantedPromise
 from rookwood.coordination.following import Follower
 from rookwood.coordination.journal import Journal, PromiseStep
 from rookwood.coordination.leadership import Leadership
@@ -27,32 +27,34 @@
 
 
 def acknowledge_before_sync() -> Patch:
-    original = Follower.store
+    original = Follower.store_document
 
-    def store(self: Follower, sender: str, write: Write) -> None:
+    def store_document(self: Follower, sender: str, write: Write) -> None:
         original(self, sender, write)
         latest = self._context.journal.latest
         acknowledgement = WriteAck(write.document.position.epoch, latest.document.position, latest.token)
         self._context.send(sender, acknowledgement)
 
-    return patch.object(Follower, "store", store)
+    return patch.object(Follower, "store_document", store_document)
 
 
 def commit_before_own_sync() -> Patch:
     def check_commit(self: Leadership) -> None:
         position = self._document.position
-        holders = self._voices(lambda state: state.stored >= position)
-        if self._writing and self._document.configuration.has_copies(holders, self._context.tolerate):
+        holders = self._acknowledgements(lambda progress: progress.stored_position >= position)
+        if self._commit_pending and self._document.configuration.has_copy_quorum(
+            holders, self._context.tolerate
+        ):
             self._commit()
 
     return patch.object(Leadership, "_check_commit", check_commit)
 
 
 def commit_without_second_copy() -> Patch:
-    return patch.object(Configuration, "has_copies", lambda self, holders, tolerate: bool(holders))
+    return patch.object(Configuration, "has_copy_quorum", lambda self, holders, tolerate: bool(holders))
 
 
-def emptied_member_resumes_its_token() -> Patch:
+def wiped_member_reuses_its_token() -> Patch:
     original = Admission.tick
 
     def tick(self: Admission) -> None:
@@ -61,16 +63,18 @@
         for member in context.configuration().members:
             if member.ip == context.ip and not context.journal.latest.initialised:
                 first = Document(Position(), context.configuration())
-                context.journal.restart(Record(member.token, 0, True, first))
+                context.journal.reset(Record(member.token, 0, True, first))
 
     return patch.object(Admission, "tick", tick)
 
 
 def tokens_ignored() -> Patch:
-    return patch.object(document, "_is_voice_of", lambda member, voices: member.ip in voices)
+    return patch.object(
+        document, "_has_acknowledged", lambda member, acknowledgements: member.ip in acknowledgements
+    )
 
 
-def promise_counted_whatever_the_token() -> Patch:
+def promise_counted_regardless_of_its_token() -> Patch:
     original = Candidacy.on_promise
 
     def on_promise(self: Candidacy, sender: str, incarnation: int, promise: Promise) -> None:
@@ -79,7 +83,7 @@
     return patch.object(Candidacy, "on_promise", on_promise)
 
 
-def copy_counted_whatever_the_token() -> Patch:
+def copy_counted_regardless_of_its_token() -> Patch:
     original = Leadership.on_write_ack
 
     def on_write_ack(self: Leadership, sender: str, incarnation: int, ack: WriteAck) -> None:
@@ -88,7 +92,7 @@
     return patch.object(Leadership, "on_write_ack", on_write_ack)
 
 
-def found_record_taken_for_synced() -> Patch:
+def loaded_record_treated_as_synced() -> Patch:
     original = Journal.__init__
 
     def initialise(self: Journal, found: Record) -> None:
@@ -100,15 +104,15 @@
 
 
 def candidate_promises_its_epoch_to_others() -> Patch:
-    original = Voter.answer_vote
+    original = Voter.respond_to_vote_request
 
-    def answer_vote(self: Voter, step: PromiseStep) -> bool:
+    def respond_to_vote_request(self: Voter, step: PromiseStep) -> bool:
         own = (self._context.ip, self._context.incarnation)
         if step.epoch == self._context.journal.latest.promised and self._promised_to == own:
             self._promised_to = (step.candidate, step.incarnation)
         return original(self, step)
 
-    return patch.object(Voter, "answer_vote", answer_vote)
+    return patch.object(Voter, "respond_to_vote_request", respond_to_vote_request)
 
 
 def promise_forgotten_at_restart() -> Patch:
@@ -126,34 +130,34 @@
 
 def commit_of_another_epoch_applied() -> Patch:
     def apply_commit(self: Context, committed: Position) -> None:
-        position = self.offered.position
-        if position.sequence > committed.sequence or position <= self.applied:
+        position = self.newest_document.position
+        if position.sequence > committed.sequence or position <= self.applied_position:
             return
-        self.applied = position
-        self.snapshot = Snapshot(position.epoch, position.sequence, self.offered.payload)
+        self.applied_position = position
+        self.snapshot = Snapshot(position.epoch, position.sequence, self.newest_document.payload)
         self.effects.append(CommitApplied(self.snapshot))
 
     return patch.object(Context, "apply_commit", apply_commit)
 
 
 def promise_before_sync() -> Patch:
-    original = Voter.answer_vote
+    original = Voter.respond_to_vote_request
 
-    def answer_vote(self: Voter, step: PromiseStep) -> bool:
+    def respond_to_vote_request(self: Voter, step: PromiseStep) -> bool:
         promised = original(self, step)
         record = self._context.journal.latest
         if self._promised_to == (step.candidate, step.incarnation) and record.promised == step.epoch:
             document = record.document
-            newer = document if document.position > step.known else None
+            newer = document if document.position > step.candidate_position else None
             promise = Promise(step.epoch, step.incarnation, document.position, newer)
             self._context.send(step.candidate, promise)
         return promised
 
-    return patch.object(Voter, "answer_vote", answer_vote)
+    return patch.object(Voter, "respond_to_vote_request", respond_to_vote_request)
 
 
-def pre_votes_of_the_first_version() -> Patch:
-    """Pre-votes without a position, which safety must not depend on; no mutant by itself."""
+def version_1_pre_votes() -> Patch:
+    """Send pre-votes without a position, as version 1 did; no mutant, since safety must not depend on it."""
     return patch.object(election, "PreVoteRequest", lambda ballot, position: PreVoteRequest(ballot))
 
 
@@ -161,13 +165,13 @@
 def stale_copy_elected() -> Iterator[None]:
     def on_promise(self: Candidacy, sender: str, incarnation: int, promise: Promise) -> None:
         if promise.epoch == self.epoch and promise.candidate == self._context.incarnation:
-            self._promises[sender] = Supporter(incarnation, promise.token)
+            self._promises[sender] = GrantedPromise(incarnation, promise.token)
 
-    with pre_votes_of_the_first_version(), patch.object(Candidacy, "on_promise", on_promise):
+    with version_1_pre_votes(), patch.object(Candidacy, "on_promise", on_promise):
         yield
 
 
-def members_changed_at_one_stroke() -> Patch:
+def membership_changed_in_one_step() -> Patch:
     original = Leadership._write
 
     def write(self: Leadership, configuration: Configuration, payload: bytes) -> None:
@@ -176,23 +180,23 @@
     return patch.object(Leadership, "_write", write)
 
 
-def old_members_not_asked() -> Patch:
-    return patch.object(Configuration, "_sets", lambda self: (self.members,))
+def outgoing_members_ignored() -> Patch:
+    return patch.object(Configuration, "_member_sets", lambda self: (self.members,))
 
 
 def older_epoch_accepted() -> Patch:
-    return patch.object(Follower, "accepts", lambda self, sender, epoch: True)
+    return patch.object(Follower, "accepts_epoch", lambda self, sender, epoch: True)
 
 
 def epoch_promised_twice() -> Patch:
-    original = Voter.answer_vote
+    original = Voter.respond_to_vote_request
 
-    def answer_vote(self: Voter, step: PromiseStep) -> bool:
+    def respond_to_vote_request(self: Voter, step: PromiseStep) -> bool:
         if step.epoch == self._context.journal.latest.promised:
             self._promised_to = (step.candidate, step.incarnation)
         return original(self, step)
 
-    return patch.object(Voter, "answer_vote", answer_vote)
+    return patch.object(Voter, "respond_to_vote_request", respond_to_vote_request)
 
 
 def confirmed_without_round() -> Patch:
@@ -203,24 +207,24 @@
     return patch.object(Leadership, "confirm", confirm)
 
 
-def failed_write_taken_for_synced() -> Patch:
-    original = Journal.fail
+def failed_write_treated_as_synced() -> Patch:
+    original = Journal.fail_write
 
-    def fail(self: Journal, ticket: int, stored: Record | None, retry_at: float) -> Any:
-        flushed = original(self, ticket, stored, retry_at)
-        if stored is not None and flushed is not None:
+    def fail_write(self: Journal, ticket: int, stored: Record | None, retry_at: float) -> Any:
+        result = original(self, ticket, stored, retry_at)
+        if stored is not None and result is not None:
             self.durable = stored
             self._durable_version = self._version
-            self.healthy = True
-        return flushed
+            self.disk_healthy = True
+        return result
 
-    return patch.object(Journal, "fail", fail)
+    return patch.object(Journal, "fail_write", fail_write)
 
 
-def uncommitted_applied() -> Patch:
+def uncommitted_document_applied() -> Patch:
     original = Context.apply_commit
     return patch.object(
-        Context, "apply_commit", lambda self, committed: original(self, self.offered.position)
+        Context, "apply_commit", lambda self, committed: original(self, self.newest_document.position)
     )
 
 
@@ -228,9 +232,9 @@
     original = Leadership.close
 
     def close(self: Leadership) -> None:
-        if self._in_flight is not None:
-            self._context.effects.append(Resolve(self._in_flight, NotPrimary(None)))
-            self._in_flight = None
+        if self._in_flight_ticket is not None:
+            self._context.effects.append(Resolve(self._in_flight_ticket, NotPrimary(None)))
+            self._in_flight_ticket = None
         original(self)
 
     return patch.object(Leadership, "close", close)
@@ -325,7 +329,7 @@
 
 
 class MutantTest(unittest.TestCase):
-    """Each mutant breaks an invariant in one of the first seeds of a plan that suits it."""
+    """Each mutant violates an invariant in one of the first seeds of a suitable plan."""
 
     def assert_found(self, mutant: Patch, plan: Plan | None = None) -> None:
         with mutant:
@@ -345,26 +349,26 @@
     def test_commit_without_second_copy(self) -> None:
         self.assert_found(commit_without_second_copy())
 
-    def test_changes_on_single_disks_beside_a_loss_of_all_power(self) -> None:
-        """All lose power, at times one its disk, right after an acknowledgement or at any other moment."""
+    def test_unsafe_commits_are_found_by_losses_of_all_power(self) -> None:
+        """All machines lose power, sometimes one its disk, after an acknowledgement or at any other time."""
         for mutant in (commit_without_second_copy, acknowledge_before_sync, commit_before_own_sync):
             with self.subTest(mutant=mutant.__name__):
                 self.assert_found(mutant(), POWER_OF_ALL)
 
-    def test_emptied_member_resumes_its_token(self) -> None:
-        self.assert_found(emptied_member_resumes_its_token(), DISKS)
+    def test_wiped_member_reuses_its_token(self) -> None:
+        self.assert_found(wiped_member_reuses_its_token(), DISKS)
 
     def test_tokens_ignored(self) -> None:
         self.assert_found(tokens_ignored(), LOST_PROMISES)
 
-    def test_promise_counted_whatever_the_token(self) -> None:
-        self.assert_found(promise_counted_whatever_the_token(), LOST_PROMISES)
+    def test_promise_counted_regardless_of_its_token(self) -> None:
+        self.assert_found(promise_counted_regardless_of_its_token(), LOST_PROMISES)
 
-    def test_copy_counted_whatever_the_token(self) -> None:
-        self.assert_found(copy_counted_whatever_the_token(), WIPES)
+    def test_copy_counted_regardless_of_its_token(self) -> None:
+        self.assert_found(copy_counted_regardless_of_its_token(), WIPES)
 
-    def test_found_record_taken_for_synced(self) -> None:
-        self.assert_found(found_record_taken_for_synced(), UNSYNCED)
+    def test_loaded_record_treated_as_synced(self) -> None:
+        self.assert_found(loaded_record_treated_as_synced(), UNSYNCED)
 
     def test_candidate_promises_its_epoch_to_others(self) -> None:
         self.assert_found(candidate_promises_its_epoch_to_others(), CONTENDED)
@@ -384,11 +388,11 @@
     def test_stale_copy_elected(self) -> None:
         self.assert_found(stale_copy_elected())
 
-    def test_members_changed_at_one_stroke(self) -> None:
-        self.assert_found(members_changed_at_one_stroke(), MEMBERS)
+    def test_membership_changed_in_one_step(self) -> None:
+        self.assert_found(membership_changed_in_one_step(), MEMBERS)
 
-    def test_old_members_not_asked(self) -> None:
-        self.assert_found(old_members_not_asked(), MEMBERS)
+    def test_outgoing_members_ignored(self) -> None:
+        self.assert_found(outgoing_members_ignored(), MEMBERS)
 
     def test_older_epoch_accepted(self) -> None:
         self.assert_found(older_epoch_accepted(), STALE_PRIMARY)
@@ -399,26 +403,26 @@
     def test_confirmed_without_round(self) -> None:
         self.assert_found(confirmed_without_round(), STALE_PRIMARY)
 
-    def test_failed_write_taken_for_synced(self) -> None:
-        self.assert_found(failed_write_taken_for_synced(), DISKS)
+    def test_failed_write_treated_as_synced(self) -> None:
+        self.assert_found(failed_write_treated_as_synced(), DISKS)
 
-    def test_uncommitted_applied(self) -> None:
-        self.assert_found(uncommitted_applied())
+    def test_uncommitted_document_applied(self) -> None:
+        self.assert_found(uncommitted_document_applied())
 
     def test_write_under_way_answered_as_not_done(self) -> None:
         self.assert_found(write_under_way_answered_as_not_done())
 
 
 class SoundTest(unittest.TestCase):
-    """The replication itself holds under the plans that find the mutants."""
+    """The unmodified replication violates no invariant under the plans that detect the mutants."""
 
-    def test_seeds_hold_without_positions_in_pre_votes(self) -> None:
-        with pre_votes_of_the_first_version():
+    def test_invariants_hold_without_positions_in_pre_votes(self) -> None:
+        with version_1_pre_votes():
             for seed in range(30):
                 with self.subTest(seed=seed):
                     Simulation(seed).run()
 
-    def test_plans_of_the_mutants_are_sound(self) -> None:
+    def test_invariants_hold_under_the_plans_of_the_mutants(self) -> None:
         for plan in (
             POWER,
             STALE_PRIMARY,
--- a/tests/test_replication_payload_limit.py
+++ b/tests/test_replication_payload_limit.py
@@ -1,4 +1,4 @@
-"""One limit of the payload's size: what would exceed it is declined, and nothing in force changes."""
+"""The limit of the payload size: a change that would exceed it is declined and changes nothing."""
 
 import unittest
 from unittest.mock import patch
@@ -22,12 +22,12 @@
         self.harness.start_all()
         self.harness.lead(A)
 
-    def test_payload_of_the_limit_is_taken(self) -> None:
+    def test_payload_of_the_maximum_size_is_accepted(self) -> None:
         self.harness.propose(A, 1, bytes(SMALL_LIMIT))
         self.harness.settle()
         self.assertIsInstance(self.harness.outcomes[1], Committed)
 
-    def test_larger_payload_is_declined_with_its_size_and_written_nowhere(self) -> None:
+    def test_larger_payload_is_declined_with_its_size_and_not_written(self) -> None:
         before = self.harness.replicas[A].snapshot()
         self.harness.propose(A, 1, bytes(SMALL_LIMIT + 1))
         self.assertEqual([], self.harness.take(Write))
@@ -36,13 +36,13 @@
         self.assertEqual(Declined(PayloadTooLarge(SMALL_LIMIT + 1)), self.harness.outcomes[1])
         self.assertEqual(before, self.harness.replicas[A].snapshot())
 
-    def test_refusal_for_its_size_waits_for_a_round_as_others_do(self) -> None:
+    def test_decline_for_size_waits_for_a_heartbeat_round(self) -> None:
         self.harness.sent.clear()
         self.harness.propose(A, 1, bytes(SMALL_LIMIT + 1))
         self.assertNotIn(1, self.harness.outcomes)
         self.assertNotEqual([], self.harness.take(Heartbeat))
 
-    def test_changes_go_on_after_one_that_was_too_large(self) -> None:
+    def test_changes_continue_after_one_that_was_too_large(self) -> None:
         self.harness.propose(A, 1, bytes(SMALL_LIMIT + 1))
         self.harness.propose(A, 2, b"x")
         self.harness.settle()
@@ -51,7 +51,7 @@
 
 
 class FrameLimitTest(unittest.TestCase):
-    def test_largest_payload_fits_the_frames_with_any_members(self) -> None:
+    def test_largest_payload_fits_a_frame_with_many_members(self) -> None:
         configuration = Configuration(MANY_MEMBERS, MANY_MEMBERS)
         document = Document(Position(2**62, 2**62), configuration, bytes(MAX_PAYLOAD_BYTES))
         for message in (Write(document), Promise(2**62, 2**62, document.position, document, 2**62)):
--- a/tests/test_replication_second_losses.py
+++ b/tests/test_replication_second_losses.py
@@ -1,4 +1,4 @@
-"""Orders of losses, repairs and replacements: a bounded part of what `loss_orders` can play."""
+"""Orders of losses, repairs and replacements: a subset of what `loss_orders` can run."""
 
 import unittest
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class SecondLossTest(unittest.TestCase):
-    """What was acknowledged stays in every order; the group serves again in all it has to."""
+    """Acknowledged changes survive every order of losses; the group serves again wherever it must."""
 
     def play(self, orders: Iterable[Order], longest_repair: float) -> None:
         for order in orders:
--- a/tests/test_replication_waiting_changes.py
+++ b/tests/test_replication_waiting_changes.py
@@ -1,4 +1,4 @@
-"""Changes that wait for the primary: bounded by count and by bytes, and refused at once beyond that."""
+"""Changes that wait at the primary: limited by count and by bytes, and rejected at once beyond that."""
 
 import unittest
 
@@ -20,30 +20,30 @@
         self.harness.propose(A, UNDER_WAY, b"first,")
 
     def propose_waiting(self, count: int, size: int = 0) -> list[int]:
-        """Propose changes while the first one is under way, and return their tickets."""
+        """Propose changes while the first change is under way; return their tickets."""
         tickets = list(range(FIRST_WAITING, FIRST_WAITING + count))
         for ticket in tickets:
             self.harness.propose(A, ticket, b"%d," % ticket, size)
         return tickets
 
-    def refused(self) -> list[int]:
-        """Return the tickets that were refused for want of room."""
+    def rejected_tickets(self) -> list[int]:
+        """Return the tickets of the changes that were rejected because the queue was full."""
         outcomes = self.harness.outcomes.items()
         return [ticket for ticket, outcome in outcomes if isinstance(outcome, Overloaded)]
 
-    def test_change_beyond_the_count_is_refused_at_once(self) -> None:
+    def test_change_beyond_the_count_limit_is_rejected_at_once(self) -> None:
         tickets = self.propose_waiting(MAX_WAITING_CHANGES + 3)
-        self.assertEqual(tickets[MAX_WAITING_CHANGES:], self.refused())
+        self.assertEqual(tickets[MAX_WAITING_CHANGES:], self.rejected_tickets())
 
-    def test_change_beyond_the_bytes_is_refused_at_once(self) -> None:
+    def test_change_beyond_the_byte_limit_is_rejected_at_once(self) -> None:
         tickets = self.propose_waiting(5, size=MAX_WAITING_BYTES // 4)
-        self.assertEqual(tickets[4:], self.refused())
+        self.assertEqual(tickets[4:], self.rejected_tickets())
 
     def test_change_of_any_size_may_wait_alone(self) -> None:
         self.propose_waiting(1, size=MAX_WAITING_BYTES + 1)
-        self.assertEqual([], self.refused())
+        self.assertEqual([], self.rejected_tickets())
 
-    def test_refused_change_is_never_in_force_and_the_others_are(self) -> None:
+    def test_rejected_change_is_never_committed_and_the_others_are(self) -> None:
         tickets = self.propose_waiting(MAX_WAITING_CHANGES + 1)
         self.harness.settle()
         labels = self.harness.replicas[A].snapshot().payload.split(b",")[:-1]
@@ -52,7 +52,7 @@
         for ticket in waited:
             self.assertIsInstance(self.harness.outcomes[ticket], Committed)
 
-    def test_room_is_free_again_once_changes_were_made(self) -> None:
+    def test_queue_has_room_again_once_changes_are_made(self) -> None:
         self.propose_waiting(MAX_WAITING_CHANGES + 1, size=MAX_WAITING_BYTES // MAX_WAITING_CHANGES)
         self.harness.settle()
         last = FIRST_WAITING + MAX_WAITING_CHANGES + 1
@@ -60,22 +60,22 @@
         self.harness.settle()
         self.assertIsInstance(self.harness.outcomes[last], Committed)
 
-    def test_room_is_free_again_once_callers_gave_up(self) -> None:
+    def test_queue_has_room_again_once_callers_time_out(self) -> None:
         tickets = self.propose_waiting(MAX_WAITING_CHANGES, size=MAX_WAITING_BYTES // MAX_WAITING_CHANGES)
         for ticket in tickets:
             self.harness.abandon(A, ticket)
         last = FIRST_WAITING + MAX_WAITING_CHANGES
         self.harness.propose(A, last, b"last,", MAX_WAITING_BYTES)
-        self.assertEqual([], self.refused())
+        self.assertEqual([], self.rejected_tickets())
 
-    def test_what_waits_at_the_end_of_an_epoch_was_not_done(self) -> None:
+    def test_changes_waiting_at_the_end_of_an_epoch_are_not_made(self) -> None:
         tickets = self.propose_waiting(MAX_WAITING_CHANGES + 1)
         self.harness.receive(A, B, Refused(1, 7))
         for ticket in tickets[:-1]:
             self.assertIsInstance(self.harness.outcomes[ticket], NotPrimary)
-        self.assertEqual(tickets[-1:], self.refused())
+        self.assertEqual(tickets[-1:], self.rejected_tickets())
 
-    def test_a_refusal_asks_nothing_of_the_other_members(self) -> None:
+    def test_rejecting_a_change_sends_no_messages(self) -> None:
         self.propose_waiting(MAX_WAITING_CHANGES)
         self.harness.sent.clear()
         self.harness.propose(A, FIRST_WAITING + MAX_WAITING_CHANGES, b"late,")
--- a/tests/test_replication_writes_under_way.py
+++ b/tests/test_replication_writes_under_way.py
@@ -1,4 +1,4 @@
-"""One write is under way to each member; the newest document takes the place of what would wait."""
+"""At most one write is under way to each member, and only the newest document waits behind it."""
 
 import unittest
 
@@ -20,32 +20,32 @@
         self.harness.lead(A)
 
     def change(self, ticket: int) -> None:
-        """Make a change with the copies of A and B alone, C taking nothing from its link."""
+        """Commit a change with the copies of A and B only; C receives nothing."""
         self.harness.propose(A, ticket, b"%d," % ticket)
         self.harness.sync(A)
-        self.copy_to_second()
+        self.replicate_to_b()
         self.harness.now += TIMING.copy_patience
         self.harness.tick(A)
         self.assertIsInstance(self.harness.outcomes[ticket], Committed)
 
-    def copy_to_second(self) -> None:
-        """Let B take its write and the heartbeats, and A the answers."""
+    def replicate_to_b(self) -> None:
+        """Deliver writes and heartbeats to B, and its acknowledgements to A."""
         for message in self.harness.take(Write, B) + self.harness.take(Heartbeat, B):
             self.harness.receive(B, A, message)
         self.harness.sync(B)
         for message in self.harness.take(WriteAck, A) + self.harness.take(HeartbeatAck, A):
             self.harness.receive(A, B, message)
 
-    def written_to_third(self) -> list[Position]:
-        """Return the positions of the documents sent to C since the last look."""
+    def documents_sent_to_c(self) -> list[Position]:
+        """Return the positions of the documents sent to C since the previous call."""
         return [position_of(write) for write in self.harness.take(Write, C)]
 
     def acknowledge(self, position: Position) -> None:
-        """Let C acknowledge a document."""
+        """Deliver C's acknowledgement of a document."""
         self.harness.receive(A, C, WriteAck(position.epoch, position, 0))
 
-    def answer_heartbeat(self, stored: Position, number: int | None = None) -> None:
-        """Let C answer a heartbeat round, the latest unless another is given."""
+    def acknowledge_heartbeat_from_c(self, stored: Position, number: int | None = None) -> None:
+        """Deliver C's acknowledgement of a heartbeat round, by default the latest one."""
         sent = [
             message.round for message in self.harness.take(Heartbeat, C) if isinstance(message, Heartbeat)
         ]
@@ -53,7 +53,7 @@
         self.harness.receive(A, C, HeartbeatAck(stored.epoch, answered, stored, 0))
 
     def latest_round(self) -> int:
-        """The number of the latest heartbeat round."""
+        """Let A start a heartbeat round, and return its number."""
         self.harness.now += TIMING.heartbeat
         self.harness.tick(A)
         heartbeat = self.harness.take(Heartbeat, C)[-1]
@@ -61,98 +61,98 @@
         return heartbeat.round
 
     def newest(self) -> Position:
-        """The position of the newest commit."""
+        """Return the position of the newest commit."""
         snapshot = self.harness.replicas[A].snapshot()
         return Position(snapshot.epoch, snapshot.sequence)
 
-    def test_member_that_lags_through_many_changes_is_sent_one_document(self) -> None:
+    def test_member_that_lags_during_many_changes_is_sent_one_document(self) -> None:
         for ticket in range(1, CHANGES + 1):
             self.change(ticket)
-        self.assertEqual(1, len(self.written_to_third()))
+        self.assertEqual(1, len(self.documents_sent_to_c()))
 
-    def test_newest_document_follows_the_answer(self) -> None:
+    def test_newest_document_is_sent_after_an_acknowledgement(self) -> None:
         for ticket in range(1, 5):
             self.change(ticket)
-        first = self.written_to_third()[0]
+        first = self.documents_sent_to_c()[0]
         self.acknowledge(first)
-        self.assertEqual([self.newest()], self.written_to_third())
+        self.assertEqual([self.newest()], self.documents_sent_to_c())
         self.acknowledge(self.newest())
-        self.assertEqual([], self.written_to_third())
+        self.assertEqual([], self.documents_sent_to_c())
 
-    def test_answer_to_a_heartbeat_counts_where_that_of_the_write_was_lost(self) -> None:
+    def test_heartbeat_acknowledgement_replaces_a_lost_write_acknowledgement(self) -> None:
         for ticket in (1, 2):
             self.change(ticket)
-        first = self.written_to_third()[0]
-        self.answer_heartbeat(first, number=0)
-        self.assertEqual([self.newest()], self.written_to_third())
+        first = self.documents_sent_to_c()[0]
+        self.acknowledge_heartbeat_from_c(first, number=0)
+        self.assertEqual([self.newest()], self.documents_sent_to_c())
 
-    def test_answer_to_an_earlier_heartbeat_frees_nothing(self) -> None:
+    def test_acknowledgement_of_an_earlier_heartbeat_does_not_end_a_write(self) -> None:
         older = self.newest()
         earlier = self.latest_round()
         for ticket in (1, 2):
             self.change(ticket)
-        self.written_to_third()
+        self.documents_sent_to_c()
         self.acknowledge(older)
-        self.answer_heartbeat(older, earlier)
-        self.assertEqual([], self.written_to_third())
+        self.acknowledge_heartbeat_from_c(older, earlier)
+        self.assertEqual([], self.documents_sent_to_c())
 
-    def test_answer_to_a_later_heartbeat_shows_that_the_link_is_free(self) -> None:
+    def test_acknowledgement_of_a_later_heartbeat_ends_a_write(self) -> None:
         older = self.newest()
         for ticket in (1, 2):
             self.change(ticket)
-        self.written_to_third()
-        self.answer_heartbeat(older)
-        self.assertEqual([self.newest()], self.written_to_third())
+        self.documents_sent_to_c()
+        self.acknowledge_heartbeat_from_c(older)
+        self.assertEqual([self.newest()], self.documents_sent_to_c())
 
-    def test_new_change_is_sent_though_the_one_before_was_lost(self) -> None:
+    def test_new_change_is_sent_after_the_previous_one_was_lost(self) -> None:
         older = self.newest()
         self.change(1)
-        self.written_to_third()
-        self.answer_heartbeat(older)
-        self.assertEqual([], self.written_to_third())
+        self.documents_sent_to_c()
+        self.acknowledge_heartbeat_from_c(older)
+        self.assertEqual([], self.documents_sent_to_c())
         self.change(2)
-        self.assertEqual([self.newest()], self.written_to_third())
+        self.assertEqual([self.newest()], self.documents_sent_to_c())
 
-    def test_lost_write_is_repeated_after_a_while(self) -> None:
+    def test_lost_write_is_resent_after_the_resend_time(self) -> None:
         older = self.newest()
         self.change(1)
-        self.written_to_third()
+        self.documents_sent_to_c()
         self.harness.now += TIMING.write_resend
-        self.answer_heartbeat(older)
-        self.assertEqual([self.newest()], self.written_to_third())
+        self.acknowledge_heartbeat_from_c(older)
+        self.assertEqual([self.newest()], self.documents_sent_to_c())
 
-    def test_failed_write_is_no_more_under_way(self) -> None:
+    def test_failed_write_is_no_longer_under_way(self) -> None:
         self.change(1)
-        failed = self.written_to_third()[0]
+        failed = self.documents_sent_to_c()[0]
         self.harness.receive(A, C, WriteFailed(failed.epoch, failed))
-        self.assertEqual([], self.written_to_third())
+        self.assertEqual([], self.documents_sent_to_c())
         self.change(2)
-        self.assertEqual([self.newest()], self.written_to_third())
+        self.assertEqual([self.newest()], self.documents_sent_to_c())
 
-    def test_failure_of_an_earlier_write_frees_nothing(self) -> None:
+    def test_failure_of_an_earlier_write_does_not_end_a_write(self) -> None:
         earlier = self.newest()
         self.change(1)
-        self.written_to_third()
+        self.documents_sent_to_c()
         self.harness.receive(A, C, WriteFailed(earlier.epoch, earlier))
         self.change(2)
-        self.assertEqual([], self.written_to_third())
+        self.assertEqual([], self.documents_sent_to_c())
 
-    def test_member_that_started_anew_is_sent_the_newest_at_once(self) -> None:
+    def test_restarted_member_is_sent_the_newest_document_at_once(self) -> None:
         for ticket in (1, 2):
             self.change(ticket)
-        self.written_to_third()
+        self.documents_sent_to_c()
         self.harness.start(C, self.harness.disks[C])
         self.harness.receive(A, C, HeartbeatAck(1, 1, Position(), 0))
-        self.assertEqual([self.newest()], self.written_to_third())
+        self.assertEqual([self.newest()], self.documents_sent_to_c())
 
-    def test_heartbeats_go_on_while_a_write_is_under_way(self) -> None:
+    def test_heartbeats_continue_while_a_write_is_under_way(self) -> None:
         self.change(1)
         self.harness.take(Heartbeat)
         self.harness.now += TIMING.heartbeat
         self.harness.tick(A)
         self.assertEqual(1, len(self.harness.take(Heartbeat, C)))
 
-    def test_in_calm_each_change_is_sent_to_all_as_it_begins(self) -> None:
+    def test_without_faults_each_change_is_sent_to_all_at_once(self) -> None:
         for ticket in (1, 2, 3):
             self.harness.propose(A, ticket, b"x")
             for ip in (B, C):
@@ -161,20 +161,20 @@
             self.harness.settle()
             self.assertIsInstance(self.harness.outcomes[ticket], Committed)
 
-    def test_member_that_caught_up_is_waited_for_again(self) -> None:
+    def test_commits_wait_again_for_a_member_that_caught_up(self) -> None:
         for ticket in (1, 2):
             self.change(ticket)
-        self.acknowledge(self.written_to_third()[0])
+        self.acknowledge(self.documents_sent_to_c()[0])
         self.acknowledge(self.newest())
-        self.written_to_third()
+        self.documents_sent_to_c()
         self.harness.propose(A, 3, b"x")
         self.harness.sync(A)
-        self.copy_to_second()
+        self.replicate_to_b()
         self.assertNotIn(3, self.harness.outcomes)
 
 
 def position_of(write: Message) -> Position:
-    """The position of a written document."""
+    """Return the position of the document in a write."""
     assert isinstance(write, Write)
     return write.document.position
 
--- a/tests/test_stored_form.py
+++ b/tests/test_stored_form.py
@@ -1,6 +1,6 @@
-"""The stored forms, byte for byte: what the version before wrote is read, and it reads what is written now.
+"""The stored encodings, byte for byte, so that the previous version and this one can read each other's data.
 
-A change of these bytes needs a new version byte beside the old one, and a reader for both.
+A change of these bytes needs a new version byte, and a decoder for both versions.
 """
 
 import unittest
@@ -16,8 +16,8 @@
     "00010a0801061c041031302e302e302e31001031302e302e302e320e0002"
     "1031302e302e302e338080808080808080800100127061796c6f616400ff"
 )
-TAKEN = TakenChanges.of((TakenChange(bytes(range(16)), 3), TakenChange(bytes(16), 9)))
-DOCUMENT = ControlDocument(9, b'{"ver":9}', TAKEN)
+ACCEPTED = TakenChanges.of((TakenChange(bytes(range(16)), 3), TakenChange(bytes(16), 9)))
+DOCUMENT = ControlDocument(9, b'{"ver":9}', ACCEPTED)
 DOCUMENT_V1 = bytes.fromhex(
     "0112127b22766572223a397d04000102030405060708090a0b0c0d0e0f06000000000000000000000000000000001200"
 )
