--- a/rookwood/coordination/context.py
+++ b/rookwood/coordination/context.py
@@ -95,7 +95,7 @@
     def is_member(self) -> bool:
         """Return whether this replica is a member: admitted with the storage that it has."""
         record = self.journal.latest
-        return record.initialised and self.configuration().admits(Member(self.ip, record.token))
+        return record.initialised and self.configuration().has_member(Member(self.ip, record.token))
 
     def is_recovering(self) -> bool:
         """Return whether a member has this machine's address, but another storage was admitted."""
--- a/rookwood/coordination/election.py
+++ b/rookwood/coordination/election.py
@@ -59,7 +59,7 @@
         ballot = self._context.random.getrandbits(62)
         self._ballots.add(ballot)
         request = PreVoteRequest(ballot, self._context.journal.latest.document.position)
-        for ip in self._context.configuration().everyone():
+        for ip in self._context.configuration().all_addresses():
             self._context.send(ip, request)
 
 
--- a/rookwood/coordination/exploration_ledger.py
+++ b/rookwood/coordination/exploration_invariants.py
@@ -14,7 +14,7 @@
 
     def __init__(self, why: str, trace: tuple[str, ...] = ()) -> None:
         super().__init__(why)
-        self.why = why
+        self.reason = why
         self.trace = trace
 
 
@@ -78,7 +78,7 @@
 def _check_confirmed(history: ObservedHistory, ticket: int, snapshot: Snapshot) -> None:
     for started, acknowledged in history.pending_confirmations:
         if started == ticket and any(label not in snapshot.payload for label in acknowledged):
-            raise BrokenError("a confirmed document lacks an acknowledged change")
+            raise InvariantError("a confirmed document lacks an acknowledged change")
 
 
 def check_sync(before: Record | None, after: Record) -> None:
@@ -86,7 +86,7 @@
     if before is None or before.token != after.token:
         return
     if after.promised < before.promised or after.document.position < before.document.position:
-        raise BrokenError("a synced record goes back")
+        raise InvariantError("a synced record goes back")
 
 
 def check_durability(
@@ -111,4 +111,4 @@
     if not newest.configuration.has_vote_quorum({ip: record.token for ip, record in voters}):
         return
     if any(label not in newest.payload for label in acknowledged):
-        raise BrokenError("voters can elect a document that lacks an acknowledged change")
+        raise InvariantError("voters can elect a document that lacks an acknowledged change")
--- a/rookwood/coordination/explore.py
+++ b/rookwood/coordination/explore.py
@@ -256,8 +256,8 @@
                     if successor_key not in parents:
                         parents[successor_key] = (key, action)
                         queue.append(successor_key)
-            except BrokenError as error:
-                raise BrokenError(error.why, (*_trace(parents, key), *error.trace)) from None
+            except InvariantError as error:
+                raise InvariantError(error.reason, (*_trace(parents, key), *error.trace)) from None
         return self._report(len(parents), transitions, whole=True)
 
     def _report(self, states: int, transitions: int, *, whole: bool) -> ExplorationReport:
--- a/rookwood/coordination/group.py
+++ b/rookwood/coordination/group.py
@@ -194,13 +194,13 @@
         """Return the members from which a message arrived within the lease time, and this one."""
         return frozenset() if self._replica is None else self._replica.reachable(self._now())
 
-    def stored(self) -> Position:
+    def stored_position(self) -> Position:
         """Return the position of the document that is synced here."""
         return Position() if self._replica is None else self._replica.record().document.position
 
-    def promised(self) -> int:
+    def promised_epoch(self) -> int:
         """Return the highest epoch that is promised here."""
-        return 0 if self._replica is None else self._replica.promised()
+        return 0 if self._replica is None else self._replica.promised_epoch()
 
     @property
     def transport(self) -> Transport:
@@ -226,7 +226,7 @@
         role = self.role()
         if self._replica is None or not isinstance(role, Primary):
             return NotPrimary(role.primary if isinstance(role, Following) else None)
-        if self.reachable() <= {self._settings.ip}:
+        if self.reachable_members() <= {self._settings.ip}:
             return NoSuccessor()
         await self._hand_over(self._replica)
         epoch = self.snapshot().epoch
@@ -357,7 +357,7 @@
     def _apply_one(self, effect: Effect) -> None:
         match effect:
             case Send():
-                self.activity.sending(effect.message)
+                self.activity.count_sent(effect.message)
                 self._transport.send(effect.to, effect.message)
             case Persist():
                 self._persist(effect)
--- a/rookwood/coordination/leadership.py
+++ b/rookwood/coordination/leadership.py
@@ -426,7 +426,7 @@
 
     def _is_member(self, ip: str, token: int | None) -> bool:
         configuration = self._document.configuration
-        return configuration.has_address(ip) if token is None else configuration.admits(Member(ip, token))
+        return configuration.has_address(ip) if token is None else configuration.has_member(Member(ip, token))
 
     def _record_stored(self, progress: MemberProgress, stored: Position) -> None:
         if stored.epoch == self.epoch and stored > progress.stored_position:
--- a/rookwood/coordination/outcomes.py
+++ b/rookwood/coordination/outcomes.py
@@ -31,8 +31,8 @@
 
     primary: str
     epoch: int
-    in_touch: bool
-    level: bool = field(default=True, compare=False)
+    in_contact: bool
+    is_up_to_date: bool = field(default=True, compare=False)
 
     @property
     def fresh(self) -> bool:
@@ -74,7 +74,7 @@
 class Declined:
     """The change function declined with `result`; leadership was confirmed after the call arrived."""
 
-    answer: object
+    result: object
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
 class Uncertain:
     """The change may or may not be committed, or leadership could not be confirmed."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True)
--- a/rookwood/coordination/relay_tree.py
+++ b/rookwood/coordination/relay_tree.py
@@ -33,7 +33,7 @@
 class Rank:
     """The position of a dispatcher in the order of one epoch, the same in every view."""
 
-    weight: int
+    rendezvous_weight: int
     identity: str
 
 
--- a/rookwood/coordination/rendezvous.py
+++ b/rookwood/coordination/rendezvous.py
@@ -22,14 +22,14 @@
     return int.from_bytes(blake2b(text.encode(), digest_size=HASH_BITS // 8).digest(), "big")
 
 
-def weight(key: str, member: str) -> int:
+def rendezvous_weight(key: str, member: str) -> int:
     """Return the 64-bit weight of a member for a key."""
     return _mix(stable_hash(key) * _KEY_MULTIPLIER + stable_hash(member))
 
 
 def rank_members(key: str, members: Iterable[str]) -> list[str]:
     """Return the members in descending order of their weights for the key."""
-    return sorted(members, key=lambda member: (-weight(key, member), member))
+    return sorted(members, key=lambda member: (-rendezvous_weight(key, member), member))
 
 
 def top_members(key: str, members: Iterable[str], count: int) -> list[str]:
--- a/rookwood/coordination/storage.py
+++ b/rookwood/coordination/storage.py
@@ -19,7 +19,7 @@
 from rookwood.coordination.lmdb_header import FileForm, inspect_file
 
 RECORD_KEY = b"record"
-SLOTS = ("control-a.mdb", "control-b.mdb")
+SLOT_FILES = ("control-a.mdb", "control-b.mdb")
 MARKER = "control-initialised"
 CHECKSUM_BYTES = 4
 SERIAL_BYTES = 8
@@ -101,7 +101,7 @@
 
     def __init__(self, directory: str, disk_mb: int) -> None:
         self._directory = Path(directory)
-        map_bytes = disk_mb * MEGABYTE // (2 * len(SLOTS))
+        map_bytes = disk_mb * MEGABYTE // (2 * len(SLOT_FILES))
         self._map_bytes = max(MIN_MAP_BYTES, min(MAX_MAP_BYTES, map_bytes))
         self._environments: dict[str, lmdb.Environment] = {}
         self._directory_synced_slots: set[str] = set()
--- a/tests/test_coordination_storage.py
+++ b/tests/test_coordination_storage.py
@@ -38,7 +38,7 @@
 )
 from rookwood.coordination.storage import (
     MARKER,
-    SLOTS,
+    SLOT_FILES,
     Empty,
     FaultKind,
     Found,
@@ -170,7 +170,7 @@
 
     def test_writes_alternate_between_the_files(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
-        for torn in SLOTS:
+        for torn in SLOT_FILES:
             path = self.directory / torn
             intact = path.read_bytes()
             path.write_bytes(b"\xaa" * len(intact))
@@ -182,13 +182,13 @@
         self.save(Record(5, 1), Record(5, 2))
         for content in (b"\xaa" * 8192, b"", b"short"):
             with self.subTest(content=content[:8]):
-                (self.directory / SLOTS[1]).write_bytes(content)
+                (self.directory / SLOT_FILES[1]).write_bytes(content)
                 storage = self.open()
                 self.assertEqual(storage.load(), Found(Record(5, 1)))
                 self.assertTrue(storage.save(Record(5, 3)))
                 storage.close()
                 self.assertEqual(self.load(), Found(Record(5, 3)))
-                (self.directory / SLOTS[1]).unlink()
+                (self.directory / SLOT_FILES[1]).unlink()
 
     def lost_kinds(self) -> list[FaultKind]:
         """Load a storage that must count as lost, and return the kinds of its faults."""
@@ -219,7 +219,7 @@
 
     def test_found_record_is_synced_before_the_older_one_is_overwritten(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
-        older, newest = SLOTS
+        older, newest = SLOT_FILES
         storage = RecordingStorage(str(self.directory), 128)
         self.addCleanup(storage.close)
         self.assertEqual(storage.load(), Found(Record(5, 2)))
@@ -245,7 +245,7 @@
             with self.subTest(size=size):
                 (self.directory / SLOTS[0]).write_bytes(intact[:size])
                 self.assertEqual(self.lost_kinds(), [FaultKind.TORN])
-        (self.directory / SLOTS[0]).unlink()
+        (self.directory / SLOT_FILES[0]).unlink()
         self.assertEqual(self.lost_kinds(), [])
 
     def test_truncated_file_leaves_the_record_of_the_other_file(self) -> None:
@@ -265,14 +265,14 @@
         script, database = b"#!/bin/sh\nexit 0\n" * 99, b"SQLite format 3\0" * 300
         for content in (b"\xaa" * 8192, script, b"{}" * 5000, database):
             with self.subTest(content=content[:8]):
-                (self.directory / SLOTS[0]).write_bytes(content)
+                (self.directory / SLOT_FILES[0]).write_bytes(content)
                 self.assertEqual(self.lost_kinds(), [FaultKind.FOREIGN])
                 storage = self.open()
                 storage.load()
                 self.assertTrue(storage.save(Record(9, 1)))
                 storage.close()
                 self.assertEqual(self.load(), Found(Record(9, 1)))
-                for name in (SLOTS[0], MARKER):
+                for name in (SLOT_FILES[0], MARKER):
                     (self.directory / name).unlink()
 
     def test_record_of_an_unknown_version_counts_as_lost(self) -> None:
@@ -283,9 +283,9 @@
 
     def test_newest_record_is_found_beside_an_older_copy_of_the_other_file(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
-        older = (self.directory / SLOTS[1]).read_bytes()
+        older = (self.directory / SLOT_FILES[1]).read_bytes()
         self.save(Record(5, 3), Record(5, 4), Record(5, 5))
-        (self.directory / SLOTS[1]).write_bytes(older)
+        (self.directory / SLOT_FILES[1]).write_bytes(older)
         self.assertEqual(self.load(), Found(Record(5, 5)))
 
     def test_disk_without_a_marker_from_the_previous_version_is_read(self) -> None:
@@ -308,13 +308,13 @@
 
     def test_storage_with_two_foreign_files_counts_as_lost(self) -> None:
         self.save(Record(5, 1), Record(5, 2))
-        for slot in SLOTS:
+        for slot in SLOT_FILES:
             (self.directory / slot).write_bytes(b"\xaa" * 8192)
         self.assertEqual(self.lost_kinds(), [FaultKind.FOREIGN, FaultKind.FOREIGN])
 
     def test_changed_payload_fails_the_checksum(self) -> None:
         self.save(RECORD)
-        path = self.directory / SLOTS[0]
+        path = self.directory / SLOT_FILES[0]
         content = path.read_bytes()
         self.assertIn(b"payload\0", content)
         path.write_bytes(content.replace(b"payload\0", b"pAyload\0"))
@@ -341,5 +341,5 @@
         ]
         self.save(*records)
         self.assertEqual(self.load(), Found(records[-1]))
-        sizes = [(self.directory / slot).stat().st_size for slot in SLOTS]
+        sizes = [(self.directory / slot).stat().st_size for slot in SLOT_FILES]
         self.assertLess(sum(sizes), 6 << 20)
--- a/tests/test_fresh_claims.py
+++ b/tests/test_fresh_claims.py
@@ -43,8 +43,8 @@
         """Commits of earlier primaries may be missing here, which shows only with the primary's first one."""
         self.receive_heartbeat(C, epoch=50, committed=Position())
         role = self.role_of(C)
-        self.assertTrue(role.in_touch)
-        self.assertFalse(role.fresh)
+        self.assertTrue(role.in_contact)
+        self.assertFalse(role.is_fresh)
 
     def test_messages_queued_during_a_stall_do_not_make_a_backup_fresh(self) -> None:
         """Heartbeats wait in the kernel during a stall, so the first ones read then may be seconds old."""
--- a/tests/test_relay_tree.py
+++ b/tests/test_relay_tree.py
@@ -136,7 +136,7 @@
     def setUp(self) -> None:
         self.now = 0.0
         self.choice = ParentChoice(("parent", "fallback", "root"), self.now)
-        self.choice.heard("parent", self.now)
+        self.choice.record_message("parent", self.now)
 
     def run_until(self, end: float, *responsive_parents: str) -> None:
         while self.now < end:
@@ -147,36 +147,36 @@
 
     def test_responsive_parent_is_kept(self) -> None:
         self.run_until(60.0, "parent")
-        self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", None))
 
     def test_unresponsive_parent_is_left_after_the_silence_limit(self) -> None:
         self.run_until(TIMING.silence_limit - TICK)
-        self.assertEqual(self.choice.current, "parent")
+        self.assertEqual(self.choice.current_parent, "parent")
         self.run_until(TIMING.silence_limit + 2 * TICK)
-        self.assertEqual(self.choice.current, "fallback")
+        self.assertEqual(self.choice.current_parent, "fallback")
 
     def test_fallback_that_never_responds_is_left_after_the_open_limit(self) -> None:
         self.choice.failed("parent", self.now)
         self.run_until(TIMING.open_limit + 2 * TICK)
-        self.assertEqual(self.choice.current, "root")
+        self.assertEqual(self.choice.current_parent, "root")
 
     def test_parent_that_lags_behind_the_digest_is_left(self) -> None:
-        self.choice.digest(Position(1, 5), self.now)
+        self.choice.record_digest(Position(1, 5), self.now)
         self.run_until(TIMING.lag_limit - TICK, "parent")
-        self.assertEqual(self.choice.current, "parent")
+        self.assertEqual(self.choice.current_parent, "parent")
         self.run_until(TIMING.lag_limit + 2 * TICK, "parent")
-        self.assertEqual(self.choice.current, "fallback")
+        self.assertEqual(self.choice.current_parent, "fallback")
 
     def test_parent_that_delivers_within_the_limit_is_kept_under_steady_updates(self) -> None:
         for sequence in range(1, 200):
-            self.choice.digest(Position(1, sequence), self.now)
+            self.choice.record_digest(Position(1, sequence), self.now)
             self.run_until(self.now + TICK, "parent")
-            self.choice.received(Position(1, sequence - 1))
-        self.assertEqual(self.choice.current, "parent")
+            self.choice.record_update(Position(1, sequence - 1))
+        self.assertEqual(self.choice.current_parent, "parent")
 
     def test_suspected_parent_is_left_at_once(self) -> None:
-        self.choice.suspected("parent", self.now)
-        self.assertEqual(self.choice.current, "fallback")
+        self.choice.record_suspicion("parent", self.now)
+        self.assertEqual(self.choice.current_parent, "fallback")
 
     def test_failed_fallback_is_skipped_when_the_parent_fails(self) -> None:
         self.choice.suspected("fallback", self.now)
@@ -187,9 +187,9 @@
     def test_return_waits_for_a_message_of_the_better_parent(self) -> None:
         self.choice.failed("parent", self.now)
         self.run_until(TIMING.return_after + 2 * TICK, "fallback")
-        self.assertEqual((self.choice.current, self.choice.trial), ("fallback", "parent"))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("fallback", "parent"))
         self.run_until(self.now + TICK, "fallback", "parent")
-        self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", None))
 
     def test_dead_parent_is_tried_less_and_less_often_and_the_link_is_kept(self) -> None:
         self.choice.failed("parent", self.now)
@@ -197,44 +197,44 @@
         trying = False
         while self.now < 120.0:
             self.run_until(self.now + TICK, "fallback")
-            self.assertEqual(self.choice.current, "fallback")
-            trials += self.choice.trial is not None and not trying
-            trying = self.choice.trial is not None
+            self.assertEqual(self.choice.current_parent, "fallback")
+            trials += self.choice.trial_parent is not None and not trying
+            trying = self.choice.trial_parent is not None
         self.assertLessEqual(trials, 8)
         self.assertGreaterEqual(trials, 3)
 
     def test_switches_to_a_flapping_parent_are_limited(self) -> None:
         switches = 0
         for _ in range(1200):
-            before = self.choice.current
+            before = self.choice.current_parent
             if before == "parent":
-                self.choice.failed("parent", self.now)
+                self.choice.record_link_failure("parent", self.now)
             self.run_until(self.now + TICK, "fallback", "parent")
-            switches += self.choice.current != before
+            switches += self.choice.current_parent != before
         self.assertLessEqual(switches, 16)
 
     def test_own_stall_does_not_count_as_silence_or_lag_of_the_parent(self) -> None:
         self.choice.digest(Position(1, 5), self.now)
         self.choice.tick(30.0)
         self.now = 30.0
-        self.choice.received(Position(1, 5))
+        self.choice.record_update(Position(1, 5))
         self.run_until(31.0 - 2 * TICK)
-        self.assertEqual(self.choice.current, "parent")
+        self.assertEqual(self.choice.current_parent, "parent")
 
     def test_new_parents_are_adopted_after_a_while_without_a_gap(self) -> None:
         self.choice.set_parents(("better", "root"), self.now)
         self.run_until(TIMING.return_after - TICK, "parent")
-        self.assertEqual((self.choice.current, self.choice.trial), ("parent", None))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", None))
         self.run_until(TIMING.return_after + 2 * TICK, "parent")
-        self.assertEqual((self.choice.current, self.choice.trial), ("parent", "better"))
+        self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", "better"))
         self.run_until(self.now + TICK, "parent", "better")
-        self.assertEqual(self.choice.current, "better")
+        self.assertEqual(self.choice.current_parent, "better")
 
     def test_parent_whose_exclusion_ends_first_is_chosen_if_all_are_excluded(self) -> None:
         for parent in ("parent", "fallback", "root"):
             self.now += TICK
-            self.choice.failed(parent, self.now)
-        self.assertEqual(self.choice.current, "parent")
+            self.choice.record_link_failure(parent, self.now)
+        self.assertEqual(self.choice.current_parent, "parent")
 
 
 class Relay:
@@ -254,20 +254,20 @@
         for name, choice in self.choices.items():
             if name in self.dead:
                 continue
-            before = choice.current
-            for parent in (choice.current, choice.trial):
+            before = choice.current_parent
+            for parent in (choice.current_parent, choice.trial_parent):
                 self._exchange(name, choice, parent)
             choice.tick(self.now)
-            self.switches += choice.current != before
+            self.switches += choice.current_parent != before
 
     def _exchange(self, name: str, choice: ParentChoice, parent: str | None) -> None:
         if parent is None or parent in self.dead:
             return
         if self.linked.get(name) != parent and self._refuses(parent, name):
-            choice.failed(parent, self.now)
+            choice.record_link_failure(parent, self.now)
             return
         self.linked[name] = parent
-        choice.heard(parent, self.now)
+        choice.record_message(parent, self.now)
 
     def _refuses(self, parent: str, child: str) -> bool:
         if parent in ROOTS:
@@ -280,7 +280,7 @@
 
     def attached(self, name: str) -> bool:
         while name not in ROOTS:
-            if name in self.dead or self.linked.get(name) != self.choices[name].current:
+            if name in self.dead or self.linked.get(name) != self.choices[name].current_parent:
                 return False
             name = self.linked[name]
         return True
