--- a/rookwood/coordination/activity.py
+++ b/rookwood/coordination/activity.py
@@ -63,7 +63,7 @@
     _last_election: int = 0
     _last_ballot: int | None = None
 
-    def sending(self, message: Message) -> None:
+    def count_sent(self, message: Message) -> None:
         """Count a message that the replica sends; a request to several members counts once."""
         match message:
             case VoteRequest() if message.epoch > self._last_election:
--- a/rookwood/coordination/admission.py
+++ b/rookwood/coordination/admission.py
@@ -38,8 +38,8 @@
             self._context.record_configuration(document.position, document.configuration)
 
     def _known_machines(self) -> tuple[str, ...]:
-        everyone = (*self._context.seeds, *self._context.configuration().all_addresses())
-        return tuple(ip for ip in dict.fromkeys(everyone) if ip != self._context.ip)
+        addresses = (*self._context.seeds, *self._context.configuration().all_addresses())
+        return tuple(ip for ip in dict.fromkeys(addresses) if ip != self._context.ip)
 
 
 def respond_to_inquiry(context: Context, sender: str, incarnation: int, inquiry: Inquiry) -> None:
--- a/rookwood/coordination/document.py
+++ b/rookwood/coordination/document.py
@@ -46,15 +46,15 @@
         """Return the addresses of the previous members during a membership change, else of the members."""
         return tuple(member.ip for member in self.outgoing or self.members)
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_addresses(self) -> tuple[str, ...]:
         """Return the addresses of the new and the outgoing members, each once."""
         return tuple(dict.fromkeys(member.ip for member in self.members + self.outgoing))
 
     def has_address(self, ip: str) -> bool:
         """Return whether a new or outgoing member has this address, whatever its token."""
-        return ip in self.everyone()
+        return ip in self.all_addresses()
 
-    def admits(self, member: Member) -> bool:
+    def has_member(self, member: Member) -> bool:
         """Return whether a new or outgoing member has this address and this token."""
         return member in self.members + self.outgoing
 
--- a/rookwood/coordination/election.py
+++ b/rookwood/coordination/election.py
@@ -117,12 +117,12 @@
         self._resend_at = self._context.now + self._context.timing.resend
         position = self._context.journal.latest.document.position
         addresses = {
-            *self._context.configuration().everyone(),
-            *self.newest_document.configuration.everyone(),
+            *self._context.configuration().all_addresses(),
+            *self.newest_document.configuration.all_addresses(),
         }
         for ip in sorted(addresses - set(self._promises)):
             self._context.send(ip, VoteRequest(self.epoch, position))
 
     def _is_eligible(self) -> bool:
         own_member = Member(self._context.ip, self._context.journal.latest.token)
-        return self.newest_document.configuration.admits(own_member)
+        return self.newest_document.configuration.has_member(own_member)
--- a/rookwood/coordination/exploration_invariants.py
+++ b/rookwood/coordination/exploration_invariants.py
@@ -9,7 +9,7 @@
 from rookwood.coordination.outcomes import Committed, Confirmed, NotPrimary, Overloaded, Snapshot
 
 
-class BrokenError(Exception):
+class InvariantError(Exception):
     """An invariant is violated; `trace` is a shortest sequence of steps that leads there."""
 
     def __init__(self, why: str, trace: tuple[str, ...] = ()) -> None:
@@ -42,7 +42,7 @@
     for first, second in zip(committed, committed[1:], strict=False):
         in_order = first.sequence < second.sequence and first.epoch <= second.epoch
         if not in_order or not second.payload.startswith(first.payload):
-            raise BrokenError(f"history forked between {first} and {second}")
+            raise InvariantError(f"history forked between {first} and {second}")
     _check_rejected(history.rejected, committed[-1].payload)
     return replace(history, committed=committed)
 
@@ -50,7 +50,7 @@
 def with_primary(history: ObservedHistory, holder: tuple[int, str, int]) -> ObservedHistory:
     """Return the history with a process that wrote a document in an epoch; no epoch may have two."""
     if any(epoch == holder[0] for epoch, *_ in history.primaries - {holder}):
-        raise BrokenError(f"epoch {holder[0]} has two primaries")
+        raise InvariantError(f"epoch {holder[0]} has two primaries")
     return replace(history, primaries=history.primaries | {holder})
 
 
@@ -72,7 +72,7 @@
 
 def _check_rejected(rejected: frozenset[bytes], payload: bytes) -> None:
     if any(label in payload for label in rejected):
-        raise BrokenError("a rejected change is in force")
+        raise InvariantError("a rejected change is in force")
 
 
 def _check_confirmed(history: ObservedHistory, ticket: int, snapshot: Snapshot) -> None:
--- a/rookwood/coordination/explore.py
+++ b/rookwood/coordination/explore.py
@@ -16,8 +16,8 @@
 
 from rookwood.coordination.document import Configuration, Document, Member, Position, Record
 from rookwood.coordination.effects import CommitApplied, Effect, Persist, Resolve, Send
-from rookwood.coordination.exploration_ledger import (
-    BrokenError,
+from rookwood.coordination.exploration_invariants import (
+    InvariantError,
     ObservedHistory,
     check_durability,
     check_sync,
@@ -38,8 +38,8 @@
 from rookwood.coordination.timing import Timing
 
 NOW = 0.0
-AFTER_CANDIDACY = 2.0
-AFTER_LEASE = 20.0
+AFTER_CANDIDACY = 2.0  # a time at which a candidacy has passed its deadline
+AFTER_LEASE = 20.0  # a time at which the lease has expired
 FIRST_EPOCH = 1
 INCARNATION_STEP = 10
 NEVER = float("inf")
@@ -373,8 +373,8 @@
     ) -> Iterator[Step]:
         try:
             successor = action(state, *arguments, **named)
-        except BrokenError as error:
-            raise BrokenError(error.why, (name,)) from None
+        except InvariantError as error:
+            raise InvariantError(error.reason, (name,)) from None
         if successor is not state:
             yield name, successor
 
@@ -402,13 +402,13 @@
 
     def _is_leading(self, machine: Machine) -> bool:
         if machine.replica not in self._leading_replicas:
-            self._leading_replicas[machine.replica] = _load_replica(machine).leads()
+            self._leading_replicas[machine.replica] = _load_replica(machine).is_leading()
         return self._leading_replicas[machine.replica]
 
     def _known_epochs(self, state: SystemState, index: int) -> range:
         """Return what a candidate may know as the highest promise: any epoch for which a machine stood."""
         highest = FIRST_EPOCH + self._bounds.elections - state.remaining.elections
-        return range(_load_replica(state.machines[index]).promised(), highest + 1)
+        return range(_load_replica(state.machines[index]).promised_epoch(), highest + 1)
 
     def _start_candidacy(self, state: SystemState, index: int, known_epoch: int) -> SystemState:
         """Give up an earlier candidacy, and stand for the epoch after the known one."""
--- a/rookwood/coordination/group.py
+++ b/rookwood/coordination/group.py
@@ -190,9 +190,9 @@
         """Return the addresses of the members in the newest known configuration."""
         return () if self._replica is None else self._replica.members()
 
-    def reachable(self) -> frozenset[str]:
+    def reachable_members(self) -> frozenset[str]:
         """Return the members from which a message arrived within the lease time, and this one."""
-        return frozenset() if self._replica is None else self._replica.reachable(self._now())
+        return frozenset() if self._replica is None else self._replica.reachable_members(self._now())
 
     def stored_position(self) -> Position:
         """Return the position of the document that is synced here."""
@@ -208,16 +208,16 @@
         return self._transport
 
     @property
-    def open_calls(self) -> int:
+    def pending_calls(self) -> int:
         """The number of calls of this process that wait for their outcome."""
         return len(self._calls)
 
     @property
-    def open_writes(self) -> int:
+    def pending_writes(self) -> int:
         """The number of disk writes that are under way on the storage thread or wait for it."""
         return len(self._writes)
 
-    def holds_copy(self) -> bool:
+    def is_member(self) -> bool:
         """Return whether this machine is a member with the storage that it has: not joining or recovering."""
         return self._replica is not None and self._replica.is_member()
 
--- a/rookwood/coordination/leadership.py
+++ b/rookwood/coordination/leadership.py
@@ -171,7 +171,7 @@
 
     def on_join_request(self, sender: str, incarnation: int, token: int) -> None:
         """Record a request for admission with the storage of this token, and send the document there."""
-        if self._document.configuration.admits(Member(sender, token)):
+        if self._document.configuration.has_member(Member(sender, token)):
             return
         self._membership.record_request(Member(sender, token))
         self._send_newest_document(sender, self._progress_of(sender, incarnation, token))
@@ -266,7 +266,7 @@
         if now < self._copy_wait_until:
             return True
         for progress in missing:
-            progress.lagging = True
+            progress.is_lagging = True
         return False
 
     def _healthy_members(self) -> list[MemberProgress]:
@@ -295,7 +295,7 @@
         limit = self._context.now - MAX_MISSED_HEARTBEATS * self._context.timing.heartbeat
         return (
             not progress.disk_failed
-            and not progress.lagging
+            and not progress.is_lagging
             and progress.acknowledged_round_started_at >= limit
         )
 
@@ -400,8 +400,8 @@
             self._write(configuration, self._document.payload)
 
     def _receivers(self) -> tuple[str, ...]:
-        everyone = (*self._document.configuration.everyone(), *self._membership.learner_addresses())
-        return tuple(ip for ip in dict.fromkeys(everyone) if ip != self._context.ip)
+        addresses = (*self._document.configuration.all_addresses(), *self._membership.learner_addresses())
+        return tuple(ip for ip in dict.fromkeys(addresses) if ip != self._context.ip)
 
     def _progress_of(self, ip: str, incarnation: int, token: int | None) -> MemberProgress:
         """Return the progress of a machine, starting anew if its incarnation or storage token changed."""
--- a/rookwood/coordination/member_progress.py
+++ b/rookwood/coordination/member_progress.py
@@ -32,7 +32,7 @@
     sent_after_round: int = 0
     write_under_way: bool = False
     disk_failed: bool = False
-    lagging: bool = False
+    is_lagging: bool = False
 
     def may_send(self, position: Position, now: float, resend: float) -> bool:
         """Return whether to send the document at this position.
@@ -66,7 +66,7 @@
         self.stored_position = stored
         self.disk_failed = False
         if now - self.sent_at < patience:
-            self.lagging = False
+            self.is_lagging = False
         if stored >= self.sent_position:
             self.write_under_way = False
 
--- a/rookwood/coordination/membership.py
+++ b/rookwood/coordination/membership.py
@@ -43,7 +43,7 @@
         """Drop requests that were not repeated lately, and those of machines that are members by now."""
         limit = self._context.now - self._context.timing.learner_silence
         for ip, learner in list(self._requests.items()):
-            if learner.requested_at < limit or configuration.admits(Member(ip, learner.token)):
+            if learner.requested_at < limit or configuration.has_member(Member(ip, learner.token)):
                 del self._requests[ip]
 
     def next_configuration(
@@ -115,7 +115,7 @@
             if progress[ip].token == learner.token
             and progress[ip].stored_position >= document.position
             and self._context.is_in_contact(ip, silence)
-            and not configuration.admits(Member(ip, learner.token))
+            and not configuration.has_member(Member(ip, learner.token))
         ]
         return sorted(ready, key=lambda member: not configuration.has_address(member.ip))
 
--- a/rookwood/coordination/monitoring.py
+++ b/rookwood/coordination/monitoring.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from rookwood.coordination.pauses import PauseDetector
-from rookwood.coordination.rendezvous import top_members, weight
+from rookwood.coordination.rendezvous import rendezvous_weight, top_members
 
 DEFAULT_MONITORS = 3
 
@@ -104,7 +104,7 @@
 
     def _add(self, member: str) -> None:
         for peer, lowest in self._lowest_weights.items():
-            if weight(peer, member) >= lowest:
+            if rendezvous_weight(peer, member) >= lowest:
                 self._choose_monitors(peer, (*self._monitors[peer], member))
         self._monitors[member] = ()
         self._choose_monitors(member, self._monitors)
@@ -114,7 +114,7 @@
         monitors = tuple(top_members(peer, others, self._count))
         is_full = len(monitors) == self._count
         self._monitors[peer] = monitors
-        self._lowest_weights[peer] = weight(peer, monitors[-1]) if is_full else 0
+        self._lowest_weights[peer] = rendezvous_weight(peer, monitors[-1]) if is_full else 0
 
 
 class SuspicionLog:
@@ -171,6 +171,8 @@
 
 @dataclass(slots=True)
 class _Watch:
+    """When the last heartbeat of a watched peer arrived, and when it was last reported as suspected."""
+
     last_heartbeat_at: float
     reported_at: float | None = None
 
@@ -250,7 +252,7 @@
 
     def tick(self, now: float) -> list[Report]:
         """Return the reports to send to the other members, including the peers that they are about."""
-        if self._pause_detector.paused(now):
+        if self._pause_detector.detect_pause(now):
             self._restart_watches(now)
         for peer, watch in self._watches.items():
             if self._is_report_due(watch, now):
--- a/rookwood/coordination/outcomes.py
+++ b/rookwood/coordination/outcomes.py
@@ -35,9 +35,9 @@
     is_up_to_date: bool = field(default=True, compare=False)
 
     @property
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Whether the newest committed document here was the group's newest at most one lease time ago."""
-        return self.in_touch and self.level
+        return self.in_contact and self.is_up_to_date
 
 
 @dataclass(frozen=True)
--- a/rookwood/coordination/parent_choice.py
+++ b/rookwood/coordination/parent_choice.py
@@ -44,6 +44,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _AwaitedUpdate:
+    """An announced update that has not arrived yet."""
+
     position: Position
     announced_at: float
 
@@ -68,12 +70,12 @@
         self._switch_to(self._parents[0], now)
 
     @property
-    def current(self) -> str:
+    def current_parent(self) -> str:
         """The parent to which the dispatcher is to be linked."""
         return self._current_parent
 
     @property
-    def trial(self) -> str | None:
+    def trial_parent(self) -> str | None:
         """A better parent to which a second link is to be opened, None if there is none."""
         return self._trial_parent
 
@@ -88,7 +90,7 @@
         }
         self._next_trial_at = max(self._next_trial_at, now + self._timing.return_after)
 
-    def heard(self, parent: str, now: float) -> None:
+    def record_message(self, parent: str, now: float) -> None:
         """Record that a message arrived over the link to a parent."""
         if parent == self._trial_parent:
             self._switch_to(parent, now)
@@ -97,29 +99,29 @@
             self._has_received_message = True
             self._last_message_at = now
 
-    def received(self, position: Position) -> None:
+    def record_update(self, position: Position) -> None:
         """Record the position of an update that arrived over any link."""
         self._newest_position = max(self._newest_position, position)
         while self._awaited_updates and self._awaited_updates[0].position <= self._newest_position:
             self._awaited_updates.popleft()
 
-    def digest(self, position: Position, now: float) -> None:
+    def record_digest(self, position: Position, now: float) -> None:
         """Record the newest position, as announced by a control machine."""
         newest = self._awaited_updates[-1].position if self._awaited_updates else self._newest_position
         if position > newest:
             self._awaited_updates.append(_AwaitedUpdate(position, now))
 
-    def failed(self, parent: str, now: float) -> None:
+    def record_link_failure(self, parent: str, now: float) -> None:
         """Record that a link could not be opened, was refused by the parent, or ended."""
         self._leave_parent(parent, now)
 
-    def suspected(self, parent: str, now: float) -> None:
+    def record_suspicion(self, parent: str, now: float) -> None:
         """Record that the monitors of a parent suspect it or consider it dead."""
         self._leave_parent(parent, now)
 
     def tick(self, now: float) -> str:
         """Check all timeouts, and return the parent to be linked to now."""
-        if self._pause_detector.paused(now):
+        if self._pause_detector.detect_pause(now):
             self._restart_limits(now)
         if self._is_unresponsive(now) or self._is_lagging(now):
             self._leave_parent(self._current_parent, now)
--- a/rookwood/coordination/pauses.py
+++ b/rookwood/coordination/pauses.py
@@ -8,7 +8,7 @@
         self._limit = limit
         self._last_call_at = now
 
-    def paused(self, now: float) -> bool:
+    def detect_pause(self, now: float) -> bool:
         """Return whether the time since the previous call exceeds the limit; to be called at every tick."""
         gap = now - self._last_call_at
         self._last_call_at = now
--- a/rookwood/coordination/relay_tree.py
+++ b/rookwood/coordination/relay_tree.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from rookwood.coordination.rendezvous import HASH_SPACE, rank_members, weight
+from rookwood.coordination.rendezvous import HASH_SPACE, rank_members, rendezvous_weight
 
 DEFAULT_FAN_OUT = 16
 MIN_FAN_OUT = 4
@@ -39,7 +39,7 @@
 
 def rank_of(identity: str, epoch: int) -> Rank:
     """Return the rank of a dispatcher; its parents must have a smaller rank."""
-    return Rank(weight(f"rank {epoch}", identity), identity)
+    return Rank(rendezvous_weight(f"rank {epoch}", identity), identity)
 
 
 class RelayTree:
@@ -118,7 +118,7 @@
         growth = max(MIN_LEVEL_GROWTH, round(self._fan_out * MEAN_FILL))
         level = 0
         bound = HASH_SPACE // growth
-        while self._ranks[identity].weight < bound:
+        while self._ranks[identity].rendezvous_weight < bound:
             level += 1
             bound //= growth
         return level
--- a/rookwood/coordination/rendezvous.py
+++ b/rookwood/coordination/rendezvous.py
@@ -34,7 +34,7 @@
 
 def top_members(key: str, members: Iterable[str], count: int) -> list[str]:
     """Return the first `count` members of `rank_members`, without sorting all of them."""
-    return nsmallest(count, members, key=lambda member: (-weight(key, member), member))
+    return nsmallest(count, members, key=lambda member: (-rendezvous_weight(key, member), member))
 
 
 def _mix(value: int) -> int:
--- a/rookwood/coordination/replication.py
+++ b/rookwood/coordination/replication.py
@@ -99,7 +99,7 @@
         """Return whether this replica is a member with the storage that it has."""
         return self._context.is_member()
 
-    def reachable(self, now: float) -> frozenset[str]:
+    def reachable_members(self, now: float) -> frozenset[str]:
         """Return the members from which a message arrived within the lease time, and this one."""
         self._begin_input(now)
         lease = self._context.timing.lease
@@ -111,11 +111,11 @@
         """Return the record that is known to be synced to disk."""
         return self._context.journal.durable
 
-    def promised(self) -> int:
+    def promised_epoch(self) -> int:
         """Return the highest promised epoch, synced or not."""
         return self._context.journal.latest.promised
 
-    def leads(self) -> bool:
+    def is_leading(self) -> bool:
         """Return whether this process won an epoch and leads it, even before its first commit."""
         return self._leadership is not None
 
--- a/rookwood/coordination/storage.py
+++ b/rookwood/coordination/storage.py
@@ -92,6 +92,8 @@
 
 @dataclass(frozen=True)
 class _SlotRecord:
+    """The record in a file, and its serial number."""
+
     serial: int
     record: Record
 
@@ -107,11 +109,11 @@
         self._directory_synced_slots: set[str] = set()
         self._broken_slots: set[str] = set()
         self._unsynced_slot: str | None = None
-        self._next_slot = SLOTS[0]
+        self._next_slot = SLOT_FILES[0]
         self._serial = 0
 
     @property
-    def slot_in_turn(self) -> str:
+    def next_slot(self) -> str:
         """The file to which the next write goes; its present content is not needed."""
         return self._next_slot
 
@@ -123,7 +125,7 @@
         interrupted first write, so nothing was acknowledged yet.
         """
         try:
-            existing = [slot for slot in SLOTS if self._path(slot).exists()]
+            existing = [slot for slot in SLOT_FILES if self._path(slot).exists()]
             has_marker = (self._directory / MARKER).exists()
         except OSError as error:
             return Inaccessible((SlotFault(MARKER, FaultKind.INACCESSIBLE, str(error)),))
@@ -143,7 +145,7 @@
             self._unsynced_slot = newest
             return Found(record)
         is_interrupted_first_write = all(fault.kind is FaultKind.TORN for fault in faults)
-        if has_marker or len(existing) == len(SLOTS) or not is_interrupted_first_write:
+        if has_marker or len(existing) == len(SLOT_FILES) or not is_interrupted_first_write:
             return Lost(faults)
         return Empty()
 
@@ -254,7 +256,7 @@
 
 
 def _other_slot(slot: str) -> str:
-    return SLOTS[1] if slot == SLOTS[0] else SLOTS[0]
+    return SLOT_FILES[1] if slot == SLOT_FILES[0] else SLOT_FILES[0]
 
 
 def _make_directory(directory: Path) -> None:
--- a/tests/test_coordination_group.py
+++ b/tests/test_coordination_group.py
@@ -35,7 +35,7 @@
 
 FIRST_MEMBERS = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
 NEWCOMER = "127.0.0.4"
-LIMIT = 15.0
+TIMEOUT = 15.0
 COMMITS_OF_AN_ADMISSION = 2
 CHANGES_DURING_RESETS = 12
 
@@ -108,7 +108,7 @@
 
     async def until(self, condition: Callable[[], bool]) -> None:
         """Wait until a condition holds; it is checked at each commit and role change."""
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             while not condition():
                 self._changed.clear()
                 await self._changed.wait()
@@ -149,7 +149,7 @@
     return lambda payload: payload + text
 
 
-def once(text: bytes) -> Callable[[bytes], bytes | Declined]:
+def appending_once(text: bytes) -> Callable[[bytes], bytes | Declined]:
     """Return an idempotent change: it appends the text only where it is missing."""
     return lambda payload: payload if payload.endswith(text) else payload + text
 
@@ -195,7 +195,7 @@
         group = self.cluster.groups[await self.cluster.until_led()]
         beyond = 10
         changes = MAX_WAITING_CHANGES + 1 + beyond  # one is in flight
-        proposed = [group.propose(appending(b"%d," % number), limit=LIMIT) for number in range(changes)]
+        proposed = [group.propose(appending(b"%d," % number), limit=TIMEOUT) for number in range(changes)]
         outcomes = await asyncio.gather(*proposed)
         self.assertEqual([Overloaded()] * beyond, outcomes[-beyond:])
         self.assertTrue(all(isinstance(outcome, Committed) for outcome in outcomes[:-beyond]))
@@ -327,7 +327,9 @@
             while not isinstance(outcome, Committed):
                 await self.cluster.until(lambda: self.cluster.primary_address() is not None)
                 primary = self.cluster.primary_address() or victim
-                proposing = asyncio.create_task(self.cluster.groups[primary].propose(once(text), limit=1.0))
+                proposing = asyncio.create_task(
+                    self.cluster.groups[primary].propose(appending_once(text), limit=1.0)
+                )
                 await asyncio.sleep(0)
                 self.reset_connections(victim)
                 outcome = await proposing
--- a/tests/test_coordination_storage.py
+++ b/tests/test_coordination_storage.py
@@ -200,7 +200,7 @@
         """lmdb opens many such files, but then rejects writes to them."""
         large = Record(5, 2, True, Document(Position(1, 1), CONFIGURATION, bytes(9000)))
         self.save(Record(5, 1), large, Record(5, 3), large, Record(5, 4))
-        path = self.directory / SLOTS[1]
+        path = self.directory / SLOT_FILES[1]
         intact = path.read_bytes()
         for start in range(0, len(intact), 4096):
             truncated_page = intact[start : start + 100] + bytes(3996)
@@ -230,20 +230,20 @@
 
     def test_torn_first_write_counts_as_empty(self) -> None:
         self.save(Record(5, 1))
-        intact = (self.directory / SLOTS[0]).read_bytes()
+        intact = (self.directory / SLOT_FILES[0]).read_bytes()
         (self.directory / MARKER).unlink()
         for size in (0, 1, 16, 18, 100, 4096, 5000, 8192, len(intact) - 4096):
             for tail in (b"", bytes(len(intact) - size)):
                 with self.subTest(size=size, tail=len(tail)):
-                    (self.directory / SLOTS[0]).write_bytes(intact[:size] + tail)
+                    (self.directory / SLOT_FILES[0]).write_bytes(intact[:size] + tail)
                     self.assertEqual(self.load(), Empty())
 
     def test_corrupt_file_after_a_completed_write_counts_as_lost(self) -> None:
         self.save(Record(5, 1))
-        intact = (self.directory / SLOTS[0]).read_bytes()
+        intact = (self.directory / SLOT_FILES[0]).read_bytes()
         for size in (0, 1, 16, 100, 4096, 8192, len(intact) - 4096):
             with self.subTest(size=size):
-                (self.directory / SLOTS[0]).write_bytes(intact[:size])
+                (self.directory / SLOT_FILES[0]).write_bytes(intact[:size])
                 self.assertEqual(self.lost_kinds(), [FaultKind.TORN])
         (self.directory / SLOT_FILES[0]).unlink()
         self.assertEqual(self.lost_kinds(), [])
@@ -252,7 +252,7 @@
         """lmdb maps a truncated file, and reading beyond its end would kill the process with SIGBUS."""
         large = Record(5, 2, True, Document(Position(1, 1), CONFIGURATION, bytes(range(256)) * 800))
         self.save(Record(5, 1), large)
-        path = self.directory / SLOTS[1]
+        path = self.directory / SLOT_FILES[1]
         intact = path.read_bytes()
         for size in (*range(0, 8192, 1024), *range(8192, len(intact) - 4096, 4096)):
             path.write_bytes(intact[:size])
--- a/tests/test_coordination_storage_histories.py
+++ b/tests/test_coordination_storage_histories.py
@@ -64,7 +64,7 @@
     @rule(data=st.data())
     def lose_power_during_a_write(self, data: st.DataObject) -> None:
         """Tear any pages and the end of the file to which the next write goes."""
-        path = self.directory / self.storage.slot_in_turn
+        path = self.directory / self.storage.next_slot
         self.storage.close()
         if path.exists() and self.stored is not None:
             content = bytearray(path.read_bytes())
--- a/tests/test_coordination_transport.py
+++ b/tests/test_coordination_transport.py
@@ -8,13 +8,13 @@
 from rookwood.coordination import transport as transport_module
 from rookwood.coordination.codec import decode_message
 from rookwood.coordination.document import Configuration, Document, Position
-from rookwood.coordination.lanes import Channel, Preamble, encode_frame, read_frame, read_preamble
+from rookwood.coordination.framing import Channel, Preamble, encode_frame, read_frame, read_preamble
 from rookwood.coordination.messages import JoinRequest, Message, Write
 from rookwood.coordination.transport import Transport
 from rookwood.lab.free_ports import find_free_port
 
 FIRST, SECOND = "127.0.0.1", "127.0.0.2"
-LIMIT = 10.0
+TIMEOUT = 10.0
 LARGE = 8_000_000  # bytes, more than the kernel accepts from a sender whose peer does not read
 
 
@@ -45,7 +45,7 @@
 
     async def next(self) -> tuple[str, int, Message]:
         """Return the next message."""
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             return await self.received.get()
 
 
@@ -83,7 +83,7 @@
         again, inbox_again = await self.open(SECOND, 23)
         again.send(FIRST, JoinRequest(5))
         self.assertEqual(await inbox.next(), (SECOND, 23, JoinRequest(5)))
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             while inbox_again.received.empty():
                 first.send(SECOND, JoinRequest(2))
                 again.send(FIRST, JoinRequest(6))
@@ -109,7 +109,7 @@
         second.send(FIRST, JoinRequest(1))
         await inbox.next()
         await second.stop()
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             self.assertEqual(await inbox.disconnects.get(), SECOND)
 
     async def test_connections_without_a_valid_preamble_or_frame_are_closed(self) -> None:
@@ -118,7 +118,7 @@
         for noise in (b"GET / HTTP/1.1\r\n\r\n", b"RKC1" + bytes(9) + b"\xff\xff\xff\xff"):
             reader, writer = await asyncio.open_connection(SECOND, self.port)
             writer.write(noise)
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TIMEOUT):
                 with self.assertRaises((ConnectionError, asyncio.IncompleteReadError)):
                     await reader.readexactly(1)
             writer.close()
@@ -135,7 +135,7 @@
         self.addCleanup(server.close)
         first, _ = await self.open(FIRST, 11)
         first.send(SECOND, JoinRequest(1))
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             await connections.get()
             with patch.object(transport_module, "SILENCE_LIMIT", 0.0):
                 first.send(SECOND, JoinRequest(2))
@@ -183,7 +183,7 @@
 
     async def connection(self, channel: Channel) -> asyncio.StreamReader:
         """Return the next connection that a member opened on a channel."""
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             return await self._opened_readers[channel].get()
 
     def close_document_channel(self) -> None:
@@ -199,7 +199,7 @@
 
 async def next_message(reader: asyncio.StreamReader) -> Message:
     """Read one message."""
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(TIMEOUT):
         return decode_message(await read_frame(reader))
 
 
@@ -286,7 +286,7 @@
         await self.inbox.next()
         self.assertTrue(self.inbox.disconnects.empty())
         control.close()
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             self.assertEqual(await self.inbox.disconnects.get(), SECOND)
 
     async def test_document_channel_that_closed_alone_is_reopened(self) -> None:
@@ -306,7 +306,7 @@
         second = Transport(SECOND, 22, SECOND, self.peer.port, inbox.receive, inbox.record_disconnect)
         await second.start()
         self.addAsyncCleanup(second.stop)
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             while not (self.first.has_document_channel(SECOND) and second.has_document_channel(FIRST)):
                 self.first.send(SECOND, JoinRequest(1))
                 second.send(FIRST, JoinRequest(2))
--- a/tests/test_first_members.py
+++ b/tests/test_first_members.py
@@ -17,7 +17,7 @@
 GROWING = Plan(members=3, tolerate=TOLERATE, spares=6, triggered=0.05, longest=7.0)
 SEEDS_THAT_STAYED_WITHOUT_PRIMARY = (103, 127, 128, 129)
 STEP = 0.1
-LONG = 12.0  # seconds
+RECOVERY_TIME = 12.0  # seconds
 
 
 class FirstMembersTest(unittest.TestCase):
@@ -35,15 +35,15 @@
         primary = self.primary()
         return () if primary is None else self.harness.replicas[primary].members()
 
-    def start_with_records(self, *held: str) -> None:
-        """Start the first members: those in `held` with their first record, the others with empty disks."""
+    def start_with_records(self, *with_record: str) -> None:
+        """Start the first members; those outside `with_record` have empty disks."""
         for ip in (A, B, C):
-            self.harness.start(ip, self.harness.first if ip in held else None)
+            self.harness.start(ip, self.harness.first if ip in with_record else None)
 
     def test_disk_lost_before_the_group_has_grown_is_replaced(self) -> None:
         """With `tolerate` 2 a commit needs all three copies, and the lost one never returns."""
         self.start_with_records(A, B)
-        self.harness.pass_time(LONG)
+        self.harness.pass_time(RECOVERY_TIME)
         self.assertIsNotNone(self.primary())
 
     def test_change_under_way_when_a_disk_is_lost_commits_with_the_new_members(self) -> None:
@@ -51,7 +51,7 @@
         self.harness.lead(A)
         self.harness.propose(A, 1, b"new")
         self.harness.start(C, None)
-        self.harness.pass_time(LONG)
+        self.harness.pass_time(RECOVERY_TIME)
         self.assertIsInstance(self.harness.outcomes[1], Committed)
         primary = self.primary()
         assert primary is not None
@@ -60,7 +60,7 @@
     def test_loss_of_two_of_three_disks_leaves_no_primary(self) -> None:
         """The remaining member cannot know whether the others promised a newer epoch."""
         self.start_with_records(A)
-        self.harness.pass_time(LONG)
+        self.harness.pass_time(RECOVERY_TIME)
         self.assertIsNone(self.primary())
 
     def test_group_grows_from_three_to_five_in_one_change(self) -> None:
@@ -69,7 +69,7 @@
         sizes = set()
         for ip in (D, E):
             self.harness.start(ip, None)
-        for _ in range(int(LONG / STEP)):
+        for _ in range(int(RECOVERY_TIME / STEP)):
             self.harness.pass_time(STEP)
             sizes.add(len(self.members()))
         self.assertEqual(5, len(self.members()))
@@ -78,7 +78,7 @@
     def test_fourth_machine_alone_is_admitted_after_a_wait(self) -> None:
         self.harness.start_all()
         self.harness.start(D, None)
-        self.harness.pass_time(LONG)
+        self.harness.pass_time(RECOVERY_TIME)
         self.assertEqual(4, len(self.members()))
 
     def test_seeds_that_stayed_without_a_primary(self) -> None:
@@ -109,7 +109,7 @@
         harness.lead(A)
         harness.start(C, None)
         ticket = 0
-        for _ in range(int(LONG / STEP)):
+        for _ in range(int(RECOVERY_TIME / STEP)):
             for _ in range(4):
                 ticket += 1
                 harness.propose(A, ticket, b".")
--- a/tests/test_fresh_backup.py
+++ b/tests/test_fresh_backup.py
@@ -49,7 +49,7 @@
         known = harness.replicas[C].snapshot()
         self.assertEqual(before.sequence + 1, newest.sequence)
         self.assertFalse(
-            role.fresh and Position(known.epoch, known.sequence) < Position(newest.epoch, newest.sequence),
+            role.is_fresh and Position(known.epoch, known.sequence) < Position(newest.epoch, newest.sequence),
             f"fresh at {known.sequence}, though the commit of {newest.sequence} was announced by heartbeats",
         )
 
--- a/tests/test_fresh_claims.py
+++ b/tests/test_fresh_claims.py
@@ -37,7 +37,7 @@
         self.harness.receive(ip, A, Heartbeat(epoch, 99, committed, committed))
 
     def test_backup_is_fresh_while_in_contact_with_an_established_primary(self) -> None:
-        self.assertTrue(self.role_of(C).fresh)
+        self.assertTrue(self.role_of(C).is_fresh)
 
     def test_backup_is_not_fresh_before_the_first_commit_of_a_primary(self) -> None:
         """Commits of earlier primaries may be missing here, which shows only with the primary's first one."""
@@ -52,11 +52,11 @@
         committed = self.harness.replicas[C].record().document.position
         self.harness.now += 4.0
         self.receive_heartbeat(C, epoch, committed)
-        self.assertFalse(self.role_of(C).fresh)
+        self.assertFalse(self.role_of(C).is_fresh)
         for _ in range(6):
             self.harness.now += LEASE / 5
             self.receive_heartbeat(C, epoch, committed)
-        self.assertTrue(self.role_of(C).fresh, "heartbeats have continued since the stall")
+        self.assertTrue(self.role_of(C).is_fresh, "heartbeats have continued since the stall")
 
     def test_claims_of_simulated_machines_are_true(self) -> None:
         for plan in (FREEZES, GROWING):
--- a/tests/test_lost_learner.py
+++ b/tests/test_lost_learner.py
@@ -6,7 +6,7 @@
 from rookwood.lab.replica_harness import MEMBERS, ReplicaHarness
 
 LEARNER = "10.0.0.4"
-RECOVERY_SPAN = 10.0
+RECOVERY_TIME = 10.0
 
 
 class LostLearnerTest(unittest.TestCase):
@@ -24,6 +24,6 @@
         harness.down.add(lost)
         harness.pass_time(2.0)
         harness.start(away, harness.disks[away])
-        harness.pass_time(RECOVERY_SPAN)
+        harness.pass_time(RECOVERY_TIME)
         acting = [ip for ip in (away, primary) if isinstance(harness.replicas[ip].role(harness.now), Primary)]
         self.assertEqual(len(acting), 1)
--- a/tests/test_operators_in_a_cut.py
+++ b/tests/test_operators_in_a_cut.py
@@ -25,7 +25,7 @@
 }
 ACCEPTED, CONFLICT, UNDECIDED = 200, 412, 503
 TIMEOUT = 15.0
-RETRY_PAUSE = 0.05
+RETRY_DELAY = 0.05
 READS = 2
 VERSIONS_IN_PARTITIONS = (8, 9)
 
@@ -93,8 +93,8 @@
                 f"http://{ip}:{self.port}/config",
                 data=json.dumps(document),
                 headers={"If-Match": str(base)},
-            ) as answer:
-                return answer.status
+            ) as response:
+                return response.status
         except (OSError, TimeoutError):
             return UNDECIDED
 
@@ -102,23 +102,23 @@
         """Send a change to a member until its status is not 503."""
         async with asyncio.timeout(TIMEOUT):
             while (status := await self.send(ip, document, base)) == UNDECIDED:
-                await asyncio.sleep(RETRY_PAUSE)
+                await asyncio.sleep(RETRY_DELAY)
         return status
 
     async def read(self, ip: str) -> object:
         """Return the configuration that a member serves, retrying until it does."""
         async with asyncio.timeout(TIMEOUT):
             while True:
-                async with self.client.get(f"http://{ip}:{self.port}/config") as answer:
-                    if answer.status == ACCEPTED:
-                        return await answer.json()
-                await asyncio.sleep(RETRY_PAUSE)
+                async with self.client.get(f"http://{ip}:{self.port}/config") as response:
+                    if response.status == ACCEPTED:
+                        return await response.json()
+                await asyncio.sleep(RETRY_DELAY)
 
     async def read_once(self, ip: str) -> tuple[int, Any]:
         """Read from a member once, following redirects; the status is 503 without a response."""
         try:
-            async with self.client.get(f"http://{ip}:{self.port}/config") as answer:
-                return answer.status, await answer.json()
+            async with self.client.get(f"http://{ip}:{self.port}/config") as response:
+                return response.status, await response.json()
         except (OSError, TimeoutError):
             return UNDECIDED, None
 
@@ -161,10 +161,10 @@
 
     async def leader_of(self, side: list[str]) -> str:
         """Return the primary among these members, waiting until there is one."""
-        await self.cluster.until(lambda: any(self.leads(ip) for ip in side))
-        return next(ip for ip in side if self.leads(ip))
+        await self.cluster.until(lambda: any(self.is_primary(ip) for ip in side))
+        return next(ip for ip in side if self.is_primary(ip))
 
-    def leads(self, ip: str) -> bool:
+    def is_primary(self, ip: str) -> bool:
         """Return whether a member is primary."""
         return isinstance(self.cluster.groups[ip].role(), Primary)
 
@@ -178,10 +178,10 @@
     async def test_of_concurrent_changes_on_both_sides_that_of_the_majority_is_accepted(self) -> None:
         isolated, accepted = change(8, "/cut-off"), change(8, "/taken")
         self.partition([self.primary], self.others)
-        answers = await asyncio.gather(
+        statuses = await asyncio.gather(
             self.send(self.primary, isolated, 3), self.send_until_decided(self.others[0], accepted, 3)
         )
-        self.assertEqual([UNDECIDED, ACCEPTED], answers)
+        self.assertEqual([UNDECIDED, ACCEPTED], statuses)
         self.assertEqual(UNDECIDED, await self.send(self.primary, isolated, 3), "decided while isolated")
         self.assertEqual(UNDECIDED, await self.send(self.primary, accepted, 3), "decided while isolated")
         self.partition()
@@ -235,7 +235,7 @@
 
     def any_primary(self) -> bool:
         """Return whether any running member is primary."""
-        return any(self.leads(ip) for ip in self.cluster.groups)
+        return any(self.is_primary(ip) for ip in self.cluster.groups)
 
 
 class LongLeaseTest(PartitionCase):
--- a/tests/test_relay_tree.py
+++ b/tests/test_relay_tree.py
@@ -142,7 +142,7 @@
         while self.now < end:
             self.now += TICK
             for parent in responsive_parents:
-                self.choice.heard(parent, self.now)
+                self.choice.record_message(parent, self.now)
             self.choice.tick(self.now)
 
     def test_responsive_parent_is_kept(self) -> None:
@@ -156,7 +156,7 @@
         self.assertEqual(self.choice.current_parent, "fallback")
 
     def test_fallback_that_never_responds_is_left_after_the_open_limit(self) -> None:
-        self.choice.failed("parent", self.now)
+        self.choice.record_link_failure("parent", self.now)
         self.run_until(TIMING.open_limit + 2 * TICK)
         self.assertEqual(self.choice.current_parent, "root")
 
@@ -179,20 +179,20 @@
         self.assertEqual(self.choice.current_parent, "fallback")
 
     def test_failed_fallback_is_skipped_when_the_parent_fails(self) -> None:
-        self.choice.suspected("fallback", self.now)
-        self.assertEqual(self.choice.current, "parent")
-        self.choice.failed("parent", self.now)
-        self.assertEqual(self.choice.current, "root")
+        self.choice.record_suspicion("fallback", self.now)
+        self.assertEqual(self.choice.current_parent, "parent")
+        self.choice.record_link_failure("parent", self.now)
+        self.assertEqual(self.choice.current_parent, "root")
 
     def test_return_waits_for_a_message_of_the_better_parent(self) -> None:
-        self.choice.failed("parent", self.now)
+        self.choice.record_link_failure("parent", self.now)
         self.run_until(TIMING.return_after + 2 * TICK, "fallback")
         self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("fallback", "parent"))
         self.run_until(self.now + TICK, "fallback", "parent")
         self.assertEqual((self.choice.current_parent, self.choice.trial_parent), ("parent", None))
 
     def test_dead_parent_is_tried_less_and_less_often_and_the_link_is_kept(self) -> None:
-        self.choice.failed("parent", self.now)
+        self.choice.record_link_failure("parent", self.now)
         trials = 0
         trying = False
         while self.now < 120.0:
@@ -214,7 +214,7 @@
         self.assertLessEqual(switches, 16)
 
     def test_own_stall_does_not_count_as_silence_or_lag_of_the_parent(self) -> None:
-        self.choice.digest(Position(1, 5), self.now)
+        self.choice.record_digest(Position(1, 5), self.now)
         self.choice.tick(30.0)
         self.now = 30.0
         self.choice.record_update(Position(1, 5))
@@ -246,7 +246,7 @@
         self.tree = RelayTree(self.members, ROOTS, epoch)
         self.dead: set[str] = set()
         self.choices = {m.identity: ParentChoice(self.tree.parents(m), self.now) for m in self.members}
-        self.linked: dict[str, str] = {}
+        self.linked_parents: dict[str, str] = {}
         self.switches = 0
 
     def step(self) -> None:
@@ -263,30 +263,30 @@
     def _exchange(self, name: str, choice: ParentChoice, parent: str | None) -> None:
         if parent is None or parent in self.dead:
             return
-        if self.linked.get(name) != parent and self._refuses(parent, name):
+        if self.linked_parents.get(name) != parent and self._rejects(parent, name):
             choice.record_link_failure(parent, self.now)
             return
-        self.linked[name] = parent
+        self.linked_parents[name] = parent
         choice.record_message(parent, self.now)
 
-    def _refuses(self, parent: str, child: str) -> bool:
+    def _rejects(self, parent: str, child: str) -> bool:
         if parent in ROOTS:
             return False
-        full = self.children(parent) >= self.tree.children_limit
-        return full or not self.tree.may_be_parent(parent, child)
+        is_full = self.child_count(parent) >= self.tree.children_limit
+        return is_full or not self.tree.may_be_parent(parent, child)
 
-    def children(self, parent: str) -> int:
-        return sum(p == parent and name not in self.dead for name, p in self.linked.items())
+    def child_count(self, parent: str) -> int:
+        return sum(p == parent and name not in self.dead for name, p in self.linked_parents.items())
 
-    def attached(self, name: str) -> bool:
+    def is_attached(self, name: str) -> bool:
         while name not in ROOTS:
-            if name in self.dead or self.linked.get(name) != self.choices[name].current_parent:
+            if name in self.dead or self.linked_parents.get(name) != self.choices[name].current_parent:
                 return False
-            name = self.linked[name]
+            name = self.linked_parents[name]
         return True
 
-    def detached(self) -> int:
-        return sum(name not in self.dead and not self.attached(name) for name in self.choices)
+    def detached_count(self) -> int:
+        return sum(name not in self.dead and not self.is_attached(name) for name in self.choices)
 
 
 class MassLossTest(unittest.TestCase):
@@ -298,13 +298,13 @@
             relay = Relay(320, seed)
             for _ in range(5):
                 relay.step()
-            self.assertEqual(relay.detached(), 0)
+            self.assertEqual(relay.detached_count(), 0)
             relay.dead = set(Random(seed).sample(sorted(relay.choices), 96))
             for _ in range(self.STEPS_TO_ATTACH):
                 relay.step()
-            self.assertEqual(relay.detached(), 0)
+            self.assertEqual(relay.detached_count(), 0)
             for _ in range(self.STEPS_AFTER_ATTACHING):
                 relay.step()
-                self.assertEqual(relay.detached(), 0)
+                self.assertEqual(relay.detached_count(), 0)
             for member in relay.members:
-                self.assertLessEqual(relay.children(member.identity), relay.tree.children_limit)
+                self.assertLessEqual(relay.child_count(member.identity), relay.tree.children_limit)
--- a/tests/test_replication_explore.py
+++ b/tests/test_replication_explore.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rookwood.coordination.exploration_ledger import BrokenError
+from rookwood.coordination.exploration_invariants import InvariantError
 from rookwood.coordination.explore import Bounds, ExplorationReport, Explorer
 from tests.test_replication_mutants import (
     Patch,
--- a/tests/test_replication_writes_under_way.py
+++ b/tests/test_replication_writes_under_way.py
@@ -40,7 +40,7 @@
         """Return the positions of the documents sent to C since the previous call."""
         return [position_of(write) for write in self.harness.take(Write, C)]
 
-    def acknowledge(self, position: Position) -> None:
+    def acknowledge_write_from_c(self, position: Position) -> None:
         """Deliver C's acknowledgement of a document."""
         self.harness.receive(A, C, WriteAck(position.epoch, position, 0))
 
@@ -52,7 +52,7 @@
         answered = sent[-1] if number is None else number
         self.harness.receive(A, C, HeartbeatAck(stored.epoch, answered, stored, 0))
 
-    def latest_round(self) -> int:
+    def start_round(self) -> int:
         """Let A start a heartbeat round, and return its number."""
         self.harness.now += TIMING.heartbeat
         self.harness.tick(A)
@@ -60,7 +60,7 @@
         assert isinstance(heartbeat, Heartbeat)
         return heartbeat.round
 
-    def newest(self) -> Position:
+    def committed_position(self) -> Position:
         """Return the position of the newest commit."""
         snapshot = self.harness.replicas[A].snapshot()
         return Position(snapshot.epoch, snapshot.sequence)
@@ -74,9 +74,9 @@
         for ticket in range(1, 5):
             self.change(ticket)
         first = self.documents_sent_to_c()[0]
-        self.acknowledge(first)
-        self.assertEqual([self.newest()], self.documents_sent_to_c())
-        self.acknowledge(self.newest())
+        self.acknowledge_write_from_c(first)
+        self.assertEqual([self.committed_position()], self.documents_sent_to_c())
+        self.acknowledge_write_from_c(self.committed_position())
         self.assertEqual([], self.documents_sent_to_c())
 
     def test_heartbeat_acknowledgement_replaces_a_lost_write_acknowledgement(self) -> None:
@@ -84,42 +84,42 @@
             self.change(ticket)
         first = self.documents_sent_to_c()[0]
         self.acknowledge_heartbeat_from_c(first, number=0)
-        self.assertEqual([self.newest()], self.documents_sent_to_c())
+        self.assertEqual([self.committed_position()], self.documents_sent_to_c())
 
     def test_acknowledgement_of_an_earlier_heartbeat_does_not_end_a_write(self) -> None:
-        older = self.newest()
-        earlier = self.latest_round()
+        older = self.committed_position()
+        earlier = self.start_round()
         for ticket in (1, 2):
             self.change(ticket)
         self.documents_sent_to_c()
-        self.acknowledge(older)
+        self.acknowledge_write_from_c(older)
         self.acknowledge_heartbeat_from_c(older, earlier)
         self.assertEqual([], self.documents_sent_to_c())
 
     def test_acknowledgement_of_a_later_heartbeat_ends_a_write(self) -> None:
-        older = self.newest()
+        older = self.committed_position()
         for ticket in (1, 2):
             self.change(ticket)
         self.documents_sent_to_c()
         self.acknowledge_heartbeat_from_c(older)
-        self.assertEqual([self.newest()], self.documents_sent_to_c())
+        self.assertEqual([self.committed_position()], self.documents_sent_to_c())
 
     def test_new_change_is_sent_after_the_previous_one_was_lost(self) -> None:
-        older = self.newest()
+        older = self.committed_position()
         self.change(1)
         self.documents_sent_to_c()
         self.acknowledge_heartbeat_from_c(older)
         self.assertEqual([], self.documents_sent_to_c())
         self.change(2)
-        self.assertEqual([self.newest()], self.documents_sent_to_c())
+        self.assertEqual([self.committed_position()], self.documents_sent_to_c())
 
     def test_lost_write_is_resent_after_the_resend_time(self) -> None:
-        older = self.newest()
+        older = self.committed_position()
         self.change(1)
         self.documents_sent_to_c()
         self.harness.now += TIMING.write_resend
         self.acknowledge_heartbeat_from_c(older)
-        self.assertEqual([self.newest()], self.documents_sent_to_c())
+        self.assertEqual([self.committed_position()], self.documents_sent_to_c())
 
     def test_failed_write_is_no_longer_under_way(self) -> None:
         self.change(1)
@@ -127,10 +127,10 @@
         self.harness.receive(A, C, WriteFailed(failed.epoch, failed))
         self.assertEqual([], self.documents_sent_to_c())
         self.change(2)
-        self.assertEqual([self.newest()], self.documents_sent_to_c())
+        self.assertEqual([self.committed_position()], self.documents_sent_to_c())
 
     def test_failure_of_an_earlier_write_does_not_end_a_write(self) -> None:
-        earlier = self.newest()
+        earlier = self.committed_position()
         self.change(1)
         self.documents_sent_to_c()
         self.harness.receive(A, C, WriteFailed(earlier.epoch, earlier))
@@ -143,7 +143,7 @@
         self.documents_sent_to_c()
         self.harness.start(C, self.harness.disks[C])
         self.harness.receive(A, C, HeartbeatAck(1, 1, Position(), 0))
-        self.assertEqual([self.newest()], self.documents_sent_to_c())
+        self.assertEqual([self.committed_position()], self.documents_sent_to_c())
 
     def test_heartbeats_continue_while_a_write_is_under_way(self) -> None:
         self.change(1)
@@ -164,8 +164,8 @@
     def test_commits_wait_again_for_a_member_that_caught_up(self) -> None:
         for ticket in (1, 2):
             self.change(ticket)
-        self.acknowledge(self.documents_sent_to_c()[0])
-        self.acknowledge(self.newest())
+        self.acknowledge_write_from_c(self.documents_sent_to_c()[0])
+        self.acknowledge_write_from_c(self.committed_position())
         self.documents_sent_to_c()
         self.harness.propose(A, 3, b"x")
         self.harness.sync(A)
--- a/tests/test_stored_form.py
+++ b/tests/test_stored_form.py
@@ -16,7 +16,7 @@
     "00010a0801061c041031302e302e302e31001031302e302e302e320e0002"
     "1031302e302e302e338080808080808080800100127061796c6f616400ff"
 )
-ACCEPTED = TakenChanges.of((TakenChange(bytes(range(16)), 3), TakenChange(bytes(16), 9)))
+ACCEPTED = AcceptedChanges.of((AcceptedChange(bytes(range(16)), 3), AcceptedChange(bytes(16), 9)))
 DOCUMENT = ControlDocument(9, b'{"ver":9}', ACCEPTED)
 DOCUMENT_V1 = bytes.fromhex(
     "0112127b22766572223a397d04000102030405060708090a0b0c0d0e0f06000000000000000000000000000000001200"
