--- a/rookwood/coordination/context.py
+++ b/rookwood/coordination/context.py
@@ -98,7 +98,10 @@
         return record.initialised and self.configuration().has_member(Member(self.ip, record.token))
 
     def is_recovering(self) -> bool:
-        """Return whether a member has this machine's address, but another storage was admitted."""
+        """Return whether this machine's address is that of a member but its storage is not the admitted one.
+
+        That is the case after the storage was lost.
+        """
         return self.configuration().has_address(self.ip) and not self.is_member()
 
     def own_acknowledgement(self) -> dict[str, int | None]:
--- a/rookwood/coordination/document.py
+++ b/rookwood/coordination/document.py
@@ -67,6 +67,7 @@
 
     def has_copy_quorum(self, holders: Acknowledgements, tolerate: int) -> bool:
         """Return whether the holders include a copy quorum of the members and a vote quorum of outgoing ones.
+
         The copies of the new members make the document durable. A majority of the outgoing set suffices:
         a candidate elected by that set gets the promise of at least one holder, and with it the new members.
         """
--- a/rookwood/coordination/election.py
+++ b/rookwood/coordination/election.py
@@ -99,9 +99,9 @@
         if not self._own_promise_durable or not self._is_eligible():
             return False
         voters = self._context.own_acknowledgement()
-        for ip, supporter in self._promises.items():
-            if self._context.contacts[ip].incarnation == supporter.incarnation:
-                voters[ip] = supporter.token
+        for ip, granted in self._promises.items():
+            if self._context.contacts[ip].incarnation == granted.incarnation:
+                voters[ip] = granted.token
         return self.newest_document.configuration.has_vote_quorum(voters)
 
     def tick(self) -> None:
--- a/rookwood/coordination/exploration_invariants.py
+++ b/rookwood/coordination/exploration_invariants.py
@@ -12,9 +12,9 @@
 class InvariantError(Exception):
     """An invariant is violated; `trace` is a shortest sequence of steps that leads there."""
 
-    def __init__(self, why: str, trace: tuple[str, ...] = ()) -> None:
-        super().__init__(why)
-        self.reason = why
+    def __init__(self, reason: str, trace: tuple[str, ...] = ()) -> None:
+        super().__init__(reason)
+        self.reason = reason
         self.trace = trace
 
 
--- a/rookwood/coordination/lmdb_header.py
+++ b/rookwood/coordination/lmdb_header.py
@@ -29,7 +29,7 @@
 
 
 def inspect_file(path: Path) -> FileForm:
-    """Return whether a file can be mapped as an lmdb file; raises OSError if it cannot be read."""
+    """Return the form of a file; only a `WHOLE` one may be mapped. Raises OSError if it cannot be read."""
     length = path.stat().st_size
     with path.open("rb") as file:
         first_header = file.read(HEADER_BYTES)
--- a/rookwood/coordination/membership.py
+++ b/rookwood/coordination/membership.py
@@ -42,8 +42,8 @@
     def drop_expired_requests(self, configuration: Configuration) -> None:
         """Drop requests that were not repeated lately, and those of machines that are members by now."""
         limit = self._context.now - self._context.timing.learner_silence
-        for ip, learner in list(self._requests.items()):
-            if learner.requested_at < limit or configuration.has_member(Member(ip, learner.token)):
+        for ip, request in list(self._requests.items()):
+            if request.requested_at < limit or configuration.has_member(Member(ip, request.token)):
                 del self._requests[ip]
 
     def next_configuration(
@@ -71,10 +71,10 @@
 
     def would_admit(self, ip: str, token: int | None, configuration: Configuration) -> bool:
         """Return whether a machine asked to be admitted, and would be once it has the newest document."""
-        learner = self._requests.get(ip)
-        if learner is None or learner.token != token or configuration.outgoing:
+        request = self._requests.get(ip)
+        if request is None or request.token != token or configuration.outgoing:
             return False
-        return self._members_with(Member(ip, learner.token), configuration.members) is not None
+        return self._members_with(Member(ip, request.token), configuration.members) is not None
 
     def _next_members(
         self, document: Document, progress: Mapping[str, MemberProgress]
@@ -110,12 +110,12 @@
         configuration = document.configuration
         silence = MAX_MISSED_HEARTBEATS * self._context.timing.heartbeat
         ready = [
-            Member(ip, learner.token)
-            for ip, learner in self._requests.items()
-            if progress[ip].token == learner.token
+            Member(ip, request.token)
+            for ip, request in self._requests.items()
+            if progress[ip].token == request.token
             and progress[ip].stored_position >= document.position
             and self._context.is_in_contact(ip, silence)
-            and not configuration.has_member(Member(ip, learner.token))
+            and not configuration.has_member(Member(ip, request.token))
         ]
         return sorted(ready, key=lambda member: not configuration.has_address(member.ip))
 
@@ -143,6 +143,6 @@
 
     def _is_lost(self, member: Member, span: float) -> bool:
         """Return whether a member was unresponsive for this long, or asks to join with a new storage."""
-        learner = self._requests.get(member.ip)
-        has_new_storage = learner is not None and learner.token != member.token
+        request = self._requests.get(member.ip)
+        has_new_storage = request is not None and request.token != member.token
         return has_new_storage or not self._context.is_in_contact(member.ip, span)
--- a/rookwood/coordination/relay_tree.py
+++ b/rookwood/coordination/relay_tree.py
@@ -33,7 +33,7 @@
 class Rank:
     """The position of a dispatcher in the order of one epoch, the same in every view."""
 
-    rendezvous_weight: int
+    weight: int
     identity: str
 
 
@@ -118,7 +118,7 @@
         growth = max(MIN_LEVEL_GROWTH, round(self._fan_out * MEAN_FILL))
         level = 0
         bound = HASH_SPACE // growth
-        while self._ranks[identity].rendezvous_weight < bound:
+        while self._ranks[identity].weight < bound:
             level += 1
             bound //= growth
         return level
--- a/rookwood/coordination/storage.py
+++ b/rookwood/coordination/storage.py
@@ -107,7 +107,7 @@
         self._map_bytes = max(MIN_MAP_BYTES, min(MAX_MAP_BYTES, map_bytes))
         self._environments: dict[str, lmdb.Environment] = {}
         self._directory_synced_slots: set[str] = set()
-        self._broken_slots: set[str] = set()
+        self._corrupt_slots: set[str] = set()
         self._unsynced_slot: str | None = None
         self._next_slot = SLOT_FILES[0]
         self._serial = 0
@@ -131,7 +131,7 @@
             return Inaccessible((SlotFault(MARKER, FaultKind.INACCESSIBLE, str(error)),))
         results = [(slot, self._read(slot)) for slot in existing]
         faults = tuple(result for _, result in results if isinstance(result, SlotFault))
-        self._broken_slots |= {fault.slot for fault in faults}
+        self._corrupt_slots |= {fault.slot for fault in faults}
         if any(fault.kind is FaultKind.INACCESSIBLE for fault in faults):
             return Inaccessible(faults)
         records = [
@@ -158,7 +158,7 @@
         try:
             self._write(slot, _pack(self._serial + 1, record))
         except _CORRUPTION_ERRORS:
-            self._broken_slots.add(slot)
+            self._corrupt_slots.add(slot)
             self.close()
             return False
         except (lmdb.Error, OSError):
@@ -236,11 +236,11 @@
 
         lmdb can often open a file with torn pages, but then rejects every write to it.
         """
-        if slot in self._broken_slots:
+        if slot in self._corrupt_slots:
             if slot in self._environments:
                 self._environments.pop(slot).close()
             self._path(slot).unlink(missing_ok=True)
-            self._broken_slots.discard(slot)
+            self._corrupt_slots.discard(slot)
         return self._open(slot)
 
     def _open(self, slot: str) -> lmdb.Environment:
--- a/rookwood/coordination/timing.py
+++ b/rookwood/coordination/timing.py
@@ -23,8 +23,9 @@
     copy_patience        how long a commit waits for healthy members beyond the quorum
     departure_limit      how long a primary that hands over waits for the other members' copies
     inquiry              interval at which a machine that is not a member asks to be admitted
-    replace_after        time without a message after which a member may be replaced, and how long a document
-                         waits for copies, or an admission to an even number of members for another machine
+    replace_after        time without a message after which a member may be replaced; also how long a document
+                         waits for copies of lost members, and how long the group waits for another machine
+                         before it grows to an even number of members
     learner_silence      time after which an unrepeated request for admission expires
     disk_limit           duration of a disk write after which the member neither leads nor stands
     disk_retry           time after which a failed disk is tried again
--- a/tests/test_coordination_group.py
+++ b/tests/test_coordination_group.py
@@ -193,13 +193,13 @@
     async def test_changes_beyond_the_queue_limit_are_rejected_and_never_made(self) -> None:
         await self.cluster.start_all()
         group = self.cluster.groups[await self.cluster.until_led()]
-        beyond = 10
-        changes = MAX_WAITING_CHANGES + 1 + beyond  # one is in flight
+        excess = 10
+        changes = MAX_WAITING_CHANGES + 1 + excess  # one change is in flight
         proposed = [group.propose(appending(b"%d," % number), limit=TIMEOUT) for number in range(changes)]
         outcomes = await asyncio.gather(*proposed)
-        self.assertEqual([Overloaded()] * beyond, outcomes[-beyond:])
-        self.assertTrue(all(isinstance(outcome, Committed) for outcome in outcomes[:-beyond]))
-        made = b"".join(b"%d," % number for number in range(changes - beyond))
+        self.assertEqual([Overloaded()] * excess, outcomes[-excess:])
+        self.assertTrue(all(isinstance(outcome, Committed) for outcome in outcomes[:-excess]))
+        made = b"".join(b"%d," % number for number in range(changes - excess))
         self.assertEqual(group.snapshot().payload, made)
 
     async def test_largest_payload_reaches_all_members_and_a_larger_one_changes_nothing(self) -> None:
@@ -291,27 +291,27 @@
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
         await self.commit(primary, b"a")
-        gone = next(ip for ip in FIRST_MEMBERS if ip != primary)
-        await self.cluster.stop(gone)
+        stopped = next(ip for ip in FIRST_MEMBERS if ip != primary)
+        await self.cluster.stop(stopped)
         newcomer = await self.cluster.start(NEWCOMER, bootstrap=False)
-        await self.cluster.until(lambda: NEWCOMER in newcomer.members() and gone not in newcomer.members())
+        await self.cluster.until(lambda: NEWCOMER in newcomer.members() and stopped not in newcomer.members())
         await self.cluster.until_led()
         await self.cluster.stop(primary)
         second = await self.cluster.until_led()
         self.assertEqual(self.cluster.payload(second), b"a")
-        self.assertNotIn(gone, self.cluster.groups[second].members())
+        self.assertNotIn(stopped, self.cluster.groups[second].members())
 
     async def test_removed_member_returns_as_a_learner(self) -> None:
         await self.cluster.start_all()
         primary = await self.cluster.until_led()
-        gone = next(ip for ip in FIRST_MEMBERS if ip != primary)
-        await self.cluster.stop(gone)
+        stopped = next(ip for ip in FIRST_MEMBERS if ip != primary)
+        await self.cluster.stop(stopped)
         newcomer = await self.cluster.start(NEWCOMER, bootstrap=False)
-        await self.cluster.until(lambda: gone not in newcomer.members() and NEWCOMER in newcomer.members())
+        await self.cluster.until(lambda: stopped not in newcomer.members() and NEWCOMER in newcomer.members())
         await self.commit(primary, b"a")
-        returned = await self.cluster.start(gone, bootstrap=True)
+        returned = await self.cluster.start(stopped, bootstrap=True)
         await self.cluster.until(lambda: returned.snapshot().payload == b"a")
-        self.assertNotIn(gone, returned.members())
+        self.assertNotIn(stopped, returned.members())
         epoch = self.cluster.groups[primary].snapshot().epoch
         await self.cluster.until(lambda: returned.role() == Learner(primary, epoch, in_contact=True))
 
@@ -322,16 +322,16 @@
         committed = b""
         for number in range(CHANGES_DURING_RESETS):
             text = b"%d," % number
-            victim = FIRST_MEMBERS[number % len(FIRST_MEMBERS)]
+            target = FIRST_MEMBERS[number % len(FIRST_MEMBERS)]
             outcome: object = None
             while not isinstance(outcome, Committed):
                 await self.cluster.until(lambda: self.cluster.primary_address() is not None)
-                primary = self.cluster.primary_address() or victim
+                primary = self.cluster.primary_address() or target
                 proposing = asyncio.create_task(
                     self.cluster.groups[primary].propose(appending_once(text), limit=1.0)
                 )
                 await asyncio.sleep(0)
-                self.reset_connections(victim)
+                self.reset_connections(target)
                 outcome = await proposing
             committed += text
             self.assertEqual(committed, outcome.snapshot.payload)
--- a/tests/test_coordination_storage_histories.py
+++ b/tests/test_coordination_storage_histories.py
@@ -102,7 +102,7 @@
     """Also checks that the first or the second write succeeds once the disk is healthy again."""
 
     @rule()
-    def heal(self) -> None:
+    def save_on_healthy_disk(self) -> None:
         """Store a record on a healthy disk, at the second attempt at the latest."""
         record = self.next_record(100)
         if not self.storage.save(record):
--- a/tests/test_coordination_transport.py
+++ b/tests/test_coordination_transport.py
@@ -115,9 +115,9 @@
     async def test_connections_without_a_valid_preamble_or_frame_are_closed(self) -> None:
         first, _ = await self.open(FIRST, 11)
         _, inbox = await self.open(SECOND, 22)
-        for noise in (b"GET / HTTP/1.1\r\n\r\n", b"RKC1" + bytes(9) + b"\xff\xff\xff\xff"):
+        for invalid_start in (b"GET / HTTP/1.1\r\n\r\n", b"RKC1" + bytes(9) + b"\xff\xff\xff\xff"):
             reader, writer = await asyncio.open_connection(SECOND, self.port)
-            writer.write(noise)
+            writer.write(invalid_start)
             async with asyncio.timeout(TIMEOUT):
                 with self.assertRaises((ConnectionError, asyncio.IncompleteReadError)):
                     await reader.readexactly(1)
--- a/tests/test_monitoring.py
+++ b/tests/test_monitoring.py
@@ -151,8 +151,8 @@
         peer = cluster.names[1]
         assignment = MonitorAssignment()
         assignment.set_members(cluster.names)
-        for stranger in set(cluster.names) - {peer, *assignment.monitors_of(peer)}:
-            monitor.receive_report(Suspicion(peer, 1, stranger, ReportOrder(1, 1)), 0.0)
+        for other in set(cluster.names) - {peer, *assignment.monitors_of(peer)}:
+            monitor.receive_report(Suspicion(peer, 1, other, ReportOrder(1, 1)), 0.0)
         self.assertIs(monitor.state(peer), PeerState.SUSPECTED)
 
     def test_older_report_does_not_replace_a_later_one(self) -> None:
@@ -204,11 +204,11 @@
             cluster = Cluster(40, seed)
             cluster.run(10)
             cluster.stopped = set(cluster.random.sample(cluster.names, 4))
-            frozen = set(cluster.stopped)
+            stalled = set(cluster.stopped)
             cluster.run(40)
-            self.assertTrue(cluster.running_agree(frozen))
-            for name in frozen:
-                for suspicion in cluster.monitors[min(set(cluster.names) - frozen)].suspicions_of(name):
+            self.assertTrue(cluster.running_agree(stalled))
+            for name in stalled:
+                for suspicion in cluster.monitors[min(set(cluster.names) - stalled)].suspicions_of(name):
                     cluster.monitors[name].receive_report(suspicion, cluster.now)
             cluster.stopped = set()
             before = cluster.suspicions
--- a/tests/test_replication_explore.py
+++ b/tests/test_replication_explore.py
@@ -51,10 +51,10 @@
 class MutantTest(unittest.TestCase):
     """Deliberately broken variants violate an invariant within the bounds."""
 
-    def assert_found(self, mutant: Patch, bounds: Bounds, why: str) -> None:
+    def assert_found(self, mutant: Patch, bounds: Bounds, reason: str) -> None:
         with mutant, self.assertRaises(InvariantError) as caught:
             Explorer(bounds).explore()
-        self.assertIn(why, caught.exception.reason)
+        self.assertIn(reason, caught.exception.reason)
         self.assertTrue(caught.exception.trace)
 
     def test_acknowledge_before_sync(self) -> None:
--- a/tests/test_replication_mutants.py
+++ b/tests/test_replication_mutants.py
@@ -240,7 +240,7 @@
     return patch.object(Leadership, "close", close)
 
 
-POWER = Plan(
+POWER_LOSSES = Plan(
     troubled=5.0,
     calm=5.0,
     faults=3,
@@ -258,7 +258,7 @@
     operator_pause=0.03,
     timing=LONG_LEASE,
 )
-MEMBERS = Plan(
+MEMBERSHIP_CHANGES = Plan(
     troubled=5.0,
     calm=5.0,
     spares=2,
@@ -277,7 +277,7 @@
     operator_pause=0.05,
     timing=LONG_LEASE,
 )
-DISKS = Plan(
+DISK_FAULTS = Plan(
     troubled=5.0,
     calm=5.0,
     faults=6,
@@ -341,10 +341,10 @@
         self.fail(f"{SEEDS_TO_SEARCH} seeds do not find the mutant")
 
     def test_acknowledge_before_sync(self) -> None:
-        self.assert_found(acknowledge_before_sync(), POWER)
+        self.assert_found(acknowledge_before_sync(), POWER_LOSSES)
 
     def test_commit_before_own_sync(self) -> None:
-        self.assert_found(commit_before_own_sync(), POWER)
+        self.assert_found(commit_before_own_sync(), POWER_LOSSES)
 
     def test_commit_without_second_copy(self) -> None:
         self.assert_found(commit_without_second_copy())
@@ -356,7 +356,7 @@
                 self.assert_found(mutant(), POWER_OF_ALL)
 
     def test_wiped_member_reuses_its_token(self) -> None:
-        self.assert_found(wiped_member_reuses_its_token(), DISKS)
+        self.assert_found(wiped_member_reuses_its_token(), DISK_FAULTS)
 
     def test_tokens_ignored(self) -> None:
         self.assert_found(tokens_ignored(), LOST_PROMISES)
@@ -389,10 +389,10 @@
         self.assert_found(stale_copy_elected())
 
     def test_membership_changed_in_one_step(self) -> None:
-        self.assert_found(membership_changed_in_one_step(), MEMBERS)
+        self.assert_found(membership_changed_in_one_step(), MEMBERSHIP_CHANGES)
 
     def test_outgoing_members_ignored(self) -> None:
-        self.assert_found(outgoing_members_ignored(), MEMBERS)
+        self.assert_found(outgoing_members_ignored(), MEMBERSHIP_CHANGES)
 
     def test_older_epoch_accepted(self) -> None:
         self.assert_found(older_epoch_accepted(), STALE_PRIMARY)
@@ -404,7 +404,7 @@
         self.assert_found(confirmed_without_round(), STALE_PRIMARY)
 
     def test_failed_write_treated_as_synced(self) -> None:
-        self.assert_found(failed_write_treated_as_synced(), DISKS)
+        self.assert_found(failed_write_treated_as_synced(), DISK_FAULTS)
 
     def test_uncommitted_document_applied(self) -> None:
         self.assert_found(uncommitted_document_applied())
@@ -424,11 +424,11 @@
 
     def test_invariants_hold_under_the_plans_of_the_mutants(self) -> None:
         for plan in (
-            POWER,
+            POWER_LOSSES,
             STALE_PRIMARY,
-            MEMBERS,
+            MEMBERSHIP_CHANGES,
             WIPES,
-            DISKS,
+            DISK_FAULTS,
             PROMISES,
             CONTENDED,
             UNSYNCED,
