--- a/rookwood/load_exchange.py
+++ b/rookwood/load_exchange.py
@@ -78,12 +78,12 @@
         return next((n for n in self.others_of(w) if self._paused_until.get(n, 0) <= now), None)
 
     def record_reply(self, peer: int) -> None:
-        """Note that a dispatcher is alive: any message of it counts."""
+        """Record that a dispatcher is alive, as any message from it shows."""
         self._missed_replies = 0
         self._paused_until.pop(peer, None)
 
     def record_silence(self, peer: int, now: int) -> None:
-        """Note that a dispatcher did not reply in time."""
+        """Record that a dispatcher did not reply in time."""
         self._missed_replies += 1
         self._paused_until[peer] = now + SILENT_PEER_PAUSE
 
@@ -116,7 +116,7 @@
         self._mean_job_slots = 1.0
 
     def start(self, delay: int) -> None:
-        """Note the start of this dispatcher, and send the first probe after `delay`."""
+        """Record the start of this dispatcher, and send the first probe after `delay`."""
         self._started_at = self._now
         if self._settings.probes:
             self._schedule(self._now + delay, self._probe_next, None)
@@ -201,10 +201,10 @@
     def _is_tracked_here(self, w: WorkerState) -> bool:
         return self._settings.peers and self._trackers.includes_me(w)
 
-    def _tracked_slots(self, w: WorkerState, but: int | None = None) -> float:
-        """Drop expired jobs and return the slots of the others, those of dispatcher `but` left out."""
+    def _tracked_slots(self, w: WorkerState, excluding: int | None = None) -> float:
+        """Drop expired jobs and return the slots of the others, except those of one dispatcher."""
         w.tracked_jobs = [job for job in w.tracked_jobs if job[0] > self._now]
-        return sum(slots for _, sender, slots in w.tracked_jobs if sender != but)
+        return sum(slots for _, sender, slots in w.tracked_jobs if sender != excluding)
 
     # ---- queries ----
 
@@ -278,7 +278,7 @@
                 until = self._now + int(HINT_LIFETIME * self._mean_job_time * max(1.0, w.slowness))
                 w.tracked_jobs = [*w.tracked_jobs[-MAX_TRACKED_JOBS:], (until, event.sender, hint.slots)]
             elif hint.kind is HintKind.LOAD_QUERY:
-                used = w.used_slots + self._tracked_slots(w, but=event.sender)
+                used = w.used_slots + self._tracked_slots(w, excluding=event.sender)
                 replies.append(
                     Hint(hint.worker, HintKind.LOAD_REPORT, used, max(w.fault_rate, w.peer_fault_rate))
                 )
