--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -140,7 +140,7 @@
     ) -> web.StreamResponse | ResponseLost:
         """Turn a complete response into the client's, unless a stream has begun or a retry may do better."""
         if progress.response is not None:
-            return ResponseLost("complete response in place of the rest of a stream")
+            return ResponseLost("no stream in place of the rest of one")
         if outcome.status >= FIRST_SERVER_ERROR and request.repeatable:
             progress.last_response = outcome
             return ResponseLost(f"status {outcome.status}")
--- a/rookwood/dataplane/upstream.py
+++ b/rookwood/dataplane/upstream.py
@@ -131,10 +131,10 @@
 def find_response_defect(response: Response, request: UpstreamRequest) -> str | None:
     """Why a response cannot be the worker's own response to this request; None if it can."""
     if response.headers.getall(names.REQUEST_ID, []) != [request.request_id]:
-        return "response to another request"
+        return "answer to another request"
     if response.status in OK_STATUSES:
         if len(response.headers.getall(names.SEAL, [])) != 1:
-            return "missing or repeated seal"
+            return "not one seal"
         if "Content-Encoding" in response.headers:
             return "encoded body"
     return None
--- a/rookwood/httpclient/connections.py
+++ b/rookwood/httpclient/connections.py
@@ -88,7 +88,7 @@
         body = self._response_body
         if body is None or body.is_eof() or body.exception() is not None:
             return
-        error = ClientPayloadError(f"connection lost before the end of the response: {cause!r}")
+        error = ClientPayloadError(f"connection lost before the end of the answer: {cause!r}")
         if cause is None:
             body.set_exception(error)
         else:
