--- a/rookwood/__main__.py
+++ b/rookwood/__main__.py
@@ -45,9 +45,9 @@
     try:
         dispatcher.reload(load(os.environ, again=True))
     except InvalidSettingError as error:
-        log.error("configuration not reloaded: %s", error)
+        log.error("the new configuration is not taken over: %s", error)
     except Exception:
-        log.exception("configuration not reloaded")
+        log.exception("the new configuration is not taken over")
 
 
 def load_extensions(environ: Mapping[str, str]) -> list[ExtensionFactory]:
