--- a/rookwood/dataplane/attempts.py
+++ b/rookwood/dataplane/attempts.py
@@ -198,7 +198,7 @@
             close_incomplete_response(client)
             return progress.response
         finally:
-            stream.answer.close()
+            stream.response.close()
         if isinstance(ended, StreamEnded):
             await progress.response.write_eof()
             return progress.response
--- a/rookwood/dataplane/closing.py
+++ b/rookwood/dataplane/closing.py
@@ -1,4 +1,4 @@
-"""The closing time of a dispatcher's process: which requests can still end before it, and the rest's end."""
+"""The closing time of a dispatcher's process: which requests fit before it, and the end of all others."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether the process is about to end."""
+        """Whether the closing time is set, as the process is shutting down."""
         return self.at is not None
 
     def set(self, at: float, now: float) -> None:
--- a/rookwood/dataplane/control_links.py
+++ b/rookwood/dataplane/control_links.py
@@ -32,7 +32,7 @@
 
 TICK_INTERVAL = 0.25  # seconds
 TIMING = ParentTiming(pause_limit=2 * TICK_INTERVAL)
-OUT_OF_TOUCH_LIMIT = 0.6  # seconds after the lease lapsed; by then a lost primary's successor is known
+OUT_OF_CONTACT_LIMIT = 0.6  # seconds after the lease lapsed; by then a lost primary's successor is known
 TIER_EDGE = "edge"
 
 
@@ -83,14 +83,14 @@
         if self._parent_choice is None:
             self._parent_choice = ParentChoice(candidates, now, TIMING)
         self._parent_choice.set_parents(candidates, now)
-        self._leave_if_out_of_contact(now)
+        self._suspect_parent_if_out_of_contact(now)
         previous = self._parent_choice.current_parent
         self._parent_choice.tick(now)
         if self._parent_choice.current_parent != previous:
             self._out_of_contact_since = None
         self._update_links(confirmed, primary, members)
 
-    def record_overdue_answer(self, peer: str, now: float) -> None:
+    def record_overdue_response(self, peer: str, now: float) -> None:
         """A machine did not respond to a fetch request in time."""
         if self._parent_choice is not None:
             self._parent_choice.record_suspicion(peer, now)
@@ -156,9 +156,9 @@
         elif self._out_of_contact_since is None:
             self._out_of_contact_since = now
 
-    def _leave_if_out_of_contact(self, now: float) -> None:
+    def _suspect_parent_if_out_of_contact(self, now: float) -> None:
         since = self._out_of_contact_since
-        if since is not None and now - since > OUT_OF_TOUCH_LIMIT and self._parent_choice is not None:
+        if since is not None and now - since > OUT_OF_CONTACT_LIMIT and self._parent_choice is not None:
             self._parent_choice.record_suspicion(self._parent_choice.current_parent, now)
             self._out_of_contact_since = None
 
--- a/rookwood/dataplane/program.py
+++ b/rookwood/dataplane/program.py
@@ -274,7 +274,7 @@
         self._extend_response_timeout(now)
         late_peer = self._follower.overdue_peer(now)
         if late_peer is not None and self._links is not None:
-            self._links.record_overdue_answer(late_peer, now)
+            self._links.record_overdue_response(late_peer, now)
         request = self._follower.next_request(now)
         if request is not None:
             self._send_to(request.peer, request.message)
--- a/rookwood/dataplane/responses.py
+++ b/rookwood/dataplane/responses.py
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """The worker's stream ended after a whole event."""
+    """The worker's stream ended after a complete event."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamBroke:
-    """The worker's stream broke off, or the dispatcher gave it up."""
+    """The worker's stream ended too early, or the dispatcher stopped reading it."""
 
     reason: str
 
--- a/rookwood/dataplane/return_times.py
+++ b/rookwood/dataplane/return_times.py
@@ -23,7 +23,7 @@
         self._longest_time_left: dict[str, float] = {}
 
     def looks_like_first_try(self, route: Route, time_left: float) -> bool:
-        """Whether a request with `time_left` seconds looks like a first try; also remembers the longest."""
+        """Whether a request with `time_left` seconds looks like a first try; records the longest time."""
         longest = max(time_left, self._longest_time_left.get(route.name, 0.0))
         self._longest_time_left[route.name] = longest
         return time_left >= FIRST_TRY_SHARE * longest
--- a/rookwood/dataplane/stream_relay.py
+++ b/rookwood/dataplane/stream_relay.py
@@ -34,7 +34,7 @@
     ended: StreamEnded | StreamBroke = StreamBroke(UNRESPONSIVE)
     try:
         async with asyncio.timeout_at(deadline), watch:
-            while data := await stream.answer.read_some():
+            while data := await stream.response.read_some():
                 if isinstance(data, ResponseLost):
                     return StreamBroke(data.reason)
                 watch.renew()
--- a/rookwood/dataplane/upstream.py
+++ b/rookwood/dataplane/upstream.py
@@ -21,12 +21,12 @@
 IDLE_PARAMETER = re.compile(r"\btimeout=(\d{1,6})\b")
 OK_STATUSES = range(200, 300)
 MISDIRECTED = 421
-NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})  # tell a client that its request has not run
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})  # a client takes them to mean that its request has not run
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The worker answered that it did not run the request."""
+    """The worker responded that it did not run the request."""
 
     status: int
 
@@ -46,7 +46,7 @@
 
     status: int
     headers: CIMultiDict[str]
-    answer: Response
+    response: Response
 
 
 UpstreamOutcome = NotSent | Rejected | ResponseLost | Complete | Streaming
--- a/tests/test_control_links.py
+++ b/tests/test_control_links.py
@@ -9,7 +9,7 @@
 from rookwood.cluster.messages import PROTOCOL_RELEASE, ControlMachine, HeartbeatAnswer, Status
 from rookwood.cluster.settings import parse_settings
 from rookwood.dataplane import control_links
-from rookwood.dataplane.control_links import OUT_OF_TOUCH_LIMIT, TICK_INTERVAL, TIMING, ControlLinks
+from rookwood.dataplane.control_links import OUT_OF_CONTACT_LIMIT, TICK_INTERVAL, TIMING, ControlLinks
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 OWN_ZONE, OTHER_ZONE = "z1", "z2"
@@ -140,14 +140,14 @@
         self.advance(2.0)
         first = self.feeding_machine()
         self.fresh = False
-        self.advance(OUT_OF_TOUCH_LIMIT - 2 * TICK_INTERVAL)
+        self.advance(OUT_OF_CONTACT_LIMIT - 2 * TICK_INTERVAL)
         self.assertEqual(first, self.feeding_machine())
         self.advance(4 * TICK_INTERVAL)
         self.assertNotEqual(first, self.feeding_machine())
 
     def test_a_machine_with_an_overdue_answer_is_replaced(self) -> None:
         first = self.feeding_machine()
-        self.links.record_overdue_answer(first, self.now)
+        self.links.record_overdue_response(first, self.now)
         self.tick()
         self.assertNotEqual(first, self.feeding_machine())
 
--- a/tests/test_httpclient_answers.py
+++ b/tests/test_httpclient_answers.py
@@ -131,9 +131,9 @@
     async def read_stream(self, stream: Streaming) -> bytes | None:
         """Return the body of a stream, or None if it is incomplete."""
         body = b""
-        while data := await within(stream.answer.read_some()):
+        while data := await within(stream.response.read_some()):
             if isinstance(data, ResponseLost):
-                stream.answer.close()
+                stream.response.close()
                 return None
             body += data
         return body
@@ -193,8 +193,8 @@
             await delayed_until(ending_after(b"", Ending.CLOSE), ended)(exchange)
 
         stream = await self.open_stream(send_and_stay)
-        self.assertEqual(STREAM_BODY, await within(stream.answer.read_some()))
-        reading = asyncio.create_task(stream.answer.read_some())
+        self.assertEqual(STREAM_BODY, await within(stream.response.read_some()))
+        reading = asyncio.create_task(stream.response.read_some())
         await asyncio.sleep(0)
         await self.client.close()
         self.assertIsInstance(await within(reading), ResponseLost)
