--- a/rookwood/modelplacement/bucket.py
+++ b/rookwood/modelplacement/bucket.py
@@ -34,5 +34,5 @@
         self._filled_at = now
 
     def return_token(self) -> None:
-        """Put one token back, for a load that surely did not begin."""
+        """Put one token back, for a load that certainly did not begin."""
         self._tokens = min(self.burst, self._tokens + 1.0)
--- a/rookwood/modelplacement/demand.py
+++ b/rookwood/modelplacement/demand.py
@@ -17,7 +17,7 @@
 POPULARITY_S = 60.0  # seconds; time constant of the slow average of a model's rate
 POPULARITY_SHARE = 0.5  # weight of the slow average relative to the current rate
 RECENT_S = 3.0  # seconds; a model requested within this time is not idle
-RECENT_USE_LOSS = 0.5  # loss of the last copy of such a model
+RECENT_USE_LOSS = 0.5  # loss of the last copy of a model requested within RECENT_S
 SPARE_SHARE = 0.1  # the loss of a spare copy, as part of that of a needed one
 IDLE_LOSS = 0.02  # breaks ties between idle weights: the least recently used are evicted first
 ADAPTER_SHARE = 0.3  # loss of an adapter that is evicted with its model, per request a second
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class ModelDemand:
-    """Demand for a model with all its adapters, with what the planner remembers over several steps."""
+    """Demand for a model with all its adapters, and the values that are kept over several steps."""
 
     rate: float = 0.0
     waiting: int = 0
@@ -49,7 +49,7 @@
     adapters: dict[str, Demand] = field(default_factory=dict)
 
     def reset_step(self) -> None:
-        """Reset the demand of the last step, but not what is remembered over several steps."""
+        """Reset the demand of the last step, but not the values that are kept over several steps."""
         self.rate = self.busy_slots = self.oldest_wait_s = self.adapter_rate = 0.0
         self.waiting = self.active_adapters = 0
         self.adapters = {}
@@ -87,8 +87,8 @@
 class DemandBook:
     """The demand for each model over time."""
 
-    def __init__(self, remembers_popularity: bool = True) -> None:
-        self._popularity_s = POPULARITY_S if remembers_popularity else 0.0
+    def __init__(self, keeps_popularity: bool = True) -> None:
+        self._popularity_s = POPULARITY_S if keeps_popularity else 0.0
         self._models: dict[str, ModelDemand] = {}
         self._adapter_requested_at: dict[WeightsKey, float] = {}
         self._rates: dict[WeightsKey, float] = {}
@@ -112,7 +112,7 @@
         return now - self._adapter_requested_at.get(key, -math.inf)
 
     def update(self, now: float, demand: Mapping[WeightsKey, Demand]) -> None:
-        """Replace the demand by that of a new step, and update what is remembered."""
+        """Replace the demand by that of a new step, and update the values kept over several steps."""
         elapsed = 0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
         self._updated_at = now
         for model in self._models.values():
--- a/rookwood/modelplacement/fleet.py
+++ b/rookwood/modelplacement/fleet.py
@@ -11,7 +11,7 @@
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
 
 MIN_RESIDENT_S = 1.5  # a model is not evicted earlier than this after its load
-MIN_ADAPTER_RESIDENT_S = 0.5  # the same for an adapter
+MIN_ADAPTER_RESIDENT_S = 0.5  # an adapter is not evicted earlier than this after its load
 # Per second of a load from the store. A worker that held the model before reads it from its own disk, which
 # is faster and not priced.
 COLD_COST_PER_S = 0.3
@@ -53,7 +53,7 @@
         self.models = models
         self.workers: dict[str, ProjectedWorker] = {}
         self.copies: dict[str, int] = {}  # model -> workers that hold or load it and do not unload it
-        self.adapter_copies: dict[WeightsKey, int] = {}  # adapter -> the same
+        self.adapter_copies: dict[WeightsKey, int] = {}  # adapter -> workers, counted alike
         self._indexed: dict[str, _IndexedWeights] = {}
         self._order_book = order_book
         self._demand = demand
@@ -82,7 +82,7 @@
         self._loaded_at[worker, key] = now
 
     def undo_load(self, worker: str, key: WeightsKey) -> None:
-        """The order to load the weights was surely not accepted."""
+        """Undo `record_load` after an order that the worker certainly did not accept."""
         self._loaded_at.pop((worker, key), None)
 
     def apply_order(self, now: float, order: LoadOrder) -> None:
--- a/rookwood/modelplacement/loads.py
+++ b/rookwood/modelplacement/loads.py
@@ -37,7 +37,7 @@
 CEILING_SLACK = 3.0  # loads that the store's limit allows in a window beyond its rate
 RESERVATION_S = 3.0  # after this time without a load, its weights may be placed on another worker too
 TYPICAL_EVICTION_S = 0.5  # an eviction lasts until the running requests of the evicted copy have ended
-STALE_LOAD_FACTOR = 3.0  # a load that takes this many times its `load_s` no longer counts as in progress
+STALE_LOAD_FACTOR = 3.0  # a load of over this many times its `load_s`, plus 1 s, is not in progress
 WAITING_REQUEST_VALUE = 2.0  # loss that a waiting request outweighs; the oldest wait in seconds adds to it
 BUSY_LOSS = 1.5  # victims with a higher loss are in steady use
 COPY_RATE_MIN = 0.4  # requests a second below which a model gets no copy that no request waits for
@@ -116,7 +116,7 @@
         self._bucket.clear(now)
 
     def pending_orders(self) -> list[LoadOrder]:
-        """Orders whose effect no report has shown yet; their workers should be asked for a report soon."""
+        """Orders whose effect no report has shown yet; the reports of their workers should be read soon."""
         return self._order_book.pending_orders()
 
     def expected_loads(self, now: float) -> dict[str, frozenset[WeightsKey]]:
@@ -181,7 +181,7 @@
         self._loads_in_progress = {
             (worker, model): since
             for (worker, model), since in self._loads_in_progress.items()
-            if worker in projected_workers and now - since < self._longest_load_s(model)
+            if worker in projected_workers and now - since < self._stale_load_s(model)
         }
         self._reservations = {
             worker: reservation
@@ -189,7 +189,8 @@
             if worker in projected_workers and self._is_reservation_needed(now, reservation)
         }
 
-    def _longest_load_s(self, model: str) -> float:
+    def _stale_load_s(self, model: str) -> float:
+        """Seconds from a load order after which the load no longer counts as in progress."""
         spec = self.models.get(model)
         return STALE_LOAD_FACTOR * (spec.load_s if spec else 0.0) + 1.0
 
--- a/rookwood/modelplacement/packing.py
+++ b/rookwood/modelplacement/packing.py
@@ -103,7 +103,7 @@
         self.shares: dict[WeightsKey, dict[str, float]] = {}
 
     def pack(self) -> Packing:
-        """Pack all keys: steps 1 to 4 of the algorithm."""
+        """Pack all keys: steps 1 to 4 of LoRAServe's Algorithm 1."""
         groups = self._groups()
         target = math.fsum(self.utilisation.values()) / math.fsum(item.ramp for item in self.bins)
         ranges = self._ranges(groups, target)
