--- a/rookwood/coordination/member_progress.py
+++ b/rookwood/coordination/member_progress.py
@@ -18,8 +18,8 @@
     """What the primary of one epoch knows about one machine's storage.
 
     `acknowledged_round` is the newest heartbeat round that the machine acknowledged, `sent_after_round` the
-    newest round when the document at `sent_position` was sent. A lagging machine was late with a copy, and
-    commits do not wait for it until it keeps up again.
+    newest round when the document at `sent_position` was sent. `is_lagging` is set when the machine was
+    late with a copy; commits do not wait for it until it keeps up again.
     """
 
     incarnation: int | None = None
--- a/rookwood/coordination/outcomes.py
+++ b/rookwood/coordination/outcomes.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Primary:
-    """This process is the primary, since it committed its first document at `since`."""
+    """This process is the primary; `since` is when it committed its first document of the epoch."""
 
     epoch: int
     since: float
--- a/rookwood/coordination/timing.py
+++ b/rookwood/coordination/timing.py
@@ -10,19 +10,19 @@
     heartbeat            interval between the primary's heartbeat rounds
     primary_silence      time without a message of the primary after which a backup stands for election
     election_jitter      maximum random delay added to each wait for an election
-    start_silence        minimum wait of a new process before it stands; a random part at most doubles it
+    start_silence        minimum wait of a new process before an election; a random part at most doubles it
     disconnect_silence   like primary_silence, once the primary's connection has closed
     lease                how long an acknowledged heartbeat round lets the primary act, and how long a message
                          of the primary keeps a backup in contact
-    pre_vote_limit       how long a candidate asks for pre-votes
-    election_limit       how long a candidate asks for promises; shorter than `favour`
+    pre_vote_limit       how long a candidate requests pre-votes
+    election_limit       how long a candidate requests promises; shorter than `favour`
     pre_vote_favour      how long a member favours a candidate to which it granted a pre-vote (see voting.py)
     favour               how long a member favours a candidate to which it promised an epoch
     resend               interval at which a candidate repeats its requests
     write_resend         time after which an unacknowledged document is sent again
     copy_patience        how long a commit waits for healthy members beyond the quorum
     departure_limit      how long a primary that hands over waits for the other members' copies
-    inquiry              interval at which a machine that is not a member asks to be admitted
+    inquiry              interval at which a machine that is not a member repeats its request for admission
     replace_after        time without a message after which a member may be replaced; also how long a document
                          waits for copies of lost members, and how long the group waits for another machine
                          before it grows to an even number of members
--- a/rookwood/coordination/transport.py
+++ b/rookwood/coordination/transport.py
@@ -20,13 +20,13 @@
 from rookwood.coordination.messages import Message
 from rookwood.metrics.traffic import PEER_CORE, MessageTraffic
 
-MAX_BUFFER_BYTES = MAX_FRAME_BYTES
-MAX_QUEUE_FRAMES = 64
-CONNECT_TIMEOUT = 0.5
-RECONNECT_DELAY = 0.2
+MAX_BUFFER_BYTES = MAX_FRAME_BYTES  # unsent bytes on a connection beyond which it is closed
+MAX_QUEUE_FRAMES = 64  # frames kept for a connection that is being opened; the oldest are dropped
+CONNECT_TIMEOUT = 0.5  # seconds
+RECONNECT_DELAY = 0.2  # seconds from a failed attempt to open a connection to the next
 DOCUMENT_RECONNECT_DELAY = 1.0  # seconds between two attempts to open a document channel
-SILENCE_LIMIT = 1.5
-UNACKNOWLEDGED_TIMEOUT_MS = 1000
+SILENCE_LIMIT = 1.5  # seconds after which a peer that sent nothing back counts as unresponsive
+UNACKNOWLEDGED_TIMEOUT_MS = 1000  # for sent data; TCP then closes the connection
 UNSENT_KERNEL_BYTES = 64 * 1024  # unsent bytes of a document that the kernel may buffer
 
 Receiver = Callable[[str, int, Message], None]
--- a/rookwood/coordination/voting.py
+++ b/rookwood/coordination/voting.py
@@ -3,7 +3,7 @@
 A member that granted a pre-vote or promised an epoch favours that candidate for a limited time, which is
 shorter for a pre-vote. Meanwhile it grants nothing to another candidate, unless that one has a newer
 document. A candidate gives up before the favour of the members that promised expires. So two candidates
-rarely stand at the same time, and no candidate deposes a primary that was just elected.
+rarely compete at the same time, and no candidate deposes a primary that was just elected.
 
 A candidate whose process ended or stalls blocks the others for at most twice that time: its further requests
 may still be granted, but they no longer prolong its favour.
@@ -41,7 +41,7 @@
     def respond_to_pre_vote(self, sender: str, request: PreVoteRequest, willing: bool) -> bool:
         """Respond to a pre-vote request, and return whether the pre-vote was granted.
 
-        `willing` tells whether the member knows no live primary and yields to the candidate.
+        `willing` is true if the member knows no live primary and yields to the candidate.
         """
         position = request.position or Position()
         granted = willing and not self.favours_another(sender, position)
