--- a/rookwood/cluster/messages.py
+++ b/rookwood/cluster/messages.py
@@ -28,7 +28,7 @@
     """The first message on a link, from the side that opened it.
 
     `subscribes` requests the feed of workers and work notices. Without it the link carries only statuses and
-    answers. `tier` is "core" for a control machine and "edge" for a dispatcher.
+    responses. `tier` is "core" for a control machine and "edge" for a dispatcher.
     """
 
     identity: str
--- a/rookwood/cluster/outbox.py
+++ b/rookwood/cluster/outbox.py
@@ -41,7 +41,7 @@
 
 
 class PresenceKey(NamedTuple):
-    """Conflation key of a worker's presence; its end is `final`, so that no later presence replaces it."""
+    """Conflation key of a worker's presence; `final` marks a deregistration, which no record replaces."""
 
     worker: str
     final: bool
--- a/rookwood/cluster/progress.py
+++ b/rookwood/cluster/progress.py
@@ -32,7 +32,7 @@
 
 
 class StallGuard:
-    """Tells a periodic check whether it may rely on the clock: not soon after a stall of this process."""
+    """Decides whether a periodic check may rely on the clock: not soon after a stall of this process."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -140,7 +140,7 @@
 
 
 def max_stall(measured: float) -> float:
-    """The longest stall, in seconds, that a measurement of this length may stand for."""
+    """The longest stall, in seconds, that a measurement of this length may correspond to."""
     return measured + STALL_RESOLUTION if measured > MIN_STALL else 0.0
 
 
--- a/rookwood/cluster/workers.py
+++ b/rookwood/cluster/workers.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-MAX_DELETED = 4096  # deregistered workers that are remembered
-MAX_DRAINED = 4096  # draining workers that are remembered, even after their heartbeats timed out
+MAX_DELETED = 4096  # ids of deregistered workers that are kept, so that no late record adds them again
+MAX_DRAINED = 4096  # ids of draining workers that are kept, even after their heartbeats timed out
 
 
 class WorkerState(enum.Enum):
@@ -112,7 +112,7 @@
 
 
 class WorkerRegistry:
-    """The known workers. Ids are never reused, so a deleted worker stays deleted."""
+    """The known workers. Ids are never reused, so a worker that deregistered stays deleted."""
 
     def __init__(self) -> None:
         self._records: dict[str, WorkerRecord] = {}
--- a/rookwood/clusterconfig/control_document.py
+++ b/rookwood/clusterconfig/control_document.py
@@ -43,14 +43,14 @@
     accepted: AcceptedChanges = NO_ACCEPTED_CHANGES
 
     def find_accepted(self, digest: bytes) -> AcceptedChange | None:
-        """Return the remembered change with a digest, if any."""
+        """Return the accepted change with this digest, if it is still kept."""
         return self.accepted.find(digest)
 
     def may_have_dropped(self, base: int) -> bool:
         """Whether a change based on version `base` may have been accepted and dropped since.
 
         Each accepted change raises the version and is based on the one before it, so every accepted change
-        based on the oldest remembered version or a later one is still remembered.
+        based on the oldest version kept or a later one is still kept.
         """
         return len(self.accepted) >= MAX_ACCEPTED_CHANGES and base < self.accepted[0].version
 
--- a/rookwood/clusterconfig/history.py
+++ b/rookwood/clusterconfig/history.py
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class BaseTooOld:
-    """The change is based on a version older than the remembered changes, so it may have been accepted."""
+    """The base is older than the accepted changes that are kept, so the change may have been accepted."""
 
 
 Decision = Accepted | AlreadyAccepted | Conflict | BaseTooOld | InvalidChange
--- a/rookwood/controlplane/control_api.py
+++ b/rookwood/controlplane/control_api.py
@@ -59,7 +59,7 @@
         return web.json_response(self._status().to_json())
 
     async def history(self, request: web.Request) -> web.Response:
-        """Report the newest accepted changes that are remembered here, at most `limit` of them."""
+        """Report the newest accepted changes that this machine keeps, at most `limit` of them."""
         text = request.query.get(LIMIT_PARAMETER, str(DEFAULT_HISTORY))
         if not text.isascii() or not text.isdecimal() or not 0 < len(text) < DIGEST_CHARACTERS:
             return web.json_response({"err": "limit is not a number"}, status=400)
--- a/rookwood/controlplane/group_recovery.py
+++ b/rookwood/controlplane/group_recovery.py
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True)
 class ObservedMembers:
-    """The answers of other members: the position of the copy that each holds, and who has lost its copy."""
+    """What other members report: the position of each one's copy, and which of them hold no copy."""
 
     holders: Mapping[str, Position]
     emptied: Collection[str]
--- a/rookwood/controlplane/load_scheduler.py
+++ b/rookwood/controlplane/load_scheduler.py
@@ -92,7 +92,7 @@
         self.demand = DemandSum()
         self._plans: dict[str, ServicePlan] = {}
         self._wake = asyncio.Event()
-        self._counter = 0
+        self._holding_counter = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._tenure_epoch: int | None = None
 
@@ -267,9 +267,9 @@
         epoch = self._tenure_epoch
         if epoch is None or status.report is None:
             return
-        self._counter += 1
+        self._holding_counter += 1
         models = without_weights(status.report.models, status.unloading)
-        self._table.set_holding(worker, models, HoldingStamp(epoch, self._counter))
+        self._table.set_holding(worker, models, HoldingStamp(epoch, self._holding_counter))
 
     async def _execute(self, plan: ServicePlan, order: LoadOrder, epoch: int) -> None:
         """Send an order, record its outcome, and wait until the worker has carried it out."""
--- a/rookwood/controlplane/presence_quorum.py
+++ b/rookwood/controlplane/presence_quorum.py
@@ -17,8 +17,8 @@
 from rookwood.cluster.messages import PresenceAck
 
 CONFIRMATION_LIMIT = 0.7  # seconds; a worker calls the next machine after 1 s without a response
-MAX_REMEMBERED = 4096  # confirmed presence changes
-REMEMBERED_SECONDS = 600.0  # workers end within seconds of draining
+MAX_REMEMBERED = 4096  # confirmed presence changes that are kept
+REMEMBERED_SECONDS = 600.0  # for which they are kept; workers end within seconds of draining
 
 
 @dataclass(slots=True)
--- a/rookwood/controlplane/program.py
+++ b/rookwood/controlplane/program.py
@@ -79,8 +79,8 @@
 class KnownPrimary:
     """The primary that this machine knows; its address is empty if there is none.
 
-    `in_contact` while this machine hears from it; `fresh` while this machine also has every commit that the
-    primary has announced.
+    `in_contact` is true while messages from it arrive within the lease time, `fresh` while this machine also
+    has every commit that the primary has announced. Both are true if this machine is the primary.
     """
 
     address: str
@@ -255,7 +255,7 @@
     def _send_status(self) -> None:
         """Send the status: to control machines always, as a heartbeat, and to dispatchers if it has changed.
 
-        Dispatchers have the answers to their own heartbeats as a sign of life.
+        To dispatchers, the responses to their own heartbeats are the sign of life.
         """
         now = asyncio.get_running_loop().time()
         status = self._status()
--- a/tests/test_clusterconfig.py
+++ b/tests/test_clusterconfig.py
@@ -393,7 +393,7 @@
             self.require_fault_keys(decide(self.initial_document(), patch(7, {"ver": 7}))), ["ver"]
         )
 
-    def test_stale_base(self) -> None:
+    def test_base_that_is_not_the_current_version(self) -> None:
         for base in (0, 6, 8):
             self.assertEqual(decide(self.initial_document(), put(base, example_version(9))), Conflict(7))
             self.assertEqual(decide(self.initial_document(), patch(base, {"ver": 9})), Conflict(7))
