--- a/rookwood/cluster/progress.py
+++ b/rookwood/cluster/progress.py
@@ -15,7 +15,7 @@
 
 Clock = Callable[[], float]
 
-REMEMBERED_COMMITS = 4096
+REMEMBERED_COMMITS = 4096  # the newest commits, whose times are kept to measure the dispatchers' lag
 REMEMBERED_HEARTBEATS = 32  # per dispatcher; about 13 s
 MIN_STALL = 0.05  # seconds; shorter delays are normal for timers
 STALL_RESOLUTION = LOOP_LAG_INTERVAL  # seconds of a stall that its measurement may miss
--- a/rookwood/controlplane/control_api.py
+++ b/rookwood/controlplane/control_api.py
@@ -34,9 +34,10 @@
     Unattached,
 )
 
-DIGEST_CHARACTERS = 16
-DEFAULT_HISTORY = 20
-SECONDS_DIGITS = 3
+DIGEST_CHARACTERS = 16  # hexadecimal digits of a document's digest that a status shows
+DEFAULT_HISTORY = 20  # changes in a response if the request states no limit
+MAX_LIMIT_DIGITS = 15
+SECONDS_DIGITS = 3  # decimal places
 LIMIT_PARAMETER = "limit"
 
 
@@ -61,7 +62,7 @@
     async def history(self, request: web.Request) -> web.Response:
         """Report the newest accepted changes that this machine keeps, at most `limit` of them."""
         text = request.query.get(LIMIT_PARAMETER, str(DEFAULT_HISTORY))
-        if not text.isascii() or not text.isdecimal() or not 0 < len(text) < DIGEST_CHARACTERS:
+        if not text.isascii() or not text.isdecimal() or not 0 < len(text) <= MAX_LIMIT_DIGITS:
             return web.json_response({"err": "limit is not a number"}, status=400)
         snapshot = self._group.snapshot()
         accepted = read_payload(snapshot.payload).accepted
--- a/rookwood/controlplane/worker_client.py
+++ b/rookwood/controlplane/worker_client.py
@@ -12,7 +12,7 @@
 from rookwood.httpclient.client import HttpClient, Response
 from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
-CALL_LIMIT = 0.7  # seconds
+CALL_LIMIT = 0.7  # seconds from the begin of a call to a worker to the end of its response
 MAX_CONNECTIONS = 100
 IDLE_CONNECTION_LIMIT = 4.0  # seconds until an idle connection is closed; workers close them after 10
 NOT_CONNECTED = 0  # in place of a status, if nothing was sent
@@ -20,10 +20,10 @@
 INSTANCE_HEADER = "X-Want-Instance"
 OWN_INSTANCE_HEADER = "X-Instance"  # in the responses of a worker
 REQUEST_ID_HEADER = "X-Try-Id"  # only in clients' requests and the responses to them
-REPORTED = 200
+REPORTED = 200  # the status of a response with a report
 MISDIRECTED = 421
 HIGHER_FENCE_SEEN = 412  # the worker received an order with a higher fence before
-ALREADY_DONE = 200
+ALREADY_DONE = 200  # the order had nothing left to do
 ACCEPTED_STATUSES = (ALREADY_DONE, 202)
 
 
--- a/rookwood/coordination/leadership.py
+++ b/rookwood/coordination/leadership.py
@@ -27,7 +27,7 @@
 )
 from rookwood.coordination.proposals import Proposal, ProposalQueue
 
-MAX_TRACKED_ROUNDS = 32
+MAX_TRACKED_ROUNDS = 32  # newest heartbeat rounds whose start times are kept, for the lease
 
 
 @dataclass(frozen=True)
--- a/rookwood/coordination/messages.py
+++ b/rookwood/coordination/messages.py
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True)
 class JoinRequest:
-    """Asks the primary to admit the sender as a member, with the storage that has this token."""
+    """A request to the primary to admit the sender as a member, with the storage that has this token."""
 
     token: int
 
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True)
 class TransferNow:
-    """Asks a backup to stand for election at once; `epoch` is that of the primary that hands over."""
+    """A request to a backup to stand for election at once; `epoch` is that of the primary that hands over."""
 
     epoch: int
 
--- a/rookwood/coordination/relay_tree.py
+++ b/rookwood/coordination/relay_tree.py
@@ -12,11 +12,11 @@
 
 from rookwood.coordination.rendezvous import HASH_SPACE, rank_members, rendezvous_weight
 
-DEFAULT_FAN_OUT = 16
+DEFAULT_FAN_OUT = 16  # children of a dispatcher
 MIN_FAN_OUT = 4
-FALLBACK_PARENTS = 2
+FALLBACK_PARENTS = 2  # dispatchers to try after the parent and before the control machines
 # The mean share of the children limit that is in use. The slack makes full parents rare, since the children
-# that they turn away take the places of others.
+# that full parents reject take the places of others.
 MEAN_FILL = 0.375
 MIN_LEVEL_GROWTH = 2
 
--- a/rookwood/dataplane/backlog.py
+++ b/rookwood/dataplane/backlog.py
@@ -1,8 +1,8 @@
-"""An estimate of each worker's prefill backlog: a virtual queue that every dispatcher keeps.
+"""Estimates of each worker's prefill backlog, which every dispatcher keeps.
 
 A worker prefills prompts one piece at a time, between the tokens of running requests, so a prompt that was
 just sent to it delays the first token of the next one. Dispatchers send each other notices of the prompts
-that they send, so that all of them keep the same queues.
+that they send, so that all of them estimate the same backlogs.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-DEFAULT_SECONDS_PER_TOKEN = 1.0 / 26_000
-MIN_SECONDS_PER_TOKEN = 1.0 / 200_000
+DEFAULT_SECONDS_PER_TOKEN = 1.0 / 26_000  # prefill time of a prompt token, until there is a sample
+MIN_SECONDS_PER_TOKEN = 1.0 / 200_000  # samples are limited to this range
 MAX_SECONDS_PER_TOKEN = 1.0 / 8_000
-SMOOTHING = 0.25
+SMOOTHING = 0.25  # weight of the newest sample
 MIN_SAMPLE_TOKENS = 1000  # the time of a shorter prompt says too little about the prefill speed
 BASE_DELAY = 0.012  # seconds to a first token without the prefill
-MAX_CACHED_PARTS = 256
+MAX_CACHED_PARTS = 256  # prompt parts that a worker's cache is expected to contain
 UTILISATION_TIME_CONSTANT = 4.0  # seconds; for the share of time spent on prefill
 STREAMS_TIME_CONSTANT = 2.5  # seconds; about the duration of a stream
 
@@ -28,8 +28,8 @@
 
     busy_until: float = 0.0
     updated_at: float = 0.0
-    prefill_share: float = 0.0
-    stream_count: float = 0.0
+    prefill_share: float = 0.0  # of the worker's time, averaged over UTILISATION_TIME_CONSTANT
+    stream_count: float = 0.0  # prompts sent, decayed over STREAMS_TIME_CONSTANT
     cached_parts: OrderedDict[int, None] = field(default_factory=OrderedDict)  # least recently used first
 
     def remaining(self, now: float) -> float:
--- a/rookwood/dataplane/pool.py
+++ b/rookwood/dataplane/pool.py
@@ -11,12 +11,12 @@
 UNRESPONSIVE_LIMIT = 1.2  # seconds without a byte from a worker that has a request of this dispatcher
 MIN_PENALTY = 0.4  # seconds for which a worker is avoided after its first failure
 MAX_PENALTY = 4.0  # seconds
-MISSING_WEIGHTS_LIFETIME = 1.0  # seconds for which a worker's 421 response is remembered
+MISSING_WEIGHTS_LIFETIME = 1.0  # seconds for which a worker's 421 response counts
 
 
 @dataclass(slots=True)
 class WorkerTraffic:
-    """One worker as this dispatcher sees it; times in seconds of the event loop's clock."""
+    """What this dispatcher knows of one worker; times in seconds of the event loop's clock."""
 
     in_flight: int = 0  # requests of this dispatcher
     running: int = 0  # by the reported load, as are `waiting` and `slots`
--- a/rookwood/modelplacement/fleet.py
+++ b/rookwood/modelplacement/fleet.py
@@ -57,10 +57,10 @@
         self._indexed: dict[str, _IndexedWeights] = {}
         self._order_book = order_book
         self._demand = demand
-        self._holders: dict[str, set[str]] = {}
-        self._loaded_at: dict[tuple[str, WeightsKey], float] = {}
-        self._held_before: dict[str, set[str]] = {}
-        self._seen_at: dict[str, float] = {}
+        self._holders: dict[str, set[str]] = {}  # model -> the workers that `copies` counts
+        self._loaded_at: dict[tuple[str, WeightsKey], float] = {}  # (worker, weights) -> time
+        self._held_before: dict[str, set[str]] = {}  # worker -> the models that it has held so far
+        self._seen_at: dict[str, float] = {}  # worker -> time of the last update that included it
         self._wanted: Wanted = {}
 
     def update(self, now: float, workers: Sequence[WorkerWeights], wanted: Wanted) -> None:
--- a/rookwood/modelplacement/orders.py
+++ b/rookwood/modelplacement/orders.py
@@ -16,7 +16,7 @@
 from rookwood.modelplacement.types import ModelSpec, WeightsKey, WorkerWeights
 
 UNKNOWN_OUTCOME_PAUSE_S = 1.0  # an equal sequence reported this much later means that it was not accepted
-KNOWN_OUTCOME_PAUSE_S = 3.0  # the same for an order that was accepted, or whose response is awaited
+KNOWN_OUTCOME_PAUSE_S = 3.0  # this time instead if it was accepted, or while its response is awaited
 ADAPTER_LOAD_S = 0.1  # an adapter is loaded after this time, so the next order need not wait for a report
 LOAD_MARGIN_S = 0.1  # a model's load should have ended this long after its `load_s`
 MISSING_WORKER_S = 30.0  # a worker without a report for this long is gone
@@ -97,7 +97,7 @@
             pending.since = now
 
     def record_outcome(self, now: float, order: LoadOrder, accepted: bool | None) -> bool:
-        """Record the worker's response; returns whether a pending order was surely not accepted."""
+        """Record the worker's response; returns whether a pending order was certainly not accepted."""
         pending = self._find(order)
         if pending is None:
             return False
--- a/rookwood/modelplacement/permutation.py
+++ b/rookwood/modelplacement/permutation.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Mapping, Sequence
 
-EXACT_LIMIT = 24
+EXACT_LIMIT = 24  # workers
 
 Overlap = Mapping[tuple[str, str], float]  # (position in the packing, worker) -> overlap with the last table
 
