--- a/rookwood/cluster/configuration_follower.py
+++ b/rookwood/cluster/configuration_follower.py
@@ -31,7 +31,7 @@
 # Four machines can be asked one after the other within the shortest time allowed for applying a change.
 RESPONSE_TIMEOUT = 0.5  # seconds
 PREFERENCE_DELAY = 0.03  # seconds of delay for each higher-ranked machine
-HEARTBEAT_ANSWER_LIFETIME = 1.0  # seconds from sending a heartbeat for which its answer counts
+HEARTBEAT_ANSWER_LIFETIME = 1.0  # seconds from sending a heartbeat for which the response to it counts
 AVOIDANCE_PERIOD = 2.0  # seconds for which a machine that timed out is ranked last
 
 ApplyFullConfiguration = Callable[[bytes], ApplyOutcome]
@@ -53,7 +53,7 @@
     `primary` and `fresh` repeat its claims to be the primary and to be in contact with it. The preference
     delays count from `delays_start_at`: when the machine first announced a position newer than the one in
     force, or when a configuration was last put in force. `confirmed_at` is the sending time of the last
-    heartbeat that the machine answered while in contact with the primary.
+    heartbeat to which the machine responded while in contact with the primary.
     """
 
     position: ConfigurationPosition
@@ -188,10 +188,10 @@
         self._advance_to(body.position, now)
 
     def handle_delta(self, peer: str, delta: ConfigurationDelta, now: float) -> None:
-        """Apply a delta; if its base is the position in force and it does not fit, fetch a full one.
+        """Apply a delta; if it does not fit the position in force, its base, fetch the full configuration.
 
-        A delta with an older base answers an earlier request. If it no longer fits it is dropped, since the
-        next request names the position in force.
+        A delta with an older base responds to an earlier request. If it no longer fits it is dropped, since
+        the next request names the position in force.
         """
         self._record_response(peer)
         if not delta.base <= self.position < delta.position or not self.confirmed:
--- a/rookwood/controlplane/load_scheduler.py
+++ b/rookwood/controlplane/load_scheduler.py
@@ -364,7 +364,7 @@
 def describe_worker(
     engine: Engine, record: WorkerRecord, status: WorkerStatus, report: WorkerReport
 ) -> WorkerWeights:
-    """Describe a worker for the planner."""
+    """A worker's state as the planner needs it, from its record, its report and the orders sent to it."""
     return WorkerWeights(
         worker=record.id,
         zone=record.zone,
--- a/rookwood/controlplane/worker_client.py
+++ b/rookwood/controlplane/worker_client.py
@@ -12,7 +12,7 @@
 from rookwood.httpclient.client import HttpClient, Response
 from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
-CALL_LIMIT = 0.7  # seconds from the begin of a call to a worker to the end of its response
+CALL_LIMIT = 0.7  # seconds from the start of a call to a worker to the end of the response
 MAX_CONNECTIONS = 100
 IDLE_CONNECTION_LIMIT = 4.0  # seconds until an idle connection is closed; workers close them after 10
 NOT_CONNECTED = 0  # in place of a status, if nothing was sent
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -220,7 +220,7 @@
         self.assertTrue(self.follower.is_up_to_date(START))
 
     def test_a_status_alone_does_not_confirm_the_position(self) -> None:
-        """It may have been sent before a stall of this process."""
+        """The status may have been sent before a stall of this process."""
         self.start_at(7)
         self.receive(FIRST, STATUS)
         self.assertFalse(self.follower.is_up_to_date(START))
@@ -243,7 +243,7 @@
         self.assertTrue(self.follower.is_up_to_date(START))
 
     def test_a_status_older_than_a_heartbeat_answer_does_not_lower_the_position(self) -> None:
-        """It may arrive after the answer; the announced position stays the one to fetch."""
+        """The status may arrive after the heartbeat answer, whose position stays the one to fetch."""
         self.start_at(6)
         self.receive(FIRST, replace(STATUS, config_sequence=6))
         self.receive(FIRST, replace(ANSWER, config_sequence=8))
--- a/tests/test_control_links.py
+++ b/tests/test_control_links.py
@@ -166,7 +166,7 @@
         self.assertIn(first, self.link_set.subscribed)
 
     def test_a_preferred_machine_that_has_just_started_is_not_chosen_yet(self) -> None:
-        """It may not know of workers that drained or deregistered before."""
+        """Such a machine may not know of workers that drained or deregistered before it started."""
         first = self.feeding_machine()
         self.roots = (ControlMachine(LATER_MACHINE, OWN_ZONE),)
         self.settled = False
--- a/tests/test_controlplane_workers.py
+++ b/tests/test_controlplane_workers.py
@@ -237,7 +237,7 @@
     async def test_a_machine_that_may_be_cut_off_acknowledges_neither_drains_nor_deregistrations(
         self,
     ) -> None:
-        """A machine that restarted while cut off, or a backup that is not in contact with its primary."""
+        """Such a machine restarted while cut off, or is a backup that is not in contact with its primary."""
         for role in (Unattached("starting"), Backup(PEER, 2, False)):
             with self.subTest(role=role):
                 self.group.current = role
--- a/tests/test_dataplane_proxy.py
+++ b/tests/test_dataplane_proxy.py
@@ -395,7 +395,7 @@
         self.assertGreaterEqual(second, 2000 - passed_ms - ROUNDING_MS)
 
     async def test_the_response_comes_by_the_timeout_of_the_route(self) -> None:
-        """Even if the client would wait for longer, and for every kind of route."""
+        """Routes of every kind are checked, with a client that would wait for longer."""
         routes = [{**item, "timeout-ms": SHORT_TIMEOUT_MS} for item in CONFIGURATION["routes"]]
         self.configure({**CONFIGURATION, "ver": 2, "routes": routes})
         loop = asyncio.get_running_loop()
