--- a/rookwood/coordination/explore.py
+++ b/rookwood/coordination/explore.py
@@ -87,14 +87,14 @@
     """What an exploration covered.
 
     `acknowledged` counts the states in which some change is acknowledged, `epochs` the epochs in which a
-    document was written, and `complete` tells whether all states within the bounds were visited.
+    document was written, and `whole` is true if all states within the bounds were visited.
     """
 
     states: int
     transitions: int
     acknowledged: int
     epochs: int
-    complete: bool
+    whole: bool
 
 
 class FixedRandom(Random):
@@ -245,7 +245,7 @@
         transitions = 0
         while queue:
             if len(parents) > self._bounds.states:
-                return self._report(len(parents), transitions, complete=False)
+                return self._report(len(parents), transitions, whole=False)
             key = queue.popleft()
             state = self._encoder.decode(key)
             try:
@@ -258,10 +258,10 @@
                         queue.append(successor_key)
             except InvariantError as error:
                 raise InvariantError(error.reason, (*_trace(parents, key), *error.trace)) from None
-        return self._report(len(parents), transitions, complete=True)
+        return self._report(len(parents), transitions, whole=True)
 
-    def _report(self, states: int, transitions: int, *, complete: bool) -> ExplorationReport:
-        return ExplorationReport(states, transitions, self._acknowledged, len(self._epochs), complete)
+    def _report(self, states: int, transitions: int, *, whole: bool) -> ExplorationReport:
+        return ExplorationReport(states, transitions, self._acknowledged, len(self._epochs), whole)
 
     def _check_state(self, state: SystemState) -> None:
         history = state.history
--- a/rookwood/lab/replication_states.py
+++ b/rookwood/lab/replication_states.py
@@ -46,7 +46,7 @@
             return BROKEN
         seconds = round(time.perf_counter() - began, 1)
         found[name] = {**asdict(report), "seconds": seconds}
-        extent = "all of them" if report.complete else "not all"
+        extent = "all of them" if report.whole else "not all"
         console.print(f"{name}: {report.states} states ({extent}), {report.transitions} transitions, sound")
     keep(json_file, "replication-states", {"members": 3, "most": most}, found)
     return SOUND if all(part["whole"] for part in found.values()) else UNFINISHED
--- a/tests/test_replication_explore.py
+++ b/tests/test_replication_explore.py
@@ -31,7 +31,7 @@
 
     def assert_sound(self, bounds: Bounds) -> ExplorationReport:
         report = Explorer(bounds).explore()
-        self.assertTrue(report.complete)
+        self.assertTrue(report.whole)
         return report
 
     def test_change(self) -> None:
@@ -45,7 +45,7 @@
 
     def test_unfinished_exploration_is_reported_as_such(self) -> None:
         report = Explorer(Bounds(changes=0, elections=1, states=100)).explore()
-        self.assertFalse(report.complete)
+        self.assertFalse(report.whole)
 
 
 class MutantTest(unittest.TestCase):
