--- a/rookwood/coordination/group.py
+++ b/rookwood/coordination/group.py
@@ -66,7 +66,7 @@
 READ_ATTEMPTS = 20  # to read a storage that is inaccessible when the process starts
 READ_RETRY_DELAY = 0.25  # seconds between two of these attempts
 TRANSFER_TIMEOUT = 1.0  # seconds for which a primary that hands over waits for its successor's first commit
-DRAIN_TIMEOUT = 0.2  # seconds for which a stopping process waits until its last messages are sent
+DRAIN_TIMEOUT = 0.2  # seconds for which a member that handed over waits until its last messages are sent
 CLOSE_TIMEOUT = 1.0  # seconds for which a stopping process waits for its disk
 INCARNATION_BITS = 62
 
