--- a/rookwood/cluster/progress.py
+++ b/rookwood/cluster/progress.py
@@ -15,7 +15,7 @@
 
 Clock = Callable[[], float]
 
-REMEMBERED_COMMITS = 4096
+REMEMBERED_COMMITS = 4096  # the newest commits, whose times are kept to measure the dispatchers' lag
 REMEMBERED_HEARTBEATS = 32  # per dispatcher; about 13 s
 MIN_STALL = 0.05  # seconds; shorter delays are normal for timers
 STALL_RESOLUTION = LOOP_LAG_INTERVAL  # seconds of a stall that its measurement may miss
@@ -32,7 +32,7 @@
 
 
 class StallGuard:
-    """Tells a periodic check whether it may rely on the clock: not soon after a stall of this process."""
+    """Decides whether a periodic check may rely on the clock: not soon after a stall of this process."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -140,7 +140,7 @@
 
 
 def max_stall(measured: float) -> float:
-    """The longest stall, in seconds, that a measurement of this length may stand for."""
+    """The longest stall, in seconds, that a measurement of this length may correspond to."""
     return measured + STALL_RESOLUTION if measured > MIN_STALL else 0.0
 
 
--- a/rookwood/coordination/explore.py
+++ b/rookwood/coordination/explore.py
@@ -87,7 +87,7 @@
     """What an exploration covered.
 
     `acknowledged` counts the states in which some change is acknowledged, `epochs` the epochs in which a
-    document was written, and `whole` tells whether all states within the bounds were visited.
+    document was written, and `whole` is true if all states within the bounds were visited.
     """
 
     states: int
@@ -411,7 +411,7 @@
         return range(_load_replica(state.machines[index]).promised_epoch(), highest + 1)
 
     def _start_candidacy(self, state: SystemState, index: int, known_epoch: int) -> SystemState:
-        """Give up an earlier candidacy, and stand for the epoch after the known one."""
+        """Abandon an earlier candidacy, and start one for the epoch after the known one."""
         state = self._run_input(state, index, "tick", (NOW + AFTER_CANDIDACY,))
         return self._run_input(
             state, index, "receive", (explorer_address(index), 0, TransferNow(known_epoch), NOW)
