--- a/rookwood/__main__.py
+++ b/rookwood/__main__.py
@@ -72,7 +72,7 @@
     if operator.store:
         from rookwood.ledger import front as ledger
 
-        fronts.append(ledger.front_of(operator))
+        fronts.append(ledger.ledger_extension(operator))
     if operator.gateway:
         from rookwood.gateway import gate
 
--- a/rookwood/duties/front.py
+++ b/rookwood/duties/front.py
@@ -50,7 +50,7 @@
 
 
 class Seat:
-    """Where a store that lives on the members sits (`replicas.peers.Place`)."""
+    """Where a store that lives on the members sits (`replicas.peers.Host`)."""
 
     def __init__(self, board: Board, duty: str, send: Callable[[str | None, Frame], None]) -> None:
         self._board, self._duty, self.me, self.send = board, duty, board.me, send
@@ -95,8 +95,8 @@
         hooks = (self._heard, self._gone, self._up)
         self._links = Links(me, others, listen, rule.length, core.clock, *hooks, large=bool(self._rider))
         if self._rider:
-            core.stats.extra_sources.append(self._rider.figures)
-            self.site.remembers = self._rider.whole
+            core.stats.extra_sources.append(self._rider.stats_lines)
+            self.site.remembers = self._rider.is_recovered
             self._rider.bind(Seat(self.board, self._rider.duty, self._links.send), rule.members)
         self._watchdog = Watchdog()
         self._announcer: Announcer | None = None
@@ -249,18 +249,18 @@
         now = self._clock.now()
         if letter := letter_of(frame):
             self._send(self.board.heard(sender, letter, now))
-        elif what := members_wire.letter_of(frame):
-            self._probe(self.members.heard(sender, what, now))
+        elif what := members_wire.message_of_frame(frame):
+            self._probe(self.members.receive(sender, what, now))
         elif isinstance(frame, SiteAsk):
             if not self.board.leaving:
                 self._tell(frame.number, sender)
         elif isinstance(frame, SiteTold):
             self.site.heard(sender, frame, now)
         elif self._rider:
-            self._rider.heard(sender, frame)
+            self._rider.receive(sender, frame)
 
     def _gone(self, name: str) -> None:
-        self.members.closed(name, self._clock.now())
+        self.members.connection_refused(name, self._clock.now())
 
     def _send(self, letters: Iterable[Letter]) -> None:
         for letter in letters:
@@ -296,14 +296,14 @@
 
     def _tell_changes(self, changes: list[Told]) -> None:
         for change in changes:
-            log.info("member", member=change.name, standing=change.standing.name.lower(), why=change.why)
+            log.info("member", member=change.name, standing=change.standing.name.lower(), why=change.reason)
         changes.clear()
 
     def _listed(self, roster: Roster, now: datetime) -> None:
         members = addresses(self._settings)
         others = {n: a for n, a in members.items() if n in roster.members and n != self.board.me}
         self._links.listed(others)
-        self.members.listed(others, now)
+        self.members.set_members(others, now)
         log.info("list of members", list=roster.number, members=" ".join(sorted(roster.members)))
         if self.board.me not in roster.members:
             log.warning("this dispatcher is no member any more: it holds nothing from now on")
@@ -408,10 +408,10 @@
         rows = [
             {
                 "name": news.name,
-                "standing": self.members.word(news.name),
+                "standing": self.members.status_text(news.name),
                 "zone": news.zone,
-                "life": news.life,
-                "turn": news.turn,
+                "life": news.incarnation,
+                "turn": news.revision,
                 "since_ms": (now - seen.since) // timedelta(milliseconds=1) if seen else None,
             }
             for news, seen in self.members.rows()
@@ -420,7 +420,7 @@
         return Response(200, json.dumps(told).encode() + b"\n")
 
     def _told_replicas(self) -> Response:
-        return Response(200, json.dumps(self._rider.told()).encode() + b"\n")
+        return Response(200, json.dumps(self._rider.status()).encode() + b"\n")
 
     def _figures(self) -> Iterator[str]:
         now = self._clock.now()
--- a/rookwood/lab/catchup.py
+++ b/rookwood/lab/catchup.py
@@ -56,7 +56,7 @@
                 cost.largest = max(cost.largest, len(data))
                 if name != deaf:
                     step = time.perf_counter()
-                    mail += ((name, a) for a in self.groups[name].heard(sender, wire.message_from(data)))
+                    mail += ((name, a) for a in self.groups[name].receive(sender, wire.message_from(data)))
                     cost.longest_ms = max(cost.longest_ms, 1000 * (time.perf_counter() - step))
         cost.seconds = time.perf_counter() - began
         return cost
@@ -76,7 +76,7 @@
 def measured(records: int, differ: int) -> dict[str, Any]:
     site, token = Site(), Token(1, "a", 1)
     for group in site.groups.values():
-        group.whole = True
+        group.recovered = True
     site.told("a", site.groups["a"].lead(token))
     for at in range(0, records, 500):
         some = range(at, min(records, at + 500))
@@ -92,10 +92,10 @@
     assert site.equal
     site.groups["c"] = Group("c", MEMBERS, 9, BUCKETS)
     found["one that has started"] = site.told("c", site.groups["c"].again())
-    assert site.equal and site.groups["c"].whole
+    assert site.equal and site.groups["c"].recovered
     changed("b")
     found["a new leader"] = site.told("b", site.groups["b"].lead(Token(2, "b", 1)))
-    assert site.equal and site.groups["b"].leads
+    assert site.equal and site.groups["b"].is_leader
     return {
         what.replace(" ", "_"): {
             "seconds": round(cost.seconds, 3),
--- a/rookwood/lab/detectors.py
+++ b/rookwood/lab/detectors.py
@@ -52,7 +52,7 @@
         return self.members.tick(at(now))
 
     def heard(self, sender: str, what: Any, now: int) -> Iterable[tuple[str, Any]]:
-        return self.members.heard(sender, what, at(now))
+        return self.members.receive(sender, what, at(now))
 
     def dead(self, now: int) -> set[str]:
         return self.members.gone
--- a/rookwood/lab/holding.py
+++ b/rookwood/lab/holding.py
@@ -80,7 +80,7 @@
                 elif isinstance(what, SiteTold):
                     self.sites[to].heard(sender, what, now)
                 else:
-                    self._probe(to, self.members[to].heard(sender, what, now))
+                    self._probe(to, self.members[to].receive(sender, what, now))
             for n, (name, site) in enumerate(self.sites.items()):
                 for duty in places(1):
                     self._letters(name, site.board.want(duty, False, now))
--- a/rookwood/lab/modelcheck.py
+++ b/rookwood/lab/modelcheck.py
@@ -34,7 +34,7 @@
         except (InvariantError, leases.InvariantError, registers.InvariantError) as broken:
             caught[name] = {"why": broken.why, "trace": broken.trace}
             table.add_row(name, broken.why, str(len(broken.trace)), f"{time.perf_counter() - began:.2f}")
-        except claims.SpentTwiceError as broken:
+        except claims.InvariantError as broken:
             caught[name] = {"why": "ran twice", "trace": broken.trace}
             table.add_row(name, "ran twice", str(len(broken.trace)), f"{time.perf_counter() - began:.2f}")
     status.console.print(table)
@@ -70,7 +70,7 @@
             status.update(f"exploring: {name}")
             try:
                 report = claims.explore(faults=faults, deaths=deaths)
-            except claims.SpentTwiceError as broken:
+            except claims.InvariantError as broken:
                 console.print(f"[red]ran twice:[/] {name}: {broken}")
                 return 3
             found[name] = {"states": report.states, "seconds": round(report.seconds, 1)}
@@ -84,16 +84,16 @@
     """`most`: states of each part, after which it ends unfinished, and says so."""
     console, found = Console(), dict[str, Any]()
     with console.status("exploring") as status:
-        for name, bounds in registers.PARTS.items():
+        for name, bounds in registers.SCENARIOS.items():
             status.update(f"exploring: {name}")
             try:
-                report = registers.Explorer(replace(bounds, most=most)).explore()
+                report = registers.Explorer(replace(bounds, max_states=most)).explore()
             except registers.InvariantError as broken:
                 console.print(f"[red]broken:[/] {name}: {broken}")
                 return 3
-            found[name] = {"states": report.states, "all": report.whole, "led": report.led}
+            found[name] = {"states": report.states, "all": report.is_complete, "led": report.led_states}
             found[name]["seconds"] = round(report.seconds, 1)
-            told = "all of them" if report.whole else "not all"
+            told = "all of them" if report.is_complete else "not all"
             console.print(f"{name}: {report.states} states ({told}), all sound, in {report.seconds:.1f} s")
         plays = {n: registers.Explorer(m.bounds, m.make).explore for n, m in registers.MUTANTS.items()}
         caught = mutants(plays, status)
--- a/rookwood/ledger/__init__.py
+++ b/rookwood/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger: a keyed unsafe job runs once, whichever dispatcher its retry meets. See docs/ledger.md."""
+"""The ledger runs a keyed unsafe job once, whichever dispatcher its retry reaches. See docs/ledger.md."""
--- a/rookwood/ledger/explore.py
+++ b/rookwood/ledger/explore.py
@@ -1,9 +1,10 @@
-"""Explores the ledger exhaustively: two dispatchers, one key, a client that asks both, and a store that lies.
+"""Explores the ledger exhaustively: two dispatchers, one key, a client that sends to both, a faulty store.
 
-At every step the store may lose its last change, go back to its beginning or be empty, on another server (a
-fail-over, a restart from an old file); a reply may be lost after its step was taken; a dispatcher may die and
-come back with nothing; time goes on in ticks. The steps are those of `life` and `watch`, unchanged. What must
-hold: the job runs at most once. The client stops asking when the window is over, which the window is set for.
+At every step the store may lose its last change, return to its initial state or become empty, each time on
+another server (a fail-over, or a restart from an old file). A reply may be lost after its step was applied.
+A dispatcher may die and restart without its state. Time advances in ticks. The steps are those of `life` and
+`watch`, unchanged. The invariant is that the job runs at most once. The client stops retrying at the end of
+the window; the window is chosen to cover every retry.
 """
 
 from __future__ import annotations
@@ -15,23 +16,25 @@
 from datetime import UTC, datetime, timedelta
 
 from rookwood.ledger import life, watch
-from rookwood.ledger.life import Ask, Phase, Record, Said, Verdict
-from rookwood.ledger.watch import History, Mark, Member, Watch
+from rookwood.ledger.life import ClaimRequest, ClaimResult, Phase, Record, Verdict
+from rookwood.ledger.watch import History, KnownHistory, Mark, Member
 
-ZERO = datetime(2026, 1, 1, tzinfo=UTC)
+START = datetime(2026, 1, 1, tzinfo=UTC)
 TICK = timedelta(seconds=1)
-LEASE, RUNS, KEPT = TICK, 2 * TICK, 20 * TICK
-LAST = 4  # ticks that are explored
-WINDOW = LAST * TICK  # a client may ask for as long as that
-TIER = ("a", "b")
+LEASE, RUN_TIME, RETENTION = TICK, 2 * TICK, 20 * TICK
+LAST_TICK = 4  # the exploration ends at this tick
+WINDOW = LAST_TICK * TICK  # a client may retry for this long
+DISPATCHERS = ("a", "b")
 
 
 def at(tick: int) -> datetime:
-    return ZERO + tick * TICK
+    return START + tick * TICK
 
 
 @dataclass(frozen=True, slots=True)
 class Store:
+    """The state of the store: the key's record, the history's mark and the members that vouch."""
+
     record: Record | None
     mark: Mark | None
     members: frozenset[Member] = frozenset()
@@ -39,226 +42,253 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """One dispatcher."""
+    """One dispatcher: the history it knows, its claim and how far its request has come."""
 
     generation: str = "g0"
     count: int = 0
-    since: int = -100  # the tick at which this life began
-    lives: int = 0
-    claim: Record | None = None  # what it holds or has settled: it can write that again
-    asking: int = 0  # tries that it has made, for nonces
+    since: int = -100  # the tick at which this process started
+    restarts: int = 0
+    claim: Record | None = None  # the claim that it holds or has settled, and can write to the store again
+    claim_attempts: int = 0  # claims requested so far; part of the nonce
     stage: str = "idle"  # idle, held, running, done
 
 
 @dataclass(frozen=True, slots=True)
 class State:
+    """The whole system at one tick."""
+
     now: int
     store: Store
-    server: int  # counts fail-overs
-    before: Store  # as the store was before its last change
+    server: int  # number of fail-overs; stands for the server's run id
+    before: Store  # the store before its last change
     nodes: tuple[Node, Node]
-    spends: int = 0
+    runs: int = 0  # times that the job was sent to a worker
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What is explored; a mutant replaces one of them."""
+    """The functions under test; a mutant replaces one of them."""
 
-    claim: Callable[..., tuple[Record | None, Said]] = life.claim
-    judge: Callable[[Watch, str, Mark], History] = Watch.judge
-    trusts: Callable[..., bool] = watch.trusts
+    claim: Callable[..., tuple[Record | None, ClaimResult]] = life.claim
+    compare_history: Callable[[KnownHistory, str, Mark], History] = KnownHistory.compare
+    is_absent_key_free: Callable[..., bool] = watch.is_absent_key_free
     claims_first: bool = True
 
 
-class SpentTwiceError(Exception):
+class InvariantError(Exception):
+    """The job ran twice; `trace` lists the steps that lead there."""
+
     def __init__(self, trace: list[str]) -> None:
         super().__init__(" > ".join(trace))
         self.trace = trace
 
 
-def first() -> State:
-    members = frozenset(Member(name, at(-100)) for name in TIER)
+def initial_state() -> State:
+    members = frozenset(Member(name, at(-100)) for name in DISPATCHERS)
     store = Store(None, Mark("g0", "s0", 0, at(-50), trusted=True), members)
     return State(0, store, 0, store, (Node(), Node()))
 
 
 class Explorer:
+    """Enumerates the steps that are possible in a state."""
+
     def __init__(self, rules: Rules, faults: int, deaths: int) -> None:
         self._rules, self._faults, self._deaths = rules, faults, deaths
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
-        if state.now < LAST:
+        if state.now < LAST_TICK:
             yield "tick", replace(state, now=state.now + 1)
         if state.server < self._faults:
-            for store in {state.before, first().store, Store(None, None)}:
-                what = "store empty" if store.mark is None else "store goes back"
-                yield what, replace(state, store=store, before=store, server=state.server + 1)
+            for store in {state.before, initial_state().store, Store(None, None)}:
+                step = "store empty" if store.mark is None else "store goes back"
+                yield step, replace(state, store=store, before=store, server=state.server + 1)
         for n, node in enumerate(state.nodes):
-            yield from ((f"{TIER[n]} {what}", after) for what, after in self._node(state, n, node))
+            yield from (
+                (f"{DISPATCHERS[n]} {step}", after) for step, after in self._node_steps(state, n, node)
+            )
 
-    def _with(self, state: State, n: int, node: Node, store: Store | None = None, spends: int = 0) -> State:
+    def _replace_node(
+        self, state: State, n: int, node: Node, store: Store | None = None, spends: int = 0
+    ) -> State:
         nodes = (node, state.nodes[1]) if n == 0 else (state.nodes[0], node)
         store = store or state.store
         before = state.before if store == state.store else state.store
-        return replace(state, nodes=nodes, store=store, before=before, spends=state.spends + spends)
-
-    def _node(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
-        if node.lives < self._deaths:
-            yield "dies", self._with(state, n, Node(generation="", since=state.now, lives=node.lives + 1))
-        if node.stage == "idle" and node.asking < 1 and state.now < LAST:
-            yield from self._claims(state, n, node)
+        return replace(state, nodes=nodes, store=store, before=before, runs=state.runs + spends)
+
+    def _node_steps(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
+        if node.restarts < self._deaths:
+            yield (
+                "dies",
+                self._replace_node(
+                    state, n, Node(generation="", since=state.now, restarts=node.restarts + 1)
+                ),
+            )
+        if node.stage == "idle" and node.claim_attempts < 1 and state.now < LAST_TICK:
+            yield from self._claim_steps(state, n, node)
         if node.stage == "held" and node.claim and at(state.now) < node.claim.lease_until:
-            yield "sends", self._with(state, n, replace(node, stage="running"), spends=1)
-            yield from self._releases(state, n, node)
+            yield "sends", self._replace_node(state, n, replace(node, stage="running"), spends=1)
+            yield from self._release_steps(state, n, node)
         if node.stage == "running":
-            yield from self._settles(state, n, node)
+            yield from self._settle_steps(state, n, node)
         if node.claim and node.stage in ("held", "running"):
-            yield from self._renews(state, n, node)
-        yield from self._watches(state, n, node)
+            yield from self._renew_steps(state, n, node)
+        yield from self._join_steps(state, n, node)
 
-    def _judged(self, state: State, node: Node) -> History:
-        mark = state.store.mark or Mark("", "", 0, ZERO)
-        return self._rules.judge(Watch(node.generation, node.count), f"s{state.server}", mark)
+    def _compare_history(self, state: State, node: Node) -> History:
+        mark = state.store.mark or Mark("", "", 0, START)
+        return self._rules.compare_history(
+            KnownHistory(node.generation, node.count), f"s{state.server}", mark
+        )
+
+    def _join_steps(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
+        """Joins the store's history, after beginning a new one where it is broken.
 
-    def _watches(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
-        """Any reply tells of the store's history; what is to be done about it is one atomic step there."""
-        history, store, now = self._judged(state, node), state.store, at(state.now)
+        Every reply carries the history, so this may happen at any time. It is one atomic step of the store.
+        """
+        history, store, now = self._compare_history(state, node), state.store, at(state.now)
         if history is History.SAME:
             return
         if history is History.BROKEN:
-            name = f"g{state.server}{TIER[n]}"
+            name = f"g{state.server}{DISPATCHERS[n]}"
             mark = watch.new_mark(store.mark, name, f"s{state.server}", node.count, now)
             store = Store(store.record, mark, frozenset())
         assert store.mark
         record = store.record
         if node.claim and (record is None or record.token < node.claim.token):
-            record = node.claim  # written again, as it is known here
-        me = Member(TIER[n], at(node.since))
+            record = node.claim  # the store has lost it, so this dispatcher writes it again
+        me = Member(DISPATCHERS[n], at(node.since))
         members = frozenset(m for m in store.members if m.name != me.name) | {me}
         after = Store(record, store.mark, members)
         yield (
             "joins",
-            self._with(
+            self._replace_node(
                 state, n, replace(node, generation=store.mark.generation, count=store.mark.count), after
             ),
         )
 
-    def _claims(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
-        node = replace(node, asking=node.asking + 1)
+    def _claim_steps(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
+        node = replace(node, claim_attempts=node.claim_attempts + 1)
         if not self._rules.claims_first:
-            yield "sends unclaimed", self._with(state, n, replace(node, stage="running"), spends=1)
+            yield "sends unclaimed", self._replace_node(state, n, replace(node, stage="running"), spends=1)
             return
-        if self._judged(state, node) is not History.SAME:
-            return  # the claim is asked for again once it has joined
+        if self._compare_history(state, node) is not History.SAME:
+            return  # the dispatcher joins the history first and then requests the claim again
         store, now = state.store, at(state.now)
         assert store.mark
-        ask = Ask("k", "f", f"{TIER[n]}{node.lives}{node.asking}", LEASE, RUNS, KEPT)
+        claim_request = ClaimRequest(
+            "k", "f", f"{DISPATCHERS[n]}{node.restarts}{node.claim_attempts}", LEASE, RUN_TIME, RETENTION
+        )
         members = {m.name: m for m in store.members}
-        if life.live(store.record, now) is None and not self._rules.trusts(
-            store.mark, members, len(TIER), WINDOW, now
+        if life.unexpired(store.record, now) is None and not self._rules.is_absent_key_free(
+            store.mark, members, len(DISPATCHERS), WINDOW, now
         ):
             return
         token = store.mark.count + 1
-        record, said = self._rules.claim(store.record, ask, token, now)
-        fresh = record is not None and record.nonce == ask.nonce
+        record, result = self._rules.claim(store.record, claim_request, token, now)
+        fresh = record is not None and record.nonce == claim_request.nonce
         mark = replace(store.mark, count=token) if fresh else store.mark
         after = Store(record, mark, store.members)
-        if said.verdict is not Verdict.GRANTED:
-            yield f"is told {said.verdict.value}", self._with(state, n, replace(node, stage="done"), after)
+        if result.verdict is not Verdict.GRANTED:
+            yield (
+                f"is told {result.verdict.value}",
+                self._replace_node(state, n, replace(node, stage="done"), after),
+            )
             return
-        yield "claims, no reply", self._with(state, n, replace(node, stage="done"), after)
+        yield "claims, no reply", self._replace_node(state, n, replace(node, stage="done"), after)
         held = replace(node, stage="held", claim=record, count=mark.count)
-        yield "claims", self._with(state, n, held, after)
+        yield "claims", self._replace_node(state, n, held, after)
 
-    def _renews(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
+    def _renew_steps(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
         assert node.claim
-        if self._judged(state, node) is not History.SAME:
+        if self._compare_history(state, node) is not History.SAME:
             return
-        record, mine = life.renew(state.store.record, node.claim.token, LEASE, at(state.now))
-        if mine and record != state.store.record:
+        record, is_held = life.renew(state.store.record, node.claim.token, LEASE, at(state.now))
+        if is_held and record != state.store.record:
             store = replace(state.store, record=record)
-            yield "renews", self._with(state, n, replace(node, claim=record), store)
+            yield "renews", self._replace_node(state, n, replace(node, claim=record), store)
 
-    def _releases(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
+    def _release_steps(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
         assert node.claim
-        if self._judged(state, node) is not History.SAME:
+        if self._compare_history(state, node) is not History.SAME:
             return
         record, _ = life.release(state.store.record, node.claim.token, at(state.now))
         store = replace(state.store, record=record)
-        yield "releases", self._with(state, n, replace(node, stage="done", claim=None), store)
+        yield "releases", self._replace_node(state, n, replace(node, stage="done", claim=None), store)
 
-    def _settles(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
-        if not node.claim or self._judged(state, node) is not History.SAME:
+    def _settle_steps(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
+        if not node.claim or self._compare_history(state, node) is not History.SAME:
             return
         record, _ = life.settle(state.store.record, node.claim.token, Phase.SERVED, b"x", at(state.now))
         claim = replace(node.claim, phase=Phase.SERVED, result=b"x")
         store = replace(state.store, record=record)
-        yield "settles", self._with(state, n, replace(node, stage="done", claim=claim), store)
+        yield "settles", self._replace_node(state, n, replace(node, stage="done", claim=claim), store)
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
+    """Number of distinct states visited, and the time it took."""
+
     states: int
     seconds: float
 
 
 def explore(rules: Rules | None = None, faults: int = 1, deaths: int = 1) -> Report:
-    """Raises `SpentTwiceError` with a shortest trace."""
+    """Visits every reachable state, breadth first. Raises `InvariantError` with a shortest trace."""
     began, explorer = time.perf_counter(), Explorer(rules or Rules(), faults, deaths)
-    start = first()
+    start = initial_state()
     found: dict[State, tuple[State | None, str]] = {start: (None, "")}
-    todo = deque([start])
-    while todo:
-        state = todo.popleft()
+    queue = deque([start])
+    while queue:
+        state = queue.popleft()
         for name, after in explorer.steps(state):
             if after in found:
                 continue
             found[after] = (state, name)
-            if after.spends > 1:
-                trace, here = list[str](), after
-                while (parent := found[here])[0] is not None:
+            if after.runs > 1:
+                trace, current = list[str](), after
+                while (parent := found[current])[0] is not None:
                     trace.append(parent[1])
                     assert parent[0]
-                    here = parent[0]
-                raise SpentTwiceError(trace[::-1])
-            todo.append(after)
+                    current = parent[0]
+                raise InvariantError(trace[::-1])
+            queue.append(after)
     return Report(len(found), time.perf_counter() - began)
 
 
-# ---- mutants, each of which must be caught ----
+# ---- mutants: the exploration must find a violation in each ----
 
 
-def frees_what_lapsed(
-    record: Record | None, ask: Ask, token: int, now: datetime
-) -> tuple[Record | None, Said]:
-    """A lease that has run out frees the key, as a lock would."""
+def free_lapsed_claim(
+    record: Record | None, claim_request: ClaimRequest, token: int, now: datetime
+) -> tuple[Record | None, ClaimResult]:
+    """An expired lease frees the key, as that of a lock would."""
     if record and record.phase is Phase.CLAIMED and now >= record.lease_until:
         record = None
-    return life.claim(record, ask, token, now)
+    return life.claim(record, claim_request, token, now)
 
 
-def believes_any_history(seen: Watch, run_id: str, mark: Mark) -> History:
-    """A store that has gone back in time is not noticed."""
+def accept_any_history(history: KnownHistory, run_id: str, mark: Mark) -> History:
+    """Does not notice a store that has gone back in time."""
     return History.SAME if mark.generation else History.BROKEN
 
 
-def trusts_at_once(*_: object) -> bool:
-    """A key without a record is free in a new history too."""
+def trust_new_history_at_once(*_: object) -> bool:
+    """Takes a key without a record for free in a new history too."""
     return True
 
 
-def takes_any_word(
-    mark: Mark, members: dict[str, Member], tier: int, window: timedelta, now: datetime
+def accept_any_vouching(
+    mark: Mark, members: dict[str, Member], dispatchers: int, window: timedelta, now: datetime
 ) -> bool:
-    """Who has only just started vouches for the window too."""
-    whole = {name: replace(m, alive_since=mark.began - window) for name, m in members.items()}
-    return watch.trusts(mark, whole, tier, window, now)
+    """Counts a member that has only just started as one that vouches for the window."""
+    vouching = {name: replace(m, alive_since=mark.began - window) for name, m in members.items()}
+    return watch.is_absent_key_free(mark, vouching, dispatchers, window, now)
 
 
 MUTANTS = {
     "claims after sending": Rules(claims_first=False),
-    "frees what lapsed": Rules(claim=frees_what_lapsed),
-    "believes any history": Rules(judge=believes_any_history),
-    "trusts at once": Rules(trusts=trusts_at_once),
-    "takes any word": Rules(trusts=takes_any_word),
+    "frees an expired claim": Rules(claim=free_lapsed_claim),
+    "accepts any history": Rules(compare_history=accept_any_history),
+    "trusts a new history at once": Rules(is_absent_key_free=trust_new_history_at_once),
+    "accepts any vouching": Rules(is_absent_key_free=accept_any_vouching),
 }
--- a/rookwood/ledger/guard.py
+++ b/rookwood/ledger/guard.py
@@ -1,8 +1,8 @@
-"""The ledger at work in one dispatcher: claimed before anything is sent, renewed, settled before the answer.
+"""The ledger of one dispatcher: claims a key before its request is sent and settles it before the response.
 
-It wraps the life of a keyed unsafe request (`served`). It owns the store, and the memory of its own claims:
-when the store has gone back in time it writes them again, and until all dispatchers have, a key that the
-store does not know is refused rather than run.
+`Ledger.serve_once` wraps the processing of a keyed unsafe request. The ledger owns the store, renews the
+leases of its claims and remembers them: when the store has gone back in time, it writes them again. Until all
+dispatchers have done so, requests whose key the store does not know are rejected rather than run.
 """
 
 from __future__ import annotations
@@ -18,58 +18,66 @@
 
 import structlog
 
-from rookwood.ledger.health import FIRST_PAUSE, Breaker, Circuit, claim_limit
-from rookwood.ledger.keys import UnsoundKeyError, fingerprint, key_of
-from rookwood.ledger.life import Ask, Phase, Record, Said, Verdict
-from rookwood.ledger.store import NotTakenError, Reply, Store, StoreError, Tier
-from rookwood.ledger.watch import History, Member, Watch
+from rookwood.ledger.health import FIRST_PAUSE, Breaker, Circuit, claim_timeout
+from rookwood.ledger.keys import InvalidKeyError, fingerprint, parse_key
+from rookwood.ledger.life import ClaimRequest, ClaimResult, Phase, Record, Verdict
+from rookwood.ledger.store import NotAppliedError, Reply, Store, StoreError, TrustPolicy
+from rookwood.ledger.watch import History, KnownHistory, Member
 from rookwood.net.clock import Clock
 from rookwood.net.request import InboundRequest, RequestProgress, Response
 
 log = structlog.stdlib.get_logger(__name__)
 
 Run = Callable[[RequestProgress], Awaitable[Response]]
-TICK = timedelta(milliseconds=100)  # the store is looked at so often, also while nothing is asked of it
-SETTLE_LIMIT = timedelta(milliseconds=150)  # so long a result waits until it is written; nothing else waits
-MOST_TASKS = 200  # claims that are taken back, and outcomes that are written, at a time
-ROUNDS = 3  # of asking for a claim, with the history made sure of in between
+TICK = timedelta(milliseconds=100)  # interval between checks of the store's history, also without requests
+SETTLE_LIMIT = timedelta(milliseconds=150)  # a result is delayed at most this long until the store has it
+MAX_TASKS = 200  # at this many background tasks, uncertain claims are no longer withdrawn
+CLAIM_ROUNDS = 3  # times that a claim is requested, with the history confirmed in between
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Spans that a claim lives by."""
+    """Lease of a claim and retention of its record."""
 
     lease: timedelta = timedelta(seconds=2)
-    kept: timedelta = timedelta(minutes=10)  # outcomes, for retries
+    kept: timedelta = timedelta(minutes=10)  # retention after the last possible end of the job, for retries
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """One claim of this dispatcher, until nobody needs its memory."""
+class HeldClaim:
+    """One claim of this dispatcher, kept for as long as the store might lose its record."""
 
     key: str
     record: Record
-    open: bool = True  # to be renewed and settled
-    outcome: tuple[Phase, bytes] | None = None  # known here, and not yet written
+    is_open: bool = True  # the request is in progress: the lease is renewed
+    outcome: tuple[Phase, bytes] | None = None  # known, but not yet written to the store
 
 
 class Ledger:
+    """Makes sure that a keyed unsafe request runs at most once among the dispatchers that share a store."""
+
     def __init__(
-        self, name: str, store: Store, tier: Tier, terms: Terms, clock: Clock, unsafe: frozenset[str]
+        self,
+        name: str,
+        store: Store,
+        trust: TrustPolicy,
+        terms: Terms,
+        clock: Clock,
+        claimed_classes: frozenset[str],
     ) -> None:
-        self._name, self._store, self._tier, self._terms = name, store, tier, terms
-        self._clock, self._unsafe = clock, unsafe
-        self._watch, self._breaker, self._random = Watch(), Breaker(), random.Random()
-        self._held: dict[str, Held] = {}
-        self._since: datetime | None = None  # this life's start, by the store's clock
-        self._begun = clock.now()
-        self._known = 0  # the highest token here
+        self._name, self._store, self._trust, self._terms = name, store, trust, terms
+        self._clock, self._claimed_classes = clock, claimed_classes
+        self._known_history, self._breaker, self._random = KnownHistory(), Breaker(), random.Random()
+        self._claims: dict[str, HeldClaim] = {}
+        self._alive_since: datetime | None = None  # start of this process by the store's clock
+        self._started_at = clock.now()
+        self._highest_token = 0  # of all claims granted to this dispatcher
         self.counts: Counter[str] = Counter()
-        self._joining = asyncio.Lock()
+        self._join_lock = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        self._spawn(self._ticks())
+        self._spawn(self._tick_forever())
 
     async def close(self) -> None:
         for task in list(self._tasks):
@@ -85,238 +93,281 @@
     # ---- a request ----
 
     def applies_to(self, request: InboundRequest) -> bool:
-        return request.idempotency_key is not None and request.job_class in self._unsafe
+        return request.idempotency_key is not None and request.job_class in self._claimed_classes
 
     async def serve_once(self, request: InboundRequest, run: Run) -> Response:
-        """The whole life of a keyed unsafe request: claimed, run, settled, answered."""
+        """Claims the key, runs the request, settles the claim and returns the response.
+
+        Without a new claim the response is a replay of the first one, or says why the request was not run.
+        """
         assert request.idempotency_key is not None
         try:
-            key = key_of(request.idempotency_key)
-        except UnsoundKeyError as error:
+            key = parse_key(request.idempotency_key)
+        except InvalidKeyError as error:
             return Response(400, f"{error}\n".encode())
-        left = request.deadline - self._clock.now()
-        mark = fingerprint(request.worker_request.target, request.worker_request.body)
-        ask = Ask(key, mark, secrets.token_hex(8), self._terms.lease, left, self._terms.kept)
+        remaining = request.deadline - self._clock.now()
+        digest = fingerprint(request.worker_request.target, request.worker_request.body)
+        claim_request = ClaimRequest(
+            key, digest, secrets.token_hex(8), self._terms.lease, remaining, self._terms.kept
+        )
         try:
-            async with asyncio.timeout(claim_limit(left).total_seconds()):
-                said = await self._claim(ask)
+            async with asyncio.timeout(claim_timeout(remaining).total_seconds()):
+                result = await self._claim(claim_request)
         except (StoreError, TimeoutError) as error:
-            # Nothing has run. A claim that was made all the same is taken back, or found unknown by a retry.
+            # Nothing has run. The store may have made the claim all the same: then it is withdrawn, or a
+            # retry finds its outcome unknown.
             self.counts["unreachable"] += 1
-            if not isinstance(error, NotTakenError) and len(self._tasks) < MOST_TASKS:
-                self._spawn(self._withdraw(ask))
+            if not isinstance(error, NotAppliedError) and len(self._tasks) < MAX_TASKS:
+                self._spawn(self._withdraw(claim_request))
             log.warning(
-                "no claim", request_id=request.worker_request.request_id, why=str(error) or "too slow"
+                "claim not obtained",
+                request_id=request.worker_request.request_id,
+                why=str(error) or "timed out",
             )
-            # Each a time of its own: those who are refused together must not be back together.
-            wait = max(FIRST_PAUSE, self._breaker.wait(self._clock.now())) * self._random.uniform(1, 3)
+            # The wait is randomized so that clients rejected together do not all retry together.
+            wait = max(FIRST_PAUSE, self._breaker.retry_after(self._clock.now())) * self._random.uniform(1, 3)
             return Response(503, b"the store does not answer\n", wait)
-        self.counts[said.verdict.value] += 1
-        match said.verdict:
+        self.counts[result.verdict.value] += 1
+        match result.verdict:
             case Verdict.GRANTED:
-                return await self._run(self._held[key], run, request.deadline)
+                return await self._run_claimed(self._claims[key], run, request.deadline)
             case Verdict.KEPT:
-                return Response(200, said.result, replayed=True)
+                return Response(200, result.result, replayed=True)
             case Verdict.UNKNOWN:
                 return Response(502, b"an earlier try may have run\n", replayed=True)
             case Verdict.MISMATCH:
                 return Response(422, b"this Idempotency-Key was used for another request\n")
             case Verdict.BUSY:
-                return Response(409, b"a try with this Idempotency-Key is in hand\n", said.wait)
+                return Response(409, b"a try with this Idempotency-Key is in hand\n", result.wait)
             case Verdict.UNSURE:
                 return Response(
-                    503, b"the store may have lost this key\n", min(said.wait, timedelta(seconds=1))
+                    503, b"the store may have lost this key\n", min(result.wait, timedelta(seconds=1))
                 )
-        raise AssertionError(said.verdict)
+        raise AssertionError(result.verdict)
 
-    async def _run(self, held: Held, run: Run, deadline: datetime) -> Response:
-        course = RequestProgress()
-        answer: Response | None = None
+    async def _run_claimed(self, claim: HeldClaim, run: Run, deadline: datetime) -> Response:
+        progress = RequestProgress()
+        response: Response | None = None
         try:
-            answer = await run(course)
+            response = await run(progress)
         finally:
-            # Also when the client has gone or something here failed: what is known is written down.
-            if answer and answer.status == 200:
-                held.outcome = (Phase.SERVED, answer.body)
-            elif answer.status not in (400, 503) if answer else course.may_have_run or course.is_forwarded:
-                held.outcome = (Phase.FAILED, b"")
-            held.open = False
-            writing = asyncio.ensure_future(self._settle(held))
-            self._tasks.add(writing)
-            writing.add_done_callback(self._tasks.discard)
-        if answer.status == 200:
-            # A retry that follows at once then finds the result, not a claim. Nothing hangs on it, so a slow
-            # store may cost a little time of the answer's, and a refusal goes out at once.
-            spare = (deadline - self._clock.now()) / 4
-            await asyncio.wait((writing,), timeout=max(0.0, min(SETTLE_LIMIT, spare).total_seconds()))
-        return answer
-
-    async def _claim(self, ask: Ask) -> Said:
-        for _ in range(ROUNDS):
-            seen, known = self._watch, self._watch.count
-            reply = await self._call(partial(self._store.claim, seen, ask))
-            if not await self._sure(reply, seen, known):
+            # Runs also when the client has disconnected or an exception is raised: the store has to learn
+            # whatever is known about the outcome.
+            if response and response.status == 200:
+                claim.outcome = (Phase.SERVED, response.body)
+            elif (
+                response.status not in (400, 503)
+                if response
+                else progress.may_have_run or progress.is_forwarded
+            ):
+                claim.outcome = (Phase.FAILED, b"")
+            claim.is_open = False
+            settling = asyncio.ensure_future(self._settle(claim))
+            self._tasks.add(settling)
+            settling.add_done_callback(self._tasks.discard)
+        if response.status == 200:
+            # An immediate retry then finds the result rather than an open claim. Correctness does not depend
+            # on it, so a slow store delays the response only a little, and an error response not at all.
+            limit = (deadline - self._clock.now()) / 4
+            await asyncio.wait((settling,), timeout=max(0.0, min(SETTLE_LIMIT, limit).total_seconds()))
+        return response
+
+    async def _claim(self, claim_request: ClaimRequest) -> ClaimResult:
+        for _ in range(CLAIM_ROUNDS):
+            history, known_count = self._known_history, self._known_history.count
+            reply = await self._call(partial(self._store.claim, history, claim_request))
+            if not await self._confirm_history(reply, history, known_count):
                 continue
-            said = reply.said or Said(Verdict.UNSURE)
-            if said.verdict is Verdict.GRANTED:
-                self._known = max(self._known, said.token)
-                self._held[ask.key] = Held(ask.key, self._granted(ask, reply, said))
-            return said
-        return Said(Verdict.UNSURE)
-
-    async def _withdraw(self, ask: Ask) -> None:
-        """A claim that nobody knows of would keep its key from retries, and in the end make it unknown. Asked
-        for again, it finds itself by its nonce, and is released."""
-        until, pause = self._clock.now() + ask.lease, 0.02
+            result = reply.said or ClaimResult(Verdict.UNSURE)
+            if result.verdict is Verdict.GRANTED:
+                self._highest_token = max(self._highest_token, result.token)
+                self._claims[claim_request.key] = HeldClaim(
+                    claim_request.key, self._granted_record(claim_request, reply, result)
+                )
+            return result
+        return ClaimResult(Verdict.UNSURE)
+
+    async def _withdraw(self, claim_request: ClaimRequest) -> None:
+        """Releases a claim whose reply was lost.
+
+        It would block its key for retries and leave the outcome unknown in the end. Requesting the claim
+        again finds it by its nonce, and it can be released.
+        """
+        until, pause = self._clock.now() + claim_request.lease, 0.02
         while self._clock.now() < until:
             try:
-                seen, known = self._watch, self._watch.count
-                reply = await self._call(partial(self._store.claim, seen, ask))
-                if await self._sure(reply, seen, known):
+                history, known_count = self._known_history, self._known_history.count
+                reply = await self._call(partial(self._store.claim, history, claim_request))
+                if await self._confirm_history(reply, history, known_count):
                     if reply.said and reply.said.verdict is Verdict.GRANTED:
                         self.counts["withdrawn"] += 1
-                        await self._settle(Held(ask.key, self._granted(ask, reply, reply.said), open=False))
+                        await self._settle(
+                            HeldClaim(
+                                claim_request.key,
+                                self._granted_record(claim_request, reply, reply.said),
+                                is_open=False,
+                            )
+                        )
                     return
             except StoreError:
                 await asyncio.sleep(pause)
                 pause = min(0.5, 2 * pause)
 
     @staticmethod
-    def _granted(ask: Ask, reply: Reply, said: Said) -> Record:
-        ends = reply.now + ask.runs
+    def _granted_record(claim_request: ClaimRequest, reply: Reply, result: ClaimResult) -> Record:
+        last_end = reply.now + claim_request.runs
         return Record(
-            *(ask.fingerprint, ask.nonce, said.token, Phase.CLAIMED),
-            *(reply.now + ask.lease, ends, ends + ask.kept),
+            *(claim_request.fingerprint, claim_request.nonce, result.token, Phase.CLAIMED),
+            *(reply.now + claim_request.lease, last_end, last_end + claim_request.kept),
         )
 
-    async def _settle(self, held: Held) -> None:
-        """Writes an outcome, or that there is none, again and again until the store has it."""
-        until, pause = self._clock.now() + self._tier.window, 0.02
+    async def _settle(self, claim: HeldClaim) -> None:
+        """Settles or releases a claim, retrying until the store has applied it or the window is over."""
+        until, pause = self._clock.now() + self._trust.window, 0.02
         while self._clock.now() < until:
             try:
-                seen, known = self._watch, self._watch.count
-                reply = await self._call(partial(self._write, seen, held))
-                if await self._sure(reply, seen, known):
+                history, known_count = self._known_history, self._known_history.count
+                reply = await self._call(partial(self._write, history, claim))
+                if await self._confirm_history(reply, history, known_count):
                     break
             except StoreError:
                 await asyncio.sleep(pause)
                 pause = min(0.5, 2 * pause)
-        if held.outcome:  # remembered for as long as the store might lose it
-            held.record = replace(held.record, phase=held.outcome[0], result=held.outcome[1])
-            held.outcome = None
-        elif self._held.get(held.key) is held:
-            del self._held[held.key]
-
-    def _write(self, seen: Watch, held: Held) -> Awaitable[Reply]:
-        token = held.record.token
-        if held.outcome:
-            return self._store.settle(seen, held.key, token, *held.outcome)
-        return self._store.release(seen, held.key, token)
+        if claim.outcome:  # kept here for as long as the store might lose it
+            claim.record = replace(claim.record, phase=claim.outcome[0], result=claim.outcome[1])
+            claim.outcome = None
+        elif self._claims.get(claim.key) is claim:
+            del self._claims[claim.key]
+
+    def _write(self, history: KnownHistory, claim: HeldClaim) -> Awaitable[Reply]:
+        token = claim.record.token
+        if claim.outcome:
+            return self._store.settle(history, claim.key, token, *claim.outcome)
+        return self._store.release(history, claim.key, token)
 
     # ---- the store's history ----
 
     async def _call(self, step: Callable[[], Awaitable[Reply]]) -> Reply:
         now = self._clock.now()
-        if not self._breaker.lets(now):
-            raise NotTakenError("the store is given a rest")
+        if not self._breaker.allows_call(now):
+            raise NotAppliedError("the circuit breaker is open")
         try:
             reply = await step()
-        except NotTakenError:
+        except NotAppliedError:
             if self._breaker.circuit is not Circuit.CLOSED:
-                self._breaker.failed(self._clock.now())
-            raise  # it cost nobody a wait, and ends as suddenly as it began
+                self._breaker.record_failure(self._clock.now())
+            raise  # not counted while closed: no call waited in vain, and such failures end suddenly
         except StoreError:
-            self._breaker.failed(self._clock.now())
+            self._breaker.record_failure(self._clock.now())
             raise
-        except asyncio.CancelledError:  # its caller's time was up first
-            self._breaker.failed(self._clock.now())
+        except asyncio.CancelledError:  # the caller's timeout came before the store's
+            self._breaker.record_failure(self._clock.now())
             raise
-        self._breaker.answered()
-        if self._since is None:
-            self._since = reply.now - (self._clock.now() - self._begun)
+        self._breaker.record_success()
+        if self._alive_since is None:
+            self._alive_since = reply.now - (self._clock.now() - self._started_at)
         return reply
 
-    def _judged(self, reply: Reply, known: int) -> History:
-        """By what was known when it was asked for: of two replies the later question's may come first, and
-        the other is no older history for that."""
-        watch = Watch(self._watch.generation, known)
-        return History.BROKEN if reply.mark is None else watch.judge(reply.run_id, reply.mark)
-
-    async def _sure(self, reply: Reply, seen: Watch, known: int) -> bool:
-        """True: the reply is of the history that is known here, as it was when the step was sent (`seen`).
-        If not, this dispatcher joins the new one, or has meanwhile: the step is to be made again."""
-        if reply.mark and seen is self._watch and self._judged(reply, known) is History.SAME:
-            overtaken = reply.mark.count < self._watch.count
-            self._watch.saw(reply.mark)
-            # A store that was put back while this was out looks the same, so it is asked again either way.
+    def _compare_history(self, reply: Reply, known_count: int) -> History:
+        """Compares a reply with the history as it was known when the step was sent.
+
+        `known_count` is the claim count at that time. Replies may overtake one another, and a reply that was
+        overtaken has a lower count without belonging to an older history.
+        """
+        watch = KnownHistory(self._known_history.generation, known_count)
+        return History.BROKEN if reply.mark is None else watch.compare(reply.run_id, reply.mark)
+
+    async def _confirm_history(self, reply: Reply, history: KnownHistory, known_count: int) -> bool:
+        """Whether the reply belongs to the known history, and that is still the one of the step (`history`).
+
+        Otherwise this dispatcher joins the store's new history, unless it already has, and the caller has to
+        repeat the step.
+        """
+        if (
+            reply.mark
+            and history is self._known_history
+            and self._compare_history(reply, known_count) is History.SAME
+        ):
+            overtaken = reply.mark.count < self._known_history.count
+            self._known_history.update(reply.mark)
+            # An overtaken reply looks like one of a store that went back meanwhile: the step is repeated.
             return not overtaken
-        async with self._joining:
-            known = self._watch.count
-            reply = await self._call(self._store.look)
-            if reply.mark and self._judged(reply, known) is History.SAME:
-                return False  # joined meanwhile by another request
-            if self._judged(reply, known) is History.BROKEN:
+        async with self._join_lock:
+            known_count = self._known_history.count
+            reply = await self._call(self._store.read_history)
+            if reply.mark and self._compare_history(reply, known_count) is History.SAME:
+                return False  # another task has joined the history meanwhile
+            if self._compare_history(reply, known_count) is History.BROKEN:
                 before = reply.mark.generation if reply.mark else ""
-                log.warning("store went back in time", was=self._watch.generation, count=self._watch.count)
+                log.warning(
+                    "store went back in time",
+                    was=self._known_history.generation,
+                    count=self._known_history.count,
+                )
                 self.counts["histories"] += 1
-                generation, highest = secrets.token_hex(8), max(self._known, self._watch.count)
-                reply = await self._call(lambda: self._store.begin(generation, highest, before, False))
+                generation, highest = (
+                    secrets.token_hex(8),
+                    max(self._highest_token, self._known_history.count),
+                )
+                reply = await self._call(
+                    lambda: self._store.begin_history(generation, highest, before, False)
+                )
             if reply.mark is None or reply.mark.run_id != reply.run_id:
                 return False
-            fresh = Watch()
-            fresh.saw(reply.mark)
-            assert self._since
-            records = {held.key: self._record(held) for held in self._held.values()}
-            member = Member(self._name, self._since)
-            joined = await self._call(lambda: self._store.join(fresh, member, records))
+            fresh = KnownHistory()
+            fresh.update(reply.mark)
+            assert self._alive_since
+            records = {claim.key: self._current_record(claim) for claim in self._claims.values()}
+            member = Member(self._name, self._alive_since)
+            joined = await self._call(lambda: self._store.join_history(fresh, member, records))
             if joined.done and joined.mark:
-                self._watch = fresh
-                self._watch.saw(joined.mark)
+                self._known_history = fresh
+                self._known_history.update(joined.mark)
                 log.info("joined the store's history", generation=fresh.generation, claims=len(records))
         return False
 
     @staticmethod
-    def _record(held: Held) -> Record:
-        if held.outcome:
-            return replace(held.record, phase=held.outcome[0], result=held.outcome[1])
-        return held.record
+    def _current_record(claim: HeldClaim) -> Record:
+        if claim.outcome:
+            return replace(claim.record, phase=claim.outcome[0], result=claim.outcome[1])
+        return claim.record
 
-    async def _ticks(self) -> None:
-        """Renews what is out, notices a store that went back though nobody asks, and forgets what is old."""
+    async def _tick_forever(self) -> None:
+        """Renews open claims, detects a store that went back even without requests, forgets old claims."""
         renewed = self._clock.now()
         while True:
             await asyncio.sleep(TICK.total_seconds())
             try:
-                seen, known = self._watch, self._watch.count
-                reply = await self._call(self._store.look)
-                await self._sure(reply, seen, known)
+                history, known_count = self._known_history, self._known_history.count
+                reply = await self._call(self._store.read_history)
+                await self._confirm_history(reply, history, known_count)
                 now = self._clock.now()
                 if now - renewed >= self._terms.lease / 3:
                     renewed = now
-                    for held in [held for held in self._held.values() if held.open]:
-                        await self._renew(held)
-                for held in [h for h in self._held.values() if not h.open and not h.outcome]:
-                    if reply.now > held.record.last_end + self._tier.window:
-                        self._held.pop(held.key, None)
+                    for claim in [claim for claim in self._claims.values() if claim.is_open]:
+                        await self._renew(claim)
+                for claim in [h for h in self._claims.values() if not h.is_open and not h.outcome]:
+                    if reply.now > claim.record.last_end + self._trust.window:
+                        self._claims.pop(claim.key, None)
             except StoreError as error:
                 log.debug("store does not answer", why=str(error))
             except Exception:
                 log.exception("ledger tick failed")
 
-    async def _renew(self, held: Held) -> None:
-        token, lease = held.record.token, self._terms.lease
-        reply = await self._call(lambda: self._store.renew(self._watch, held.key, token, lease))
+    async def _renew(self, claim: HeldClaim) -> None:
+        token, lease = claim.record.token, self._terms.lease
+        reply = await self._call(lambda: self._store.renew(self._known_history, claim.key, token, lease))
         if reply.done:
-            until = min(reply.now + lease, held.record.last_end)
-            held.record = replace(held.record, lease_until=until)
+            until = min(reply.now + lease, claim.record.last_end)
+            claim.record = replace(claim.record, lease_until=until)
 
-    def figures(self) -> Iterator[str]:
+    def stats_lines(self) -> Iterator[str]:
         for verdict in Verdict:
             yield f"ledger.{verdict.value}:{self.counts[verdict.value]}|c"
         yield f"ledger.unreachable:{self.counts['unreachable']}|c"
         yield f"ledger.withdrawn:{self.counts['withdrawn']}|c"
         yield f"ledger.histories:{self.counts['histories']}|c"
-        yield f"ledger.open:{sum(held.open for held in self._held.values())}|g"
+        yield f"ledger.open:{sum(held.is_open for held in self._claims.values())}|g"
         yield f"ledger.circuit:{self._breaker.circuit.value}|g"
 
 
--- a/rookwood/ledger/health.py
+++ b/rookwood/ledger/health.py
@@ -1,8 +1,8 @@
-"""What a dispatcher does by the store's health: no I/O, no clock. A circuit breaker (Nygard, "Release It!").
+"""A circuit breaker around the store (Nygard, "Release It!"). No I/O, no clock.
 
-Closed: claims are asked for. Open: a keyed unsafe job is refused at once, since a claim would not come in
-time. After a pause one call is let through to look; the pause doubles with each that fails. Classes that are
-safe, and requests without a key, never come here at all.
+While it is closed, claims are requested. While it is open, keyed unsafe requests are rejected at once, since
+a claim would not be granted in time. After a pause one call probes the store; the pause doubles with each
+probe that fails. Requests of safe classes, and requests without a key, never use the store.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from datetime import datetime, timedelta
 from enum import Enum
 
-FAILURES = 3  # in a row, until it opens
+FAILURE_THRESHOLD = 3  # consecutive failures that open the breaker
 FIRST_PAUSE, LONGEST_PAUSE = timedelta(milliseconds=200), timedelta(seconds=1)
-PART = 0.15  # of a job's remaining time that a claim may take
-LEAST = timedelta(milliseconds=20)
+CLAIM_SHARE = 0.15  # share of a request's remaining time that obtaining a claim may take
+MIN_WAIT = timedelta(milliseconds=20)
 
 
 class Circuit(Enum):
@@ -25,13 +25,15 @@
 
 @dataclass(slots=True)
 class Breaker:
+    """Decides whether the store may be called."""
+
     circuit: Circuit = Circuit.CLOSED
     _failures: int = 0
     _pause: timedelta = FIRST_PAUSE
     _until: datetime | None = None
 
-    def lets(self, now: datetime) -> bool:
-        """Whether a call may be made now. Half open, one is under way and the others wait for its word."""
+    def allows_call(self, now: datetime) -> bool:
+        """Whether a call may be made now. Once the pause is over, one call is allowed as a probe."""
         if self.circuit is Circuit.CLOSED:
             return True
         if self.circuit is Circuit.OPEN and self._until and now >= self._until:
@@ -39,21 +41,21 @@
             return True
         return False
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         self.circuit, self._failures, self._pause, self._until = Circuit.CLOSED, 0, FIRST_PAUSE, None
 
-    def failed(self, now: datetime) -> None:
+    def record_failure(self, now: datetime) -> None:
         self._failures += 1
-        if self.circuit is Circuit.HALF_OPEN or self._failures >= FAILURES:
+        if self.circuit is Circuit.HALF_OPEN or self._failures >= FAILURE_THRESHOLD:
             if self.circuit is Circuit.HALF_OPEN:
                 self._pause = min(LONGEST_PAUSE, 2 * self._pause)
             self.circuit, self._until = Circuit.OPEN, now + self._pause
 
-    def wait(self, now: datetime) -> timedelta:
-        """What a refused client is told."""
-        return max(LEAST, self._until - now) if self._until else FIRST_PAUSE
+    def retry_after(self, now: datetime) -> timedelta:
+        """How long a rejected client should wait before its retry."""
+        return max(MIN_WAIT, self._until - now) if self._until else FIRST_PAUSE
 
 
-def claim_limit(left: timedelta) -> timedelta:
-    """So long a claim may take of a job with so much time left."""
-    return max(LEAST, PART * left)
+def claim_timeout(left: timedelta) -> timedelta:
+    """The time limit for obtaining a claim, given the time until the request's deadline."""
+    return max(MIN_WAIT, CLAIM_SHARE * left)
--- a/rookwood/ledger/memory.py
+++ b/rookwood/ledger/memory.py
@@ -1,4 +1,4 @@
-"""A store in this process, for a single dispatcher and for tests: what it holds ends with the process."""
+"""A store in the memory of this process, for a single dispatcher and for tests."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 from datetime import UTC, datetime, timedelta
 
 from rookwood.ledger import life
-from rookwood.ledger.life import Ask, Phase, Record
-from rookwood.ledger.store import Reply, Steps, Tier
-from rookwood.ledger.watch import Mark, Member, Watch
+from rookwood.ledger.life import ClaimRequest, Phase, Record
+from rookwood.ledger.store import Reply, Steps, TrustPolicy
+from rookwood.ledger.watch import KnownHistory, Mark, Member
 
-MOST = 100_000  # records, before those that are kept no longer are let go
+SWEEP_THRESHOLD = 100_000  # number of records above which expired ones are removed
 
 
-class MemoryBook:
+class MemoryStorage:
+    """A `Storage` in dictionaries."""
+
     def __init__(self) -> None:
         self.run_id = secrets.token_hex(20)
         self._mark: Mark | None = None
@@ -44,35 +46,41 @@
 
 
 class MemoryStore:
-    def __init__(self, tier: Tier, now: Callable[[], datetime] = lambda: datetime.now(UTC)) -> None:
-        self._tier, self._now, self.book = tier, now, MemoryBook()
+    """A `Store` whose contents end with the process."""
+
+    def __init__(self, trust: TrustPolicy, now: Callable[[], datetime] = lambda: datetime.now(UTC)) -> None:
+        self._trust, self._now, self.storage = trust, now, MemoryStorage()
 
     def _steps(self) -> Steps:
         now = self._now()
-        if len(self.book.records) > MOST:
-            self.book.records = {k: r for k, r in self.book.records.items() if life.live(r, now)}
-        return Steps(self.book, self._tier, now)
+        if len(self.storage.records) > SWEEP_THRESHOLD:
+            self.storage.records = {k: r for k, r in self.storage.records.items() if life.unexpired(r, now)}
+        return Steps(self.storage, self._trust, now)
 
-    async def look(self) -> Reply:
-        return self._steps().look()
+    async def read_history(self) -> Reply:
+        return self._steps().read_history()
 
-    async def begin(self, generation: str, known: int, seen: str, trusted: bool) -> Reply:
-        return self._steps().begin(generation, known, seen, trusted)
+    async def begin_history(
+        self, generation: str, highest_token: int, expected_generation: str, trusted: bool
+    ) -> Reply:
+        return self._steps().begin_history(generation, highest_token, expected_generation, trusted)
 
-    async def join(self, seen: Watch, member: Member, records: Mapping[str, Record]) -> Reply:
-        return self._steps().join(seen, member, records)
+    async def join_history(
+        self, history: KnownHistory, member: Member, records: Mapping[str, Record]
+    ) -> Reply:
+        return self._steps().join_history(history, member, records)
 
-    async def claim(self, seen: Watch, ask: Ask) -> Reply:
-        return self._steps().claim(seen, ask)
+    async def claim(self, history: KnownHistory, claim_request: ClaimRequest) -> Reply:
+        return self._steps().claim(history, claim_request)
 
-    async def renew(self, seen: Watch, key: str, token: int, lease: timedelta) -> Reply:
-        return self._steps().renew(seen, key, token, lease)
+    async def renew(self, history: KnownHistory, key: str, token: int, lease: timedelta) -> Reply:
+        return self._steps().renew(history, key, token, lease)
 
-    async def settle(self, seen: Watch, key: str, token: int, phase: Phase, result: bytes) -> Reply:
-        return self._steps().settle(seen, key, token, phase, result)
+    async def settle(self, history: KnownHistory, key: str, token: int, phase: Phase, result: bytes) -> Reply:
+        return self._steps().settle(history, key, token, phase, result)
 
-    async def release(self, seen: Watch, key: str, token: int) -> Reply:
-        return self._steps().release(seen, key, token)
+    async def release(self, history: KnownHistory, key: str, token: int) -> Reply:
+        return self._steps().release(history, key, token)
 
     async def close(self) -> None:
         pass
--- a/rookwood/ledger/redis.py
+++ b/rookwood/ledger/redis.py
@@ -1,8 +1,9 @@
-"""A store in Redis, through redis-py: one script on the server, so each step is atomic and one round trip.
+"""A store in Redis, through redis-py. Each step is one run of a server-side script: atomic, one round trip.
 
-The script goes by its digest (EVALSHA) and is sent whole where the server does not know it. All keys of a
-prefix share a hash tag, so that they lie in one slot of a cluster. Each call has a time limit. It is made a
-second time only where a kept connection turns out to be closed: a claim finds itself again by its nonce.
+The script is called by its digest (EVALSHA) and sent in full where the server does not know it. All keys of a
+prefix share a hash tag, so that they lie in one slot of a cluster. Each call has a time limit. A call is
+repeated, once, only on a connection error, such as a pooled connection that the server has closed. That is
+safe since a repeated claim finds itself by its nonce.
 Source: redis.io/docs/latest/develop/programmability/eval-intro, RESP3 specification.
 """
 
@@ -21,19 +22,22 @@
 from redis.backoff import NoBackoff
 from redis.exceptions import NoScriptError, RedisError
 
-from rookwood.ledger.life import Ask, Phase, Record, Said, Verdict
-from rookwood.ledger.store import Reply, StoreError, Tier
-from rookwood.ledger.watch import Mark, Member, Watch
+from rookwood.ledger.life import ClaimRequest, ClaimResult, Phase, Record, Verdict
+from rookwood.ledger.store import Reply, StoreError, TrustPolicy
+from rookwood.ledger.watch import KnownHistory, Mark, Member
 from rookwood.net.clock import EPOCH
 
 SCRIPT = files("rookwood.ledger").joinpath("script.lua").read_text()
 DIGEST = hashlib.sha1(SCRIPT.encode(), usedforsecurity=False).hexdigest()
-US = timedelta(microseconds=1)
+MICROSECOND = timedelta(microseconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """Where the store is. `replicas`: how many must have a claim before it counts (WAIT), 0 for none."""
+    """Address and options of the Redis server.
+
+    `replicas` is the number of replicas that must acknowledge a write before it counts (WAIT), 0 for none.
+    """
 
     host: str
     port: int
@@ -50,21 +54,23 @@
 
 
 def micros(moment: datetime) -> int:
-    return (moment - EPOCH) // US
+    return (moment - EPOCH) // MICROSECOND
 
 
 def moment(text: bytes) -> datetime:
-    return EPOCH + int(text) * US
+    return EPOCH + int(text) * MICROSECOND
 
 
 class RedisStore:
-    """Owns the connections to one server."""
+    """A `Store` in Redis. Owns the connections to one server."""
 
-    def __init__(self, server: Server, tier: Tier) -> None:
-        self._server, self._tier = server, tier
+    def __init__(self, server: Server, trust: TrustPolicy) -> None:
+        self._server, self._trust = server, trust
         tag = f"{{{server.prefix}}}"
         self._mark, self._members, self._record = f"{tag}:mark", f"{tag}:members", f"{tag}:key:"
-        more: dict[str, Any] = {"ssl": True, "ssl_ca_certs": server.authority} if server.authority else {}
+        step_arguments: dict[str, Any] = (
+            {"ssl": True, "ssl_ca_certs": server.authority} if server.authority else {}
+        )
         seconds = server.timeout.total_seconds()
         self._client = client.Redis(
             host=server.host,
@@ -75,89 +81,103 @@
             socket_timeout=seconds,
             socket_connect_timeout=seconds,
             max_connections=server.connections,
-            retry=Retry(NoBackoff(), 0),  # the caller knows what may be done again
-            **more,
+            retry=Retry(NoBackoff(), 0),  # only `_run` knows what may be repeated
+            **step_arguments,
         )
 
-    async def _run(self, step: str, seen: str, known: int, key: str = "", *more: object) -> Reply:
+    async def _run(
+        self, step: str, generation: str, count: int, key: str = "", *step_arguments: object
+    ) -> Reply:
         keys = (self._mark, self._members, self._record + key)
-        words = (*keys, step, seen, known, *more)
+        arguments = (*keys, step, generation, count, *step_arguments)
         task = asyncio.current_task()
         before = task.cancelling() if task else 0
         try:
             try:
-                found = await self._asked(step, words)
+                found = await self._evaluate(step, arguments)
             except client.ConnectionError:
-                found = await self._asked(step, words)
+                found = await self._evaluate(step, arguments)
         except (RedisError, OSError, TimeoutError) as error:
             raise StoreError(f"{self._server}: {type(error).__name__}: {error}") from None
         finally:
-            # The client sends within `asyncio.wait_for`, which in Python 3.11 loses a cancellation that comes
-            # while the bytes go out (cpython issue 37658). Whoever cancels waits for the end of it.
+            # The client sends within `asyncio.wait_for`, which in Python 3.11 loses a cancellation that
+            # arrives while the bytes are sent (cpython issue 37658). The canceller would then wait until the
+            # task ends by itself.
             if task and task.cancelling() > before:
                 raise asyncio.CancelledError
         return reply_of(found)
 
-    async def _asked(self, step: str, words: tuple[object, ...]) -> list[Any]:
+    async def _evaluate(self, step: str, arguments: tuple[object, ...]) -> list[Any]:
         try:
-            return await self._sent(step, "EVALSHA", DIGEST, words)
+            return await self._send_script(step, "EVALSHA", DIGEST, arguments)
         except NoScriptError:
-            return await self._sent(step, "EVAL", SCRIPT, words)
-
-    async def _sent(self, step: str, command: str, script: str, words: tuple[object, ...]) -> list[Any]:
-        wants, limit = self._server.replicas, int(self._server.timeout.total_seconds() * 800)
-        if not wants or step not in ("claim", "settle", "begin", "restore"):
-            found = await self._client.execute_command(command, script, 3, *words)  # type: ignore[no-untyped-call]
+            return await self._send_script(step, "EVAL", SCRIPT, arguments)
+
+    async def _send_script(
+        self, step: str, command: str, script: str, arguments: tuple[object, ...]
+    ) -> list[Any]:
+        required, limit = self._server.replicas, int(self._server.timeout.total_seconds() * 800)
+        if not required or step not in ("claim", "settle", "begin", "restore"):
+            found = await self._client.execute_command(command, script, 3, *arguments)  # type: ignore[no-untyped-call]
             return list(found)
         async with self._client.pipeline(transaction=False) as pipe:  # one round trip for both
-            pipe.execute_command(command, script, 3, *words)
-            pipe.execute_command("WAIT", wants, limit)
-            found, have = await pipe.execute()
-        if have < wants:
-            raise OSError(f"{have} of {wants} replicas have it")
+            pipe.execute_command(command, script, 3, *arguments)
+            pipe.execute_command("WAIT", required, limit)
+            found, acknowledged = await pipe.execute()
+        if acknowledged < required:
+            raise OSError(f"{acknowledged} of {required} replicas have acknowledged the write")
         return list(found)
 
-    async def look(self) -> Reply:
+    async def read_history(self) -> Reply:
         return await self._run("look", "", 0)
 
-    async def begin(self, generation: str, known: int, seen: str, trusted: bool) -> Reply:
-        return await self._run("begin", seen, known, "", generation, int(trusted))
+    async def begin_history(
+        self, generation: str, highest_token: int, expected_generation: str, trusted: bool
+    ) -> Reply:
+        return await self._run("begin", expected_generation, highest_token, "", generation, int(trusted))
 
-    async def join(self, seen: Watch, member: Member, records: Mapping[str, Record]) -> Reply:
-        told = (seen.generation, seen.count)
-        for key, r in records.items():  # all of them stand before anybody vouches
+    async def join_history(
+        self, history: KnownHistory, member: Member, records: Mapping[str, Record]
+    ) -> Reply:
+        known = (history.generation, history.count)
+        for key, r in records.items():  # all are restored before this member vouches
             times = (micros(t) for t in (r.lease_until, r.last_end, r.kept_until))
-            whole = (r.fingerprint, r.nonce, r.token, r.phase.value, *times, r.result)
-            reply = await self._run("restore", *told, key, *whole)
+            fields = (r.fingerprint, r.nonce, r.token, r.phase.value, *times, r.result)
+            reply = await self._run("restore", *known, key, *fields)
             if not reply.done:
                 return reply
-        return await self._run("vouch", *told, "", member.name, micros(member.alive_since))
+        return await self._run("vouch", *known, "", member.name, micros(member.alive_since))
 
-    async def claim(self, seen: Watch, ask: Ask) -> Reply:
-        spans = (ask.lease // US, ask.runs // US, ask.kept // US)
-        tier = (self._tier.size, self._tier.window // US)
-        words = (ask.fingerprint, ask.nonce, *spans, *tier)
-        return await self._run("claim", seen.generation, seen.count, ask.key, *words)
+    async def claim(self, history: KnownHistory, claim_request: ClaimRequest) -> Reply:
+        spans = (
+            claim_request.lease // MICROSECOND,
+            claim_request.runs // MICROSECOND,
+            claim_request.kept // MICROSECOND,
+        )
+        trust = (self._trust.size, self._trust.window // MICROSECOND)
+        arguments = (claim_request.fingerprint, claim_request.nonce, *spans, *trust)
+        return await self._run("claim", history.generation, history.count, claim_request.key, *arguments)
 
-    async def renew(self, seen: Watch, key: str, token: int, lease: timedelta) -> Reply:
-        return await self._run("renew", seen.generation, seen.count, key, token, lease // US)
+    async def renew(self, history: KnownHistory, key: str, token: int, lease: timedelta) -> Reply:
+        return await self._run("renew", history.generation, history.count, key, token, lease // MICROSECOND)
 
-    async def settle(self, seen: Watch, key: str, token: int, phase: Phase, result: bytes) -> Reply:
-        return await self._run("settle", seen.generation, seen.count, key, token, phase.value, result)
+    async def settle(self, history: KnownHistory, key: str, token: int, phase: Phase, result: bytes) -> Reply:
+        return await self._run("settle", history.generation, history.count, key, token, phase.value, result)
 
-    async def release(self, seen: Watch, key: str, token: int) -> Reply:
-        return await self._run("release", seen.generation, seen.count, key, token)
+    async def release(self, history: KnownHistory, key: str, token: int) -> Reply:
+        return await self._run("release", history.generation, history.count, key, token)
 
     async def close(self) -> None:
         await self._client.aclose()
 
 
 def reply_of(found: list[Any]) -> Reply:
-    run_id, generation, of, count, began, trusted, now, done, verdict, token, wait, result = found
+    """Decodes the array that the script returns."""
+    run_id, generation, mark_run_id, count, began, trusted, now, done, verdict, token, wait, result = found
     mark = None
     if generation:
-        mark = Mark(generation.decode(), of.decode(), int(count), moment(began), trusted == b"1")
+        mark = Mark(generation.decode(), mark_run_id.decode(), int(count), moment(began), trusted == b"1")
     said = None
     if verdict:
-        said = Said(Verdict(verdict.decode()), int(token), int(wait) * US, bytes(result))
+        said = ClaimResult(Verdict(verdict.decode()), int(token), int(wait) * MICROSECOND, bytes(result))
     return Reply(run_id.decode(), mark, moment(now), said, bool(done))
--- a/rookwood/ledger/script.lua
+++ b/rookwood/ledger/script.lua
@@ -1,6 +1,7 @@
 -- The ledger's steps, as in rookwood/ledger/store.py (Steps) and life.py. KEYS: mark, members, record.
--- ARGV: the step, the generation that the caller knows, the count that it has seen, then the step's own.
--- Times are microseconds of this server's clock. Numbers are written out whole: Lua's own form rounds them.
+-- ARGV: the step, the generation and the claim count that the caller knows, then the arguments of the step.
+-- Times are microseconds of this server's clock. Numbers are formatted as integers: Lua's default format
+-- rounds them.
 local function whole(x) return string.format('%.0f', x) end
 local clock = redis.call('TIME')
 local now = clock[1] * 1000000 + clock[2]
@@ -29,7 +30,7 @@
   return reply(1)
 end
 
--- Every other step is for the history that the caller knows, and for no other.
+-- Every other step is applied only to the history that the caller knows.
 local same = m[1] == seen and m[2] == run_id and tonumber(m[3] or '0') >= known
 if not same then return reply(0, step == 'claim' and 'unsure' or '') end
 
@@ -47,7 +48,7 @@
   redis.call('PEXPIREAT', KEYS[3], whole(math.ceil(kept / 1000)))
 end
 
-if step == 'restore' then -- a whole record
+if step == 'restore' then -- all fields of a record
   if tonumber(ARGV[10]) > now and (not r[1] or tonumber(r[3]) < tonumber(ARGV[6])) then
     put(ARGV[4], ARGV[5], tonumber(ARGV[6]), ARGV[7], tonumber(ARGV[8]), tonumber(ARGV[9]), tonumber(ARGV[10]), ARGV[11])
   end
@@ -82,7 +83,7 @@
   return reply(0, 'unknown')
 end
 
--- What is left is for the holder of the token alone.
+-- The remaining steps require the token of the claim.
 if not r[1] or tonumber(r[3]) ~= tonumber(ARGV[4]) then return reply(0) end
 if step == 'renew' then -- token, lease
   if r[4] ~= 'claimed' or now >= tonumber(r[5]) then return reply(0) end
--- a/rookwood/ledger/sqlite.py
+++ b/rookwood/ledger/sqlite.py
@@ -1,8 +1,9 @@
-"""A store in one file, for the dispatchers of one machine that has a lasting disk: SQLite in WAL mode.
+"""A store in one SQLite file in WAL mode, for the dispatchers of one machine with a persistent disk.
 
-Each step is one IMMEDIATE transaction, so processes take turns; `synchronous=FULL` makes what was
-acknowledged last through a power cut. The run id is made up with the file and stands beside it too, in
-FILE.run: whoever puts an old copy back removes that, and `Watch` sees another server.
+Each step is one IMMEDIATE transaction, so processes take turns. With `synchronous=FULL` acknowledged steps
+survive a power loss. The run id is generated with the file and also kept beside it, in FILE.run. An operator
+who restores an old copy of the file removes FILE.run; the store then gets a new run id, and
+`KnownHistory.compare` reports a broken history.
 Source: sqlite.org/wal.html, sqlite.org/pragma.html#pragma_synchronous.
 """
 
@@ -16,9 +17,9 @@
 from datetime import UTC, datetime, timedelta
 from pathlib import Path
 
-from rookwood.ledger.life import Ask, Phase, Record
-from rookwood.ledger.store import Reply, Steps, StoreError, Tier
-from rookwood.ledger.watch import Mark, Member, Watch
+from rookwood.ledger.life import ClaimRequest, Phase, Record
+from rookwood.ledger.store import Reply, Steps, StoreError, TrustPolicy
+from rookwood.ledger.watch import KnownHistory, Mark, Member
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS store (one INTEGER PRIMARY KEY CHECK (one = 1), run_id TEXT NOT NULL);
@@ -30,15 +31,15 @@
     kept_until REAL NOT NULL, result BLOB NOT NULL);
 CREATE INDEX IF NOT EXISTS kept ON records (kept_until);
 """
-SWEEP = 64  # a claim in so many removes what is kept no longer
+SWEEP = 64  # expired records are removed once in this many claims
 
 
 def moment(seconds: float) -> datetime:
     return datetime.fromtimestamp(seconds, UTC)
 
 
-class SqliteBook:
-    """Inside one transaction."""
+class SqliteStorage:
+    """A `Storage` within one transaction."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self._db = db
@@ -84,16 +85,16 @@
 
 
 class SqliteStore:
-    """Owns one connection, used by one thread, so that a slow disk never holds the event loop."""
+    """A `Store` in a file. One thread uses its connection, so a slow disk never blocks the event loop."""
 
     def __init__(
         self,
-        place: Path,
-        tier: Tier,
+        path: Path,
+        trust: TrustPolicy,
         timeout: timedelta = timedelta(seconds=1),
         now: Callable[[], datetime] = lambda: datetime.now(UTC),
     ) -> None:
-        self._place, self._tier, self._timeout, self._now = place, tier, timeout, now
+        self._path, self._trust, self._timeout, self._now = path, trust, timeout, now
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="ledger")
         self._db: sqlite3.Connection | None = None
         self._claims = 0
@@ -101,27 +102,27 @@
     def _open(self) -> sqlite3.Connection:
         if self._db is None:
             seconds = self._timeout.total_seconds()
-            db = sqlite3.connect(self._place, seconds, isolation_level=None, check_same_thread=False)
+            db = sqlite3.connect(self._path, seconds, isolation_level=None, check_same_thread=False)
             db.execute("PRAGMA journal_mode=WAL")
             db.execute("PRAGMA synchronous=FULL")
             db.executescript(SCHEMA)
-            beside = self._place.with_name(self._place.name + ".run")
+            run_id_path = self._path.with_name(self._path.name + ".run")
             db.execute("BEGIN IMMEDIATE")
             row = db.execute("SELECT run_id FROM store").fetchone()
-            if row is None or not beside.exists() or beside.read_text() != row[0]:
+            if row is None or not run_id_path.exists() or run_id_path.read_text() != row[0]:
                 run_id = secrets.token_hex(20)
-                beside.write_text(run_id)
+                run_id_path.write_text(run_id)
                 db.execute("INSERT OR REPLACE INTO store VALUES (1, ?)", (run_id,))
             db.execute("COMMIT")
             self._db = db
         return self._db
 
-    def _work(self, step: Callable[[Steps], Reply]) -> Reply:
+    def _run_transaction(self, step: Callable[[Steps], Reply]) -> Reply:
         db = self._open()
         db.execute("BEGIN IMMEDIATE")
         try:
             now = self._now()
-            reply = step(Steps(SqliteBook(db), self._tier, now))
+            reply = step(Steps(SqliteStorage(db), self._trust, now))
             self._claims += reply.said is not None
             if reply.said and self._claims % SWEEP == 0:
                 db.execute("DELETE FROM records WHERE kept_until <= ?", (now.timestamp(),))
@@ -131,32 +132,38 @@
         db.execute("COMMIT")
         return reply
 
-    async def _run(self, step: Callable[[Steps], Reply]) -> Reply:
+    async def _run_in_thread(self, step: Callable[[Steps], Reply]) -> Reply:
         try:
-            return await asyncio.get_running_loop().run_in_executor(self._thread, self._work, step)
+            return await asyncio.get_running_loop().run_in_executor(self._thread, self._run_transaction, step)
         except (sqlite3.Error, OSError) as error:
-            raise StoreError(f"{self._place}: {error}") from None
+            raise StoreError(f"{self._path}: {error}") from None
 
-    async def look(self) -> Reply:
-        return await self._run(lambda steps: steps.look())
+    async def read_history(self) -> Reply:
+        return await self._run_in_thread(lambda steps: steps.read_history())
 
-    async def begin(self, generation: str, known: int, seen: str, trusted: bool) -> Reply:
-        return await self._run(lambda steps: steps.begin(generation, known, seen, trusted))
+    async def begin_history(
+        self, generation: str, highest_token: int, expected_generation: str, trusted: bool
+    ) -> Reply:
+        return await self._run_in_thread(
+            lambda steps: steps.begin_history(generation, highest_token, expected_generation, trusted)
+        )
 
-    async def join(self, seen: Watch, member: Member, records: Mapping[str, Record]) -> Reply:
-        return await self._run(lambda steps: steps.join(seen, member, records))
+    async def join_history(
+        self, history: KnownHistory, member: Member, records: Mapping[str, Record]
+    ) -> Reply:
+        return await self._run_in_thread(lambda steps: steps.join_history(history, member, records))
 
-    async def claim(self, seen: Watch, ask: Ask) -> Reply:
-        return await self._run(lambda steps: steps.claim(seen, ask))
+    async def claim(self, history: KnownHistory, claim_request: ClaimRequest) -> Reply:
+        return await self._run_in_thread(lambda steps: steps.claim(history, claim_request))
 
-    async def renew(self, seen: Watch, key: str, token: int, lease: timedelta) -> Reply:
-        return await self._run(lambda steps: steps.renew(seen, key, token, lease))
+    async def renew(self, history: KnownHistory, key: str, token: int, lease: timedelta) -> Reply:
+        return await self._run_in_thread(lambda steps: steps.renew(history, key, token, lease))
 
-    async def settle(self, seen: Watch, key: str, token: int, phase: Phase, result: bytes) -> Reply:
-        return await self._run(lambda steps: steps.settle(seen, key, token, phase, result))
+    async def settle(self, history: KnownHistory, key: str, token: int, phase: Phase, result: bytes) -> Reply:
+        return await self._run_in_thread(lambda steps: steps.settle(history, key, token, phase, result))
 
-    async def release(self, seen: Watch, key: str, token: int) -> Reply:
-        return await self._run(lambda steps: steps.release(seen, key, token))
+    async def release(self, history: KnownHistory, key: str, token: int) -> Reply:
+        return await self._run_in_thread(lambda steps: steps.release(history, key, token))
 
     async def close(self) -> None:
         def work() -> None:
--- a/rookwood/ledger/store.py
+++ b/rookwood/ledger/store.py
@@ -1,7 +1,7 @@
-"""What a ledger's store does, whichever it is. Each call is one atomic step by the store's own clock.
+"""The interface of the ledger's stores. Each call is one atomic step, timed by the store's own clock.
 
-Every step but `look` and `begin` names the history that its caller knows, and is not taken on another one: a
-claim that is made on a history which has gone back could hide the record that was lost.
+Every step except `read_history` and `begin_history` carries the history that its caller knows, and is not
+applied to another one: a claim made on a history that has gone back could hide the record that was lost.
 """
 
 from __future__ import annotations
@@ -12,61 +12,74 @@
 from typing import Protocol
 
 from rookwood.ledger import life
-from rookwood.ledger.life import Ask, Phase, Record, Said, Verdict
-from rookwood.ledger.watch import History, Mark, Member, Watch, new_mark, trusts
+from rookwood.ledger.life import ClaimRequest, ClaimResult, Phase, Record, Verdict
+from rookwood.ledger.watch import History, KnownHistory, Mark, Member, is_absent_key_free, new_mark
 
 
 class StoreError(ConnectionError):
-    """The store did not take the step, or nobody knows whether it did; the text names the store and why."""
+    """The step failed, and may or may not have been applied; the text names the store and the reason."""
 
 
-class NotTakenError(StoreError):
-    """It is certain that the step was not taken, and that was known at once."""
+class NotAppliedError(StoreError):
+    """The step was certainly not applied: the circuit breaker is open, or no leader took it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    run_id: str
+    """The store's reply to a step, with its history. Sent under these field names."""
+
+    run_id: str  # of the server, or of the file or process that holds the data
     mark: Mark | None  # None: the store is empty
     now: datetime
-    said: Said | None = None  # of a claim
-    done: bool = False
+    said: ClaimResult | None = None  # result of a claim
+    done: bool = False  # the step was applied; for a claim: it was granted
 
 
 @dataclass(frozen=True, slots=True)
-class Tier:
-    """What decides whether a key without a record is free."""
+class TrustPolicy:
+    """When a key without a record counts as free: see `is_absent_key_free`."""
 
-    size: int  # dispatchers that must vouch
-    window: timedelta  # the longest last end, and so long as clients may retry
+    size: int  # number of dispatchers that must vouch
+    window: timedelta  # the longest time that a request may run, plus the time that clients may retry
 
 
 class Store(Protocol):
-    """Raises `StoreError` from every call, within its time-out."""
+    """A store that several dispatchers share. A call that fails raises `StoreError` within the timeout."""
+
+    async def read_history(self) -> Reply:
+        """Returns the current history and changes nothing."""
 
-    async def look(self) -> Reply:
-        """The history as it is."""
+    async def begin_history(
+        self, generation: str, highest_token: int, expected_generation: str, trusted: bool
+    ) -> Reply:
+        """Begins a new history if the store is still of `expected_generation` ("" for an empty store).
 
-    async def begin(self, generation: str, known: int, seen: str, trusted: bool) -> Reply:
-        """Begins a new history if `seen` is still the generation ("" for an empty store). `known`: the
-        highest token here; `trusted`: nothing can have been lost, since nothing was ever there."""
+        `highest_token` is the highest token that the caller knows. `trusted` says that no record can have
+        been lost, because none was ever written.
+        """
 
-    async def join(self, seen: Watch, member: Member, records: Mapping[str, Record]) -> Reply:
-        """Writes claims and outcomes again where no higher token stands, then lets the member vouch."""
+    async def join_history(
+        self, history: KnownHistory, member: Member, records: Mapping[str, Record]
+    ) -> Reply:
+        """Restores the records of one member, except over a higher token, and lists it as vouching."""
 
-    async def claim(self, seen: Watch, ask: Ask) -> Reply: ...
+    async def claim(self, history: KnownHistory, claim_request: ClaimRequest) -> Reply:
+        """Claims a key; `Reply.said` holds the result."""
 
-    async def renew(self, seen: Watch, key: str, token: int, lease: timedelta) -> Reply: ...
+    async def renew(self, history: KnownHistory, key: str, token: int, lease: timedelta) -> Reply:
+        """Extends the lease of a claim."""
 
-    async def settle(self, seen: Watch, key: str, token: int, phase: Phase, result: bytes) -> Reply: ...
+    async def settle(self, history: KnownHistory, key: str, token: int, phase: Phase, result: bytes) -> Reply:
+        """Writes the outcome of a claimed request."""
 
-    async def release(self, seen: Watch, key: str, token: int) -> Reply: ...
+    async def release(self, history: KnownHistory, key: str, token: int) -> Reply:
+        """Frees the key of a request that certainly never ran."""
 
     async def close(self) -> None: ...
 
 
-class Book(Protocol):
-    """Where the steps below read and write; each runs in one transaction of it."""
+class Storage(Protocol):
+    """The data of a store. `Steps` reads and writes it, each step in one transaction."""
 
     run_id: str
 
@@ -84,68 +97,72 @@
 
 
 class Steps:
-    """The steps on any `Book`. `script.lua` says the same to Redis, and one contract tests all."""
+    """The steps of a store, on any `Storage`. `script.lua` does the same in Redis; one contract tests all."""
 
-    def __init__(self, book: Book, tier: Tier, now: datetime) -> None:
-        self._book, self._tier, self._now = book, tier, now
+    def __init__(self, storage: Storage, trust: TrustPolicy, now: datetime) -> None:
+        self._storage, self._trust, self._now = storage, trust, now
 
-    def _reply(self, said: Said | None = None, done: bool = False) -> Reply:
-        return Reply(self._book.run_id, self._book.mark(), self._now, said, done)
+    def _reply(self, said: ClaimResult | None = None, done: bool = False) -> Reply:
+        return Reply(self._storage.run_id, self._storage.mark(), self._now, said, done)
 
-    def _same(self, seen: Watch) -> bool:
-        mark = self._book.mark()
-        return mark is not None and seen.judge(self._book.run_id, mark) is History.SAME
+    def _is_known_history(self, history: KnownHistory) -> bool:
+        mark = self._storage.mark()
+        return mark is not None and history.compare(self._storage.run_id, mark) is History.SAME
 
-    def look(self) -> Reply:
+    def read_history(self) -> Reply:
         return self._reply()
 
-    def begin(self, generation: str, known: int, seen: str, trusted: bool) -> Reply:
-        old = self._book.mark()
-        if (old.generation if old else "") != seen:
+    def begin_history(
+        self, generation: str, highest_token: int, expected_generation: str, trusted: bool
+    ) -> Reply:
+        old = self._storage.mark()
+        if (old.generation if old else "") != expected_generation:
             return self._reply()
-        mark = new_mark(old, generation, self._book.run_id, known, self._now, trusted)
-        self._book.set_mark(mark)
-        self._book.set_members({})
+        mark = new_mark(old, generation, self._storage.run_id, highest_token, self._now, trusted)
+        self._storage.set_mark(mark)
+        self._storage.set_members({})
         return self._reply(done=True)
 
-    def join(self, seen: Watch, member: Member, records: Mapping[str, Record]) -> Reply:
-        if not self._same(seen):
+    def join_history(self, history: KnownHistory, member: Member, records: Mapping[str, Record]) -> Reply:
+        if not self._is_known_history(history):
             return self._reply()
         for key, record in records.items():
-            stands = life.live(self._book.get(key), self._now)
-            if life.live(record, self._now) and (stands is None or stands.token < record.token):
-                self._book.put(key, record)
-        self._book.set_members(self._book.members() | {member.name: member})
+            current = life.unexpired(self._storage.get(key), self._now)
+            if life.unexpired(record, self._now) and (current is None or current.token < record.token):
+                self._storage.put(key, record)
+        self._storage.set_members(self._storage.members() | {member.name: member})
         return self._reply(done=True)
 
-    def claim(self, seen: Watch, ask: Ask) -> Reply:
-        mark, record = self._book.mark(), life.live(self._book.get(ask.key), self._now)
-        if mark is None or not self._same(seen):
-            return self._reply(Said(Verdict.UNSURE))
-        window = self._tier.window
-        if record is None and not trusts(mark, self._book.members(), self._tier.size, window, self._now):
-            return self._reply(Said(Verdict.UNSURE, wait=mark.began + window - self._now))
-        after, said = life.claim(record, ask, mark.count + 1, self._now)
+    def claim(self, history: KnownHistory, claim_request: ClaimRequest) -> Reply:
+        mark, record = self._storage.mark(), life.unexpired(self._storage.get(claim_request.key), self._now)
+        if mark is None or not self._is_known_history(history):
+            return self._reply(ClaimResult(Verdict.UNSURE))
+        window = self._trust.window
+        if record is None and not is_absent_key_free(
+            mark, self._storage.members(), self._trust.size, window, self._now
+        ):
+            return self._reply(ClaimResult(Verdict.UNSURE, wait=mark.began + window - self._now))
+        after, said = life.claim(record, claim_request, mark.count + 1, self._now)
         if after is not None and after != record:
             if record is None:
-                self._book.set_mark(mark.counted(after.token))
-            self._book.put(ask.key, after)
+                self._storage.set_mark(mark.with_count(after.token))
+            self._storage.put(claim_request.key, after)
         return self._reply(said, said.verdict is Verdict.GRANTED)
 
-    def renew(self, seen: Watch, key: str, token: int, lease: timedelta) -> Reply:
-        after, done = life.renew(self._book.get(key), token, lease, self._now)
-        return self._changed(seen, key, after, done)
+    def renew(self, history: KnownHistory, key: str, token: int, lease: timedelta) -> Reply:
+        after, done = life.renew(self._storage.get(key), token, lease, self._now)
+        return self._apply(history, key, after, done)
 
-    def settle(self, seen: Watch, key: str, token: int, phase: Phase, result: bytes) -> Reply:
-        after, done = life.settle(self._book.get(key), token, phase, result, self._now)
-        return self._changed(seen, key, after, done)
+    def settle(self, history: KnownHistory, key: str, token: int, phase: Phase, result: bytes) -> Reply:
+        after, done = life.settle(self._storage.get(key), token, phase, result, self._now)
+        return self._apply(history, key, after, done)
 
-    def release(self, seen: Watch, key: str, token: int) -> Reply:
-        after, done = life.release(self._book.get(key), token, self._now)
-        return self._changed(seen, key, after, done)
+    def release(self, history: KnownHistory, key: str, token: int) -> Reply:
+        after, done = life.release(self._storage.get(key), token, self._now)
+        return self._apply(history, key, after, done)
 
-    def _changed(self, seen: Watch, key: str, after: Record | None, done: bool) -> Reply:
-        done = done and self._same(seen)
+    def _apply(self, history: KnownHistory, key: str, after: Record | None, done: bool) -> Reply:
+        done = done and self._is_known_history(history)
         if done:
-            self._book.put(key, after)
+            self._storage.put(key, after)
         return self._reply(done=done)
--- a/rookwood/members/swim.py
+++ b/rookwood/members/swim.py
@@ -1,16 +1,18 @@
-"""Who lives, after SWIM with Lifeguard: probes, suspicion, rumours on the back of both. No I/O, no clock.
+"""Membership by SWIM with Lifeguard: probes, suspicion, and news piggybacked on probes. No I/O, no clock.
 
-Each period a member probes one other, in turns by chance. No answer: it asks a few others to try, so a cut
-between the two is told from a death. Still none: it says that it suspects that member, who has some periods
-to say that it lives; fewer, the more members suspect it. Words about a member are ordered by its `turn`,
-which only that member raises: it goes above any word that says something else of it than that it lives.
+Each period a member probes one other, in random rotation. Without an acknowledgement it asks a few helpers to
+probe that member, which tells a broken path between the two from a death. If they get none either, it spreads
+the suspicion of that member, which then has some periods to refute it; fewer, the more members suspect it.
+News about a member is ordered by its `revision` (SWIM's incarnation number), which only that member raises:
+it goes above any news that says anything but that it is alive.
 
-Lifeguard (Dadgar, Phillips, Currey 2018): who gets few answers, or was halted, takes the fault for its own
-and waits longer. A member has no disk: started anew it begins at turn 0 and goes above what it hears of
-itself. So the first words of a new life may be passed over, its answers to probes never.
+Lifeguard (Dadgar, Phillips, Currey 2018): a member that gets few acknowledgements, or was stalled, assumes
+that the fault is its own and waits longer. A member has no disk: after a restart it begins at revision 0 and
+goes above what it receives about itself. So the first news of a new incarnation may be ignored, but its
+acknowledgements never are.
 
-The cost for a member is one probe a period and its answers, however many members there are; how long until
-all know grows with the logarithm of their number.
+A member sends one probe a period and the acknowledgements, however many members there are. The time until all
+know of a change grows with the logarithm of their number.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 
 
 class Standing(IntEnum):
-    """Of two words of one turn the higher counts."""
+    """The state of a member. Of two news with one revision, the higher standing prevails."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -34,24 +36,28 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """A word about a member."""
+    """A statement about a member, spread among the others."""
 
     name: str
-    life: int  # of its process
-    turn: int
+    incarnation: int  # of its process; a random number
+    revision: int
     standing: Standing
     zone: str = ""
-    by: str = ""  # who suspects it
+    by: str = ""  # the member that suspects it, or declared it dead
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Two lives at one turn: either, as long as all take the same. The one that lives goes above it."""
-        return self.turn, int(self.standing), self.life
+        """The order of news; the highest prevails.
+
+        Between two incarnations with one revision any choice will do that all members share: the live one
+        raises its revision above the other's.
+        """
+        return self.revision, int(self.standing), self.incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """`about` is the receiver, or another that the receiver is to try."""
+    """A probe of `about`: the receiver itself, or a member that the receiver probes as a helper."""
 
     number: int
     about: str
@@ -60,99 +66,106 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
+    """The acknowledgement that `about` is alive, directly from it or passed on by a helper."""
+
     number: int
     about: str
     news: tuple[News, ...] = ()
 
 
-Letter = tuple[str, Probe | Ack]  # to whom
+Letter = tuple[str, Probe | Ack]  # receiver and message
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """`period`: between two probes. Parts and multiples of it: what a direct answer may take, how long a
-    suspected member has at least, and at most."""
+    """The time between two probes, and limits relative to it."""
 
     period: timedelta
-    direct: float = 0.3
-    least: float = 2.0
-    most: float = 5.0
-    helpers: int = 3
-    words: int = 6  # on the back of a letter
-    patience: int = 8  # the most that the own health may stretch all of it, less one
+    direct: float = 0.3  # part of a period after which a probe without acknowledgement asks helpers
+    least: float = 2.0  # periods that a suspected member has at least, before it is declared dead
+    most: float = 5.0  # and at most
+    helpers: int = 3  # members asked to probe on behalf of this one
+    max_news: int = 6  # items piggybacked on a message
+    max_health: int = 8  # highest health score; all times are multiplied by 1 + score
 
     def __post_init__(self) -> None:
         if self.period <= timedelta(0) or not 0 < self.direct < 1 or not 0 < self.least <= self.most:
-            raise ValueError("pace: a period over 0, 0 < direct < 1 and 0 < least <= most are wanted")
+            raise ValueError("pace: needs period > 0, 0 < direct < 1 and 0 < least <= most")
 
 
 @dataclass(slots=True)
-class Seen:
-    """What is known of another member."""
+class MemberState:
+    """What this member knows of another one."""
 
     news: News
-    since: datetime  # of this standing
-    direct: bool = True  # the last answer came without a helper
-    times: int = 0  # that its news was passed on
+    since: datetime  # start of this standing
+    is_direct: bool = True  # the last acknowledgement came without a helper
+    times_sent: int = 0  # how often its news was passed on
     suspects: set[str] = field(default_factory=set)
-    until: datetime | None = None  # suspected until then
-    other_life: bool = False  # its own words are of another life than what is known: it has to go above that
+    suspected_until: datetime | None = None  # when a suspected member is declared dead
+    # Its own news names another incarnation than `news`: it has to raise its revision above that.
+    has_other_incarnation: bool = False
 
 
 @dataclass(slots=True)
-class Out:
-    """A probe that is not answered yet."""
+class OutstandingProbe:
+    """A probe without an acknowledgement yet."""
 
     name: str
     number: int
-    asks_at: datetime  # helpers, from then on
-    ends: datetime
-    helped: bool = False
+    ask_helpers_at: datetime
+    expires_at: datetime
+    asked_helpers: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Errand:
-    """A probe for somebody else."""
+class RelayedProbe:
+    """A probe sent on behalf of another member."""
 
     origin: str
-    number: int  # theirs
-    ends: datetime
+    number: int  # of the origin's probe
+    expires_at: datetime
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What is to be told: a standing that is new here, and why."""
+    """A change of a member's standing or reachability, for the log."""
 
     name: str
     standing: Standing
-    why: str
+    reason: str
 
 
 class Members:
+    """This member's view of the others. The methods return the letters to send."""
+
     def __init__(
         self, me: News, others: Mapping[str, str] | Iterable[str], pace: Pace, now: datetime, seed: int
     ) -> None:
-        """`others`: the list of the site; nobody else counts. Each is taken for alive until it is silent."""
+        """`others`: the other members of the site; messages of anyone else are ignored.
+
+        Each is assumed to be alive until its probes time out.
+        """
         self.me, self.pace, self._random = me, pace, random.Random(seed)
-        self._seen = {name: Seen(News(name, 0, 0, Standing.ALIVE), now) for name in others}
+        self._states = {name: MemberState(News(name, 0, 0, Standing.ALIVE), now) for name in others}
         self._order: list[str] = []
-        self._out: list[Out] = []
-        self._errands: dict[int, Errand] = {}
-        self._number = 0
-        self._health = 0  # 0: all is well here
-        self._my_times = 0
-        self._next = now + pace.period * self._random.random()
-        self._ticked: datetime | None = None
-        self.changes: list[Change] = []  # for whoever tells them, and takes them out
+        self._probes: list[OutstandingProbe] = []
+        self._relayed: dict[int, RelayedProbe] = {}
+        self._last_number = 0
+        self._health = 0  # Lifeguard's health score: 0 is healthy, higher is slower
+        self._own_times_sent = 0
+        self._next_probe = now + pace.period * self._random.random()
+        self._last_tick: datetime | None = None
+        self.changes: list[Change] = []  # the owner reports and clears them
         self.leaving = False
 
-    # ---- what others ask ----
+    # ---- queries ----
 
     @property
     def alive(self) -> set[str]:
-        """With this one, and with whoever is suspected alone."""
+        """The members alive or suspected, including this one."""
         return {self.me.name} | {
-            name for name, seen in self._seen.items() if seen.news.standing <= Standing.SUSPECTED
+            name for name, state in self._states.items() if state.news.standing <= Standing.SUSPECTED
         }
 
     @property
@@ -161,230 +174,252 @@
 
     @property
     def gone(self) -> set[str]:
-        return {name for name, seen in self._seen.items() if seen.news.standing > Standing.SUSPECTED}
+        """The members that are dead or have left."""
+        return {name for name, state in self._states.items() if state.news.standing > Standing.SUSPECTED}
 
-    def rows(self) -> Iterator[tuple[News, Seen | None]]:
+    def rows(self) -> Iterator[tuple[News, MemberState | None]]:
+        """This member's own news, then the news and state of each other member by name."""
         yield self.me, None
-        yield from ((seen.news, seen) for _, seen in sorted(self._seen.items()))
+        yield from ((state.news, state) for _, state in sorted(self._states.items()))
 
     def standing(self, name: str) -> Standing | None:
         if name == self.me.name:
             return self.me.standing
-        return self._seen[name].news.standing if name in self._seen else None
+        return self._states[name].news.standing if name in self._states else None
 
-    def word(self, name: str) -> str:
-        """For people: `cut` is alive, and heard through others alone."""
+    def status_text(self, name: str) -> str:
+        """The standing for display. `cut`: alive, but reachable through helpers only."""
         standing = self.standing(name)
-        if standing is Standing.ALIVE and name in self._seen and not self._seen[name].direct:
+        if standing is Standing.ALIVE and name in self._states and not self._states[name].is_direct:
             return "cut"
         return standing.name.lower() if standing is not None else "unknown"
 
     # ---- the list ----
 
-    def listed(self, others: Iterable[str], now: datetime) -> None:
+    def set_members(self, others: Iterable[str], now: datetime) -> None:
+        """Replaces the list of the other members; what is known of those that stay is kept."""
         names = set(others)
-        for name in self._seen.keys() - names:
-            del self._seen[name]
-        self._out = [out for out in self._out if out.name in names]
-        for name in names - self._seen.keys():
-            self._seen[name] = Seen(News(name, 0, 0, Standing.ALIVE), now)
+        for name in self._states.keys() - names:
+            del self._states[name]
+        self._probes = [probe for probe in self._probes if probe.name in names]
+        for name in names - self._states.keys():
+            self._states[name] = MemberState(News(name, 0, 0, Standing.ALIVE), now)
 
     # ---- time ----
 
     def tick(self, now: datetime) -> list[Letter]:
-        """Called several times a period. Later than that: this process was halted, or is far too busy."""
+        """Sends probes and handles timeouts; called several times a period.
+
+        A gap of more than a period means that this process was stalled or overloaded.
+        """
         letters = list[Letter]()
-        gap = now - self._ticked if self._ticked else timedelta(0)
-        self._ticked = now
-        if gap > self.pace.period:  # whatever was out had no chance: it says nothing of others
-            self._worse()
-            self._out.clear()
-            for seen in self._seen.values():
-                if seen.until:
-                    seen.until += gap
+        gap = now - self._last_tick if self._last_tick else timedelta(0)
+        self._last_tick = now
+        if gap > self.pace.period:  # acknowledgements could not be received: their absence means nothing
+            self._worsen_health()
+            self._probes.clear()
+            for state in self._states.values():
+                if state.suspected_until:
+                    state.suspected_until += gap
         if self.leaving:
             return []
-        for out in list(self._out):
-            if now >= out.ends:
-                self._out.remove(out)
-                self._worse()
-                self._suspect(out.name, now)
-            elif now >= out.asks_at and not out.helped:
-                out.helped = True
-                letters += self._ask_helpers(out)
-        for seen in self._seen.values():
-            if seen.until and now >= seen.until:
-                found = replace(seen.news, standing=Standing.DEAD, by=self.me.name)
-                self._take(seen, found, now, f"silent, suspected by {len(seen.suspects)}")
-        for number in [n for n, errand in self._errands.items() if now >= errand.ends]:
-            del self._errands[number]
-        if now >= self._next:
-            self._next = now + self.pace.period * (1 + self._health)
+        for probe in list(self._probes):
+            if now >= probe.expires_at:
+                self._probes.remove(probe)
+                self._worsen_health()
+                self._suspect(probe.name, now)
+            elif now >= probe.ask_helpers_at and not probe.asked_helpers:
+                probe.asked_helpers = True
+                letters += self._ask_helpers(probe)
+        for state in self._states.values():
+            if state.suspected_until and now >= state.suspected_until:
+                found = replace(state.news, standing=Standing.DEAD, by=self.me.name)
+                self._apply(state, found, now, f"no acknowledgement, suspected by {len(state.suspects)}")
+        for number in [n for n, relayed in self._relayed.items() if now >= relayed.expires_at]:
+            del self._relayed[number]
+        if now >= self._next_probe:
+            self._next_probe = now + self.pace.period * (1 + self._health)
             if name := self._target():
                 letters.append(self._probe(name, now))
         return letters
 
     def _target(self) -> str | None:
-        """Everybody once, in an order by chance, and anew: so each is tried within twice their number.
-        The dead too, if seldom: two halves of a site that were cut apart find one another that way."""
-        for _ in range(len(self._seen) + 1):
+        """The next member to probe: each once in random order, then in a new one.
+
+        So each is probed within twice as many periods as there are members. Dead members are probed too, less
+        often, so that the two halves of a partitioned site find each other again.
+        """
+        for _ in range(len(self._states) + 1):
             if not self._order:
-                self._order = sorted(self._seen)
+                self._order = sorted(self._states)
                 self._random.shuffle(self._order)
             if not self._order:
                 return None
             name = self._order.pop()
-            if name not in self._seen:
+            if name not in self._states:
                 continue
-            standing = self._seen[name].news.standing
+            standing = self._states[name].news.standing
             if standing <= Standing.SUSPECTED or self._random.random() < 0.5:
                 return name
         return None
 
     def _probe(self, name: str, now: datetime) -> Letter:
-        self._number += 1
+        self._last_number += 1
         stretch = 1 + self._health
-        self._out.append(
-            Out(
+        self._probes.append(
+            OutstandingProbe(
                 name,
-                self._number,
+                self._last_number,
                 now + self.pace.period * self.pace.direct * stretch,
                 now + self.pace.period * stretch * 0.95,
             )
         )
-        return name, Probe(self._number, name, self._words(name))
+        return name, Probe(self._last_number, name, self._news_for(name))
 
-    def _ask_helpers(self, out: Out) -> list[Letter]:
-        others = [n for n, s in self._seen.items() if n != out.name and s.news.standing is Standing.ALIVE]
+    def _ask_helpers(self, probe: OutstandingProbe) -> list[Letter]:
+        others = [n for n, s in self._states.items() if n != probe.name and s.news.standing is Standing.ALIVE]
         helpers = self._random.sample(others, min(self.pace.helpers, len(others)))
-        return [(name, Probe(out.number, out.name, self._words(name))) for name in helpers]
+        return [(name, Probe(probe.number, probe.name, self._news_for(name))) for name in helpers]
+
+    def _worsen_health(self) -> None:
+        self._health = min(self.pace.max_health, self._health + 1)
 
-    def _worse(self) -> None:
-        self._health = min(self.pace.patience, self._health + 1)
+    # ---- messages and news ----
 
-    # ---- words ----
+    def _news_for(self, receiver: str) -> tuple[News, ...]:
+        """The news to piggyback on a message.
 
-    def _words(self, to: str) -> tuple[News, ...]:
-        """The own word first; what the receiver is thought to be, if that is not alive, so that it may
-        object; then what was passed on least."""
+        First the news of this member; then the receiver's, if it is not known as alive, so that it can refute
+        it; then the news passed on least often.
+        """
         found = [self.me]
-        other = self._seen.get(to)
-        if other and (other.other_life or other.news.standing is not Standing.ALIVE):
+        other = self._states.get(receiver)
+        if other and (other.has_other_incarnation or other.news.standing is not Standing.ALIVE):
             found.append(other.news)
-        most = 3 * math.ceil(math.log2(len(self._seen) + 2))
-        fresh = [s for s in self._seen.values() if s.times < most and s.news.turn + s.news.standing > 0]
-        fresh.sort(key=lambda seen: (seen.times, seen.news.name))
-        for seen in fresh[: self.pace.words - len(found)]:
-            if seen is not other:
-                seen.times += 1
-                found.append(seen.news)
+        most = 3 * math.ceil(math.log2(len(self._states) + 2))
+        fresh = [
+            s for s in self._states.values() if s.times_sent < most and s.news.revision + s.news.standing > 0
+        ]
+        fresh.sort(key=lambda state: (state.times_sent, state.news.name))
+        for state in fresh[: self.pace.max_news - len(found)]:
+            if state is not other:
+                state.times_sent += 1
+                found.append(state.news)
         return tuple(found)
 
-    def heard(self, sender: str, what: Probe | Ack, now: datetime) -> list[Letter]:
-        """Words of strangers are nothing."""
-        if sender not in self._seen or self.leaving:
+    def receive(self, sender: str, message: Probe | Ack, now: datetime) -> list[Letter]:
+        """Handles a message. Messages of unknown senders are ignored."""
+        if sender not in self._states or self.leaving:
             return []
-        for news in what.news:
+        for news in message.news:
             self._learn(news, now, sender)
-        match what:
+        match message:
             case Probe(number, about) if about == self.me.name:
-                return [(sender, Ack(number, about, self._words(sender)))]
-            case Probe(number, about) if about in self._seen and about != sender:
-                self._number += 1
-                self._errands[self._number] = Errand(sender, number, now + 2 * self.pace.period)
-                return [(about, Probe(self._number, about, self._words(about)))]
+                return [(sender, Ack(number, about, self._news_for(sender)))]
+            case Probe(number, about) if about in self._states and about != sender:
+                self._last_number += 1
+                self._relayed[self._last_number] = RelayedProbe(sender, number, now + 2 * self.pace.period)
+                return [(about, Probe(self._last_number, about, self._news_for(about)))]
             case Ack(number, about):
-                if errand := self._errands.pop(number, None):
-                    return [(errand.origin, Ack(errand.number, about, self._words(errand.origin)))]
-                self._answered(number, about, sender, now)
+                if relayed := self._relayed.pop(number, None):
+                    return [(relayed.origin, Ack(relayed.number, about, self._news_for(relayed.origin)))]
+                self._handle_ack(number, about, sender, now)
         return []
 
-    def _answered(self, number: int, about: str, sender: str, now: datetime) -> None:
-        out = next((o for o in self._out if o.number == number and o.name == about), None)
-        if out is None:
+    def _handle_ack(self, number: int, about: str, sender: str, now: datetime) -> None:
+        probe = next((o for o in self._probes if o.number == number and o.name == about), None)
+        if probe is None:
             return
-        self._out.remove(out)
+        self._probes.remove(probe)
         self._health = max(0, self._health - 1)
-        seen = self._seen[about]
-        if seen.direct != (sender == about):
-            seen.direct = sender == about
-            why = "heard itself again" if seen.direct else f"silent here, and heard by {sender}"
-            self.changes.append(Change(about, seen.news.standing, why))
-
-    def closed(self, name: str, now: datetime) -> None:
-        """Its machine says that nobody listens there: no proof, but no reason to wait for long."""
-        seen = self._seen.get(name)
-        if seen and seen.news.standing is Standing.ALIVE and not self.leaving:
+        state = self._states[about]
+        if state.is_direct != (sender == about):
+            state.is_direct = sender == about
+            reason = "reachable from here again" if state.is_direct else f"acknowledged through {sender} only"
+            self.changes.append(Change(about, state.news.standing, reason))
+
+    def connection_refused(self, name: str, now: datetime) -> None:
+        """Suspects a member whose machine refuses connections.
+
+        That does not prove its death, but there is no need to wait for a probe to time out.
+        """
+        state = self._states.get(name)
+        if state and state.news.standing is Standing.ALIVE and not self.leaving:
             self._suspect(name, now)
 
     def _suspect(self, name: str, now: datetime) -> None:
-        seen = self._seen.get(name)
-        if seen and seen.news.standing <= Standing.SUSPECTED:
-            found = replace(seen.news, standing=Standing.SUSPECTED, by=self.me.name)
+        state = self._states.get(name)
+        if state and state.news.standing <= Standing.SUSPECTED:
+            found = replace(state.news, standing=Standing.SUSPECTED, by=self.me.name)
             self._learn(found, now, self.me.name)
 
     def _learn(self, news: News, now: datetime, sender: str) -> None:
         if news.name == self.me.name:
-            return self._object(news)
-        seen = self._seen.get(news.name)
-        if seen is None:
+            return self._refute(news)
+        state = self._states.get(news.name)
+        if state is None:
             return None
-        if news.standing is Standing.SUSPECTED and news.turn >= seen.news.turn:
-            fresh = (news.by or sender) not in seen.suspects
-            if news.turn > seen.news.turn or seen.news.standing < Standing.SUSPECTED:
-                seen.suspects = {news.by or sender}
-                self._take(seen, news, now, f"silent, says {news.by or sender}")
-                seen.until = now + self._span(1)
-            elif fresh and seen.until:  # another one's own finding: there is less need to wait
-                seen.suspects.add(news.by or sender)
-                seen.until = min(seen.until, seen.since + self._span(len(seen.suspects)))
-                seen.times = 0
+        if news.standing is Standing.SUSPECTED and news.revision >= state.news.revision:
+            fresh = (news.by or sender) not in state.suspects
+            if news.revision > state.news.revision or state.news.standing < Standing.SUSPECTED:
+                state.suspects = {news.by or sender}
+                self._apply(state, news, now, f"no acknowledgement, says {news.by or sender}")
+                state.suspected_until = now + self._suspicion_time(1)
+            elif fresh and state.suspected_until:  # an independent suspicion shortens the wait
+                state.suspects.add(news.by or sender)
+                state.suspected_until = min(
+                    state.suspected_until, state.since + self._suspicion_time(len(state.suspects))
+                )
+                state.times_sent = 0
             return None
-        if news.rank > seen.news.rank:
+        if news.rank > state.news.rank:
             who = "itself" if sender == news.name else sender
-            self._take(seen, news, now, f"says {who}")
+            self._apply(state, news, now, f"says {who}")
         elif sender == news.name:
-            seen.other_life = news.life != seen.news.life
+            state.has_other_incarnation = news.incarnation != state.news.incarnation
         return None
 
-    def _span(self, suspects: int) -> timedelta:
-        """From `most` to `least` with the logarithm of those who suspect."""
-        wanted = min(self.pace.helpers, max(1, len(self._seen) - 1))
-        part = min(1.0, math.log(suspects) / math.log(wanted + 1)) if wanted > 1 else 1.0
+    def _suspicion_time(self, suspects: int) -> timedelta:
+        """The time until a suspected member is declared dead.
+
+        It falls from `most` to `least` with the logarithm of the number of suspecting members.
+        """
+        expected = min(self.pace.helpers, max(1, len(self._states) - 1))
+        part = min(1.0, math.log(suspects) / math.log(expected + 1)) if expected > 1 else 1.0
         periods = self.pace.most - (self.pace.most - self.pace.least) * part
-        scale = max(1.0, math.log10(len(self._seen) + 2))
+        scale = max(1.0, math.log10(len(self._states) + 2))
         return self.pace.period * periods * scale * (1 + self._health)
 
-    def _object(self, news: News) -> None:
-        """Somebody takes this process for something else than alive, or for the one before it."""
-        same = news.standing is Standing.ALIVE and news.life == self.me.life
-        if news.turn < self.me.turn or same and news.turn <= self.me.turn:
+    def _refute(self, news: News) -> None:
+        """Raises the own revision above news that it is not alive, or that is about another incarnation."""
+        same = news.standing is Standing.ALIVE and news.incarnation == self.me.incarnation
+        if news.revision < self.me.revision or same and news.revision <= self.me.revision:
             return
-        if news.standing is Standing.SUSPECTED and news.life == self.me.life:
-            self._worse()  # others do not hear this one: perhaps it is late
-        self.me = replace(self.me, turn=news.turn + 1)
-        self._my_times = 0
-
-    def _take(self, seen: Seen, news: News, now: datetime, why: str) -> None:
-        before, seen.news, seen.times, seen.other_life = seen.news, news, 0, False
-        if before.standing is not news.standing or before.life not in (0, news.life):
-            seen.since = now
-            self.changes.append(Change(news.name, news.standing, why))
+        if news.standing is Standing.SUSPECTED and news.incarnation == self.me.incarnation:
+            self._worsen_health()  # its acknowledgements do not arrive in time: perhaps this process is slow
+        self.me = replace(self.me, revision=news.revision + 1)
+        self._own_times_sent = 0
+
+    def _apply(self, state: MemberState, news: News, now: datetime, reason: str) -> None:
+        before, state.news, state.times_sent, state.has_other_incarnation = state.news, news, 0, False
+        if before.standing is not news.standing or before.incarnation not in (0, news.incarnation):
+            state.since = now
+            self.changes.append(Change(news.name, news.standing, reason))
         if news.standing is not Standing.SUSPECTED:
-            seen.until = None
-            seen.suspects.clear()
+            state.suspected_until = None
+            state.suspects.clear()
 
     # ---- the end ----
 
     def leave(self) -> list[Letter]:
-        """To all: it costs as much as one period of heartbeats, once."""
+        """Announces the end of this process to all members: one message to each, once."""
         if self.leaving:
             return []
         self.leaving = True
         self.me = replace(self.me, standing=Standing.LEFT)
-        self._number += 1
+        self._last_number += 1
         return [
             (name, Ack(0, self.me.name, (self.me,)))
-            for name, seen in self._seen.items()
-            if seen.news.standing <= Standing.SUSPECTED
+            for name, state in self._states.items()
+            if state.news.standing <= Standing.SUSPECTED
         ]
--- a/rookwood/members/wire.py
+++ b/rookwood/members/wire.py
@@ -1,4 +1,4 @@
-"""Probes and answers as frames of the gateway's links, and back."""
+"""Converts probes and acknowledgements to frames of the gateway's links, and back."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 from rookwood.members.swim import Ack, News, Probe, Standing
 
 
-def frame_of(what: Probe | Ack) -> MemberProbe | MemberAck:
-    news = tuple(MemberNews(n.name, n.life, n.turn, int(n.standing), n.zone, n.by) for n in what.news)
-    kind = MemberProbe if isinstance(what, Probe) else MemberAck
-    return kind(what.number, what.about, news)
+def frame_of(message: Probe | Ack) -> MemberProbe | MemberAck:
+    news = tuple(
+        MemberNews(n.name, n.incarnation, n.revision, int(n.standing), n.zone, n.by) for n in message.news
+    )
+    kind = MemberProbe if isinstance(message, Probe) else MemberAck
+    return kind(message.number, message.about, news)
 
 
-def letter_of(frame: Frame) -> Probe | Ack | None:
-    """None: it is no letter, or tells of a standing that nobody has here."""
+def message_of_frame(frame: Frame) -> Probe | Ack | None:
+    """The probe or acknowledgement of a frame. None: another frame, or one with an unknown standing."""
     if not isinstance(frame, MemberProbe | MemberAck):
         return None
     try:
--- a/rookwood/replicas/__init__.py
+++ b/rookwood/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""State that matters, replicated among the dispatchers of a site (docs/replicas.md)."""
+"""Registers replicated in memory among the dispatchers of a site (docs/replicas.md)."""
--- a/rookwood/replicas/group.py
+++ b/rookwood/replicas/group.py
@@ -1,21 +1,25 @@
-"""Registers that a majority of members keeps in memory alone: messages in and out, no I/O, no clock.
-
-One member leads, under a token that the others check; each register is written by it and counts once a
-majority has it (multi-decree Paxos with a lasting leader; each register is its own, so there is no log to
-keep in order). A newer value is one of a higher stamp: the leader's token, then a serial number.
-
-Nobody has a disk. A member that has started has forgotten what it acknowledged and promised, so it is not
-*whole*: it counts in no majority, until it has recovered: a majority of the others, all whole, has told what
-they promised, the leader is of the highest of these, and all that the leader has is here (after
-viewstamped replication revisited, Liskov and Cowling 2012, section 4.3, with a nonce).
-
-Who takes over reads from a majority of whole members, newest stamp wins, writes what it read to a majority,
-and leads from then on. Where no majority is whole any more, memory may have been lost: `found` begins anew
-with what is left, and says so, and whoever uses the registers must not trust that what is missing never was.
-
-Copies are compared by digests of buckets of keys (`registers.py`), and what differs is shipped by itself, a
-few buckets at a time. The leader tells its digests now and then: whoever has missed a write, or has what
-nobody acknowledged, takes over what the leader has. That is safe since all that counts is at the leader.
+"""Registers replicated in the memory of a majority of members. Messages in and out, no I/O, no clock.
+
+One member leads under a token that the others check. It alone writes registers, and a write is committed once
+a majority has it (multi-decree Paxos with a stable leader; registers are independent, so there is no log to
+keep in order). Of two values the one with the higher stamp is newer; a stamp is the leader's token and a
+serial number.
+
+No member has a disk. A member that has just started no longer knows what it acknowledged and promised, so it
+counts in no majority until it has recovered. (Messages and stats call a recovered member `whole`.) To recover
+it needs recovery responses from a majority, all of recovered members; the leader is the one among them that
+leads by the highest promised token; then it copies all registers of that leader. This follows Viewstamped
+Replication Revisited (Liskov and Cowling 2012, section 4.3), with a nonce.
+
+A new leader reads from a majority of recovered members, keeps the newest stamps, writes what it has read to a
+majority, and leads from then on. Where no majority is recovered any more, registers may have been lost:
+`reinitialize` starts again from those that are left and writes a value that says so. Users of the registers
+must then not conclude that a missing register was never written.
+
+Members compare copies by digests of buckets of keys (`registers.py`) and transfer only the entries that
+differ, a few buckets at a time. The leader sends its digests at intervals; a member that has missed a write,
+or has an entry that was never committed, copies the leader's state. That is safe because the leader has every
+committed entry.
 """
 
 from __future__ import annotations
@@ -28,65 +32,75 @@
 from rookwood.replicas.registers import Entry, Registers, Stamp
 
 BUCKETS = 64
-WINDOW = 8  # buckets that are asked of one member at a time; parts of a write on their way to one
-PART = 500  # entries that travel in one part of a write
-REMINDED = 32  # writes that are said once more at a time, the oldest first
-NOBODY = Token(0, "", 0)
+WINDOW = 8  # buckets requested from one member at a time, and parts of a write in flight to one member
+PART_ENTRIES = 500  # most entries in one part of a write
+RESEND_LIMIT = 32  # writes that are sent again at a time, the oldest first
+NO_TOKEN = Token(0, "", 0)
 
 
-# ---- messages; `round` ties answers to what was asked ----
+# ---- messages: encoded under their field names; token, number or nonce match responses to requests ----
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Whoever has the duty asks to lead."""
+    """The holder of the leader's lease asks for promises."""
 
     token: Token
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    token: Token  # nothing by a lower one is taken from now on
-    whole: bool
+    """A member accepts nothing with a lower token from now on."""
+
+    token: Token
+    whole: bool  # the member has recovered
     digests: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Another token is promised."""
+    """The member has promised a higher token."""
 
-    token: Token  # of the question
+    token: Token  # of the rejected message
     promised: Token
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
+    """A request for the entries of a bucket that the sender does not have."""
+
     token: Token
     bucket: int
-    have: tuple[int, ...] = ()  # the marks of what is here
+    have: tuple[int, ...] = ()  # marks of the sender's entries
 
 
 @dataclass(frozen=True, slots=True)
 class Bucket:
+    """The response to `Fetch`: the difference between the two copies of a bucket."""
+
     token: Token
     bucket: int
-    entries: tuple[Entry, ...]  # that the asker does not have
-    gone: tuple[int, ...] = ()  # marks of what it has and the asked does not
-    serial: int = 0  # of the leader's last write by then; 0: it does not lead
+    entries: tuple[Entry, ...]  # entries that the requester does not have
+    gone: tuple[int, ...] = ()  # marks of entries that only the requester has
+    serial: int = 0  # serial number of the leader's last write; 0: the sender does not lead
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
+    """One part of a write of the leader."""
+
     token: Token
-    number: int  # of this write
+    number: int  # identifies the write
     entries: tuple[Entry, ...]
-    found: bool = False  # a new beginning: whoever takes all of it is whole
+    found: bool = False  # a reinitialization: a member with all parts of it has recovered
     part: int = 0
     parts: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
+    """The member has stored one part of a write."""
+
     token: Token
     number: int
     part: int = 0
@@ -94,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tally:
-    """Of the leader: what it has, for whoever has missed some of it."""
+    """The leader's digests, by which members find what they have missed."""
 
     token: Token
     digests: tuple[bytes, ...]
@@ -102,40 +116,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Of the leader: registers that nobody will ask for any more."""
+    """The leader's order to delete registers that are no longer needed."""
 
     token: Token
-    serial: int  # of its last write
+    serial: int  # of the leader's last write: newer entries stay
     keys: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Recover:
-    """Of one that has started: what have you promised, and who leads?"""
+    """A member that has just started asks for promises and for the leader."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
+    """The response to `Recover`."""
+
     nonce: int
-    whole: bool
+    whole: bool  # the responder has recovered
     promised: Token
     leads: bool
-    digests: tuple[bytes, ...] = ()  # of the leader
+    digests: tuple[bytes, ...] = ()  # only from the leader
 
 
 Message = Prepare | Promise | Refused | Fetch | Bucket | Write | Ack | Recover | Recovery | Tally | Drop
-Letter = tuple[str | None, Message]  # None: to all others
+Letter = tuple[str | None, Message]  # receiver and message; None: to all other members
 
 
 @dataclass(slots=True)
 class Pending:
-    """A write that is not on a majority yet."""
+    """A write that no majority has yet."""
 
     writes: tuple[Write, ...]  # its parts
-    acks: dict[str, set[int]]  # by member: parts that it has
-    ticket: int  # of whoever waits for it; 0: nobody
+    acks: dict[str, set[int]]  # acknowledged parts by member
+    ticket: int  # returned to the caller that waits for it; 0: none
 
     def missing(self, name: str) -> list[Write]:
         have = self.acks.get(name, ())
@@ -144,163 +160,204 @@
 
 @dataclass(slots=True)
 class Takeover:
+    """The state of a member that is becoming the leader."""
+
     promises: dict[str, Promise] = field(default_factory=dict)
-    reading: set[str] = field(default_factory=set)  # the majority that is read
-    wanted: set[tuple[str, int]] = field(default_factory=set)  # buckets that are still to come
-    changed: set[str] = field(default_factory=set)  # keys that one of those who are read does not share
-    confirming: int = 0  # the write of what was read
-    founds: Callable[[], Mapping[str, bytes]] | None = None  # a new beginning, and what is written with it
+    reading: set[str] = field(default_factory=set)  # the majority that is being read
+    # (member, bucket) still to be received
+    missing_buckets: set[tuple[str, int]] = field(default_factory=set)
+    changed: set[str] = field(default_factory=set)  # keys that not all of the members read agree on
+    confirming: int = 0  # number of the write that stores on a majority what was read
+    # Only for a reinitialization: returns the values that are written with it.
+    new_values: Callable[[], Mapping[str, bytes]] | None = None
 
 
 @dataclass(slots=True)
 class Recovering:
+    """The state of a member that has not recovered yet."""
+
     nonce: int
     answers: dict[str, Recovery] = field(default_factory=dict)
     leader: str = ""
-    wanted: set[int] = field(default_factory=set)
+    missing_buckets: set[int] = field(default_factory=set)
 
 
 class Group:
+    """One member's copy of the registers and its part in the protocol.
+
+    The methods return the letters to send. The caller sends them and passes on received messages (`receive`).
+    """
+
     def __init__(self, me: str, members: Iterable[str], nonce: int, buckets: int = BUCKETS) -> None:
-        """`nonce`: another one for each process. `buckets`: 256 at most, the same at all."""
+        """`nonce` differs for each process. `buckets` is at most 256 and the same at all members."""
         self.me, self.members, self._buckets = me, tuple(sorted(members)), buckets
-        self._kept = Registers(buckets)
-        self.promised, self.whole, self.leads = NOBODY, False, False
-        self.done: list[
-            tuple[int, bool]
-        ] = []  # tickets, and whether their writes count; taken out by the owner
-        self.differ: list[tuple[Entry, Entry]] = []  # one stamp, two values: no rule explains it
-        self.compared, self.behind = 0, 0  # times that the leader's digests came; buckets that differed last
+        self._registers = Registers(buckets)
+        self.promised, self.recovered, self.is_leader = NO_TOKEN, False, False
+        # (ticket, committed) of finished writes; False: it is unknown whether the write is committed. The
+        # owner clears the list.
+        self.finished: list[tuple[int, bool]] = []
+        # Entries with one stamp and two values, which violates an invariant.
+        self.conflicts: list[tuple[Entry, Entry]] = []
+        self.compare_count, self.behind_buckets = 0, 0  # digests received; buckets that differed last time
         self._nonce = nonce
         self._serial = self._number = 0
         self._pending: dict[int, Pending] = {}
         self._takeover: Takeover | None = None
         self._recovering: Recovering | None = None
-        self._mirror: set[int] = set()  # buckets in which the leader differs, still to come
-        self._parts: tuple[Token, int, frozenset[int]] = (NOBODY, 0, frozenset())  # of a new beginning
+        self._buckets_to_copy: set[int] = set()  # buckets that differ from the leader's, still to be received
+        self._founding_parts: tuple[Token, int, frozenset[int]] = (
+            NO_TOKEN,
+            0,
+            frozenset(),
+        )  # token, number and received parts of a reinitialization
 
     @property
     def entries(self) -> dict[str, Entry]:
-        return self._kept.entries
+        return self._registers.entries
 
     @property
     def majority(self) -> int:
         return len(self.members) // 2 + 1
 
-    # ---- what is here ----
+    # ---- this member's registers ----
 
     def digests(self) -> tuple[bytes, ...]:
-        return self._kept.digests()
+        return self._registers.digests()
 
-    def _take(self, entries: Iterable[Entry]) -> None:
-        """The newest stamp wins, in whichever order they come."""
+    def _merge(self, entries: Iterable[Entry]) -> None:
+        """Keeps the newest stamp of each key, in whichever order entries arrive."""
         for entry in entries:
             old = self.entries.get(entry.key)
             if old is None or entry.stamp > old.stamp:
-                self._kept.put(entry)
+                self._registers.put(entry)
             elif entry.stamp == old.stamp and entry.value != old.value:
-                self.differ.append((old, entry))
+                self.conflicts.append((old, entry))
 
     def drop(self, keys: Iterable[str]) -> list[Letter]:
-        """Registers that nobody will ask for any more: by their age, which their owner knows. Only while it
-        leads: the others drop what they are told to."""
-        assert self.leads
+        """Deletes registers that are no longer needed, here and at the other members. Only for the leader.
+
+        The owner of the registers decides by their age which these are.
+        """
+        assert self.is_leader
         gone = tuple(keys)
         for key in gone:
-            self._kept.drop(key)
+            self._registers.drop(key)
         return [(None, Drop(self.promised, self._serial, gone))] if gone else []
 
     def _drop_older(self, keys: Iterable[str], stamp: Stamp) -> None:
-        """What was written since the leader said so stays."""
+        """Deletes registers unless they were written after `stamp`."""
         for key in keys:
             if (entry := self.entries.get(key)) and entry.stamp <= stamp:
-                self._kept.drop(key)
+                self._registers.drop(key)
 
-    def _differing(self, digests: tuple[bytes, ...]) -> set[int]:
+    def _differing_buckets(self, digests: tuple[bytes, ...]) -> set[int]:
         return {n for n, (a, b) in enumerate(zip(self.digests(), digests, strict=False)) if a != b}
 
-    def _fetches(self, token: Token, name: str, buckets: Iterable[int]) -> list[Letter]:
-        """A few at a time, each with what is here: the answers must not keep anybody from its work."""
-        return [(name, Fetch(token, n, self._kept.marks(n))) for n in sorted(buckets)[:WINDOW]]
+    def _fetch_letters(self, token: Token, name: str, buckets: Iterable[int]) -> list[Letter]:
+        """Requests for the first few buckets, each with the marks of the local entries.
+
+        Their number is limited since the responses must not delay other work.
+        """
+        return [(name, Fetch(token, n, self._registers.marks(n))) for n in sorted(buckets)[:WINDOW]]
 
-    def _next(self, token: Token, name: str, buckets: Iterable[int]) -> list[Letter]:
-        """One has come: the one that the window has moved on to is asked for."""
-        return self._fetches(token, name, buckets)[WINDOW - 1 :]
+    def _next_fetch(self, token: Token, name: str, buckets: Iterable[int]) -> list[Letter]:
+        """After a bucket has arrived: the request for the bucket that enters the window."""
+        return self._fetch_letters(token, name, buckets)[WINDOW - 1 :]
 
     # ---- leading ----
 
     def lead(self, token: Token) -> list[Letter]:
-        """The duty is held here by this token. Asked again and again until `leads`; nothing is lost by it."""
+        """Takes over, or goes on leading, by a token of the leader's lease.
+
+        The owner calls it repeatedly until `is_leader`; repeated calls only send missing messages again.
+        """
         if token < self.promised:
             return []
-        if token != self.promised or not (self.leads or self._takeover):
-            self._stop()
+        if token != self.promised or not (self.is_leader or self._takeover):
+            self._step_down()
             self.promised, self._takeover = token, Takeover()
-        if self.leads:
+        if self.is_leader:
             return []
-        take = self._takeover
-        assert take
-        if self.me not in take.promises:
-            take.promises[self.me] = Promise(token, self.whole, self.digests())
-        letters: list[Letter] = [(name, Prepare(token)) for name in self.members if name not in take.promises]
-        letters += self._wanted(token, take)
-        if take.confirming and (pending := self._pending.get(take.confirming)):
-            letters += self._to_missing(pending)
-        return letters + self._read(token)
-
-    def stop(self) -> None:
-        """The duty is held no more."""
-        self._stop()
-
-    def _stop(self) -> None:
-        self.leads, self._takeover = False, None
-        self.done += [(pending.ticket, False) for pending in self._pending.values() if pending.ticket]
+        takeover = self._takeover
+        assert takeover
+        if self.me not in takeover.promises:
+            takeover.promises[self.me] = Promise(token, self.recovered, self.digests())
+        letters: list[Letter] = [
+            (name, Prepare(token)) for name in self.members if name not in takeover.promises
+        ]
+        letters += self._fetch_missing(token, takeover)
+        if takeover.confirming and (pending := self._pending.get(takeover.confirming)):
+            letters += self._missing_parts(pending)
+        return letters + self._read_majority(token)
+
+    def step_down(self) -> None:
+        """Stops leading: the leader's lease is no longer held."""
+        self._step_down()
+
+    def _step_down(self) -> None:
+        self.is_leader, self._takeover = False, None
+        self.finished += [(pending.ticket, False) for pending in self._pending.values() if pending.ticket]
         self._pending.clear()
 
-    def _wanted(self, token: Token, take: Takeover) -> list[Letter]:
+    def _fetch_missing(self, token: Token, takeover: Takeover) -> list[Letter]:
         letters = list[Letter]()
-        for name in sorted({name for name, _ in take.wanted}):
-            letters += self._fetches(token, name, (n for other, n in take.wanted if other == name))
+        for name in sorted({name for name, _ in takeover.missing_buckets}):
+            letters += self._fetch_letters(
+                token, name, (n for other, n in takeover.missing_buckets if other == name)
+            )
         return letters
 
-    def found(self, token: Token, values: Callable[[], Mapping[str, bytes]]) -> list[Letter]:
-        """No majority is whole, for so long that none will be: begins anew with what is left, in the
-        knowledge that something may be missing, which `values` say. They are asked for once all that is left
-        has been read, since who begins may have nothing. Only while taking over, a majority answering."""
-        take = self._takeover
-        if take is None or token != self.promised or take.reading or len(take.promises) < self.majority:
+    def reinitialize(self, token: Token, values: Callable[[], Mapping[str, bytes]]) -> list[Letter]:
+        """Starts again from the registers that are left, where no majority will recover any more.
+
+        Registers may have been lost; `values` returns the registers that record this. It is called once
+        everything that is left has been read, since this member may have no registers itself. Does nothing
+        unless this member is taking over and a majority has promised.
+        """
+        takeover = self._takeover
+        if (
+            takeover is None
+            or token != self.promised
+            or takeover.reading
+            or len(takeover.promises) < self.majority
+        ):
             return []
-        take.founds = values
-        return self._asks(token, take, set(take.promises))
+        takeover.new_values = values
+        return self._start_reading(token, takeover, set(takeover.promises))
 
-    def _read(self, token: Token) -> list[Letter]:
-        """Once a majority of whole members has promised: what differs from here is fetched."""
-        take = self._takeover
-        if take is None or take.reading:
+    def _read_majority(self, token: Token) -> list[Letter]:
+        """Starts reading once a majority of members, all recovered, has promised."""
+        takeover = self._takeover
+        if takeover is None or takeover.reading:
             return []
-        whole = {name for name, promise in take.promises.items() if promise.whole}
-        if len(whole) < self.majority:
+        recovered = {name for name, promise in takeover.promises.items() if promise.whole}
+        if len(recovered) < self.majority:
             return []
-        return self._asks(token, take, whole)
+        return self._start_reading(token, takeover, recovered)
 
-    def _asks(self, token: Token, take: Takeover, reading: set[str]) -> list[Letter]:
-        take.reading = reading
+    def _start_reading(self, token: Token, takeover: Takeover, reading: set[str]) -> list[Letter]:
+        takeover.reading = reading
         others = reading - {self.me}
-        take.wanted = {(name, n) for name in others for n in self._differing(take.promises[name].digests)}
-        return self._wanted(token, take) + self._confirm()
+        takeover.missing_buckets = {
+            (name, n) for name in others for n in self._differing_buckets(takeover.promises[name].digests)
+        }
+        return self._fetch_missing(token, takeover) + self._confirm_takeover()
+
+    def _confirm_takeover(self) -> list[Letter]:
+        """Once all is read, writes the entries that the members read do not share.
 
-    def _confirm(self) -> list[Letter]:
-        """All is read: what the majority that was read does not share is written to one before it counts."""
-        take = self._takeover
-        if take is None or not take.reading or take.wanted or take.confirming:
+        This member leads only when a majority has them.
+        """
+        takeover = self._takeover
+        if takeover is None or not takeover.reading or takeover.missing_buckets or takeover.confirming:
             return []
-        if take.founds is not None:
-            self._take(self._stamped(take.founds()))
-        new = take.founds is not None
-        keys = sorted(self.entries) if new else sorted(take.changed & self.entries.keys())
+        if takeover.new_values is not None:
+            self._merge(self._stamped(takeover.new_values()))
+        new = takeover.new_values is not None
+        keys = sorted(self.entries) if new else sorted(takeover.changed & self.entries.keys())
         entries = [self.entries[key] for key in keys]
-        self.whole, self._recovering = True, None
-        return self._write(entries, ticket=0, found=new, confirms=True)
+        self.recovered, self._recovering = True, None
+        return self._start_write(entries, ticket=0, found=new, confirms=True)
 
     def _stamped(self, values: Mapping[str, bytes]) -> list[Entry]:
         entries = []
@@ -309,48 +366,51 @@
             entries.append(Entry(key, Stamp(self.promised, self._serial), value))
         return entries
 
-    def _write(
+    def _start_write(
         self, entries: Iterable[Entry], ticket: int, found: bool = False, confirms: bool = False
     ) -> list[Letter]:
         self._number += 1
         every = tuple(entries)
-        pieces = [every[at : at + PART] for at in range(0, len(every), PART)] or [()]
+        pieces = [every[at : at + PART_ENTRIES] for at in range(0, len(every), PART_ENTRIES)] or [()]
         writes = tuple(
             Write(self.promised, self._number, piece, found, n, len(pieces)) for n, piece in enumerate(pieces)
         )
         pending = self._pending[self._number] = Pending(writes, {self.me: set(range(len(writes)))}, ticket)
         if confirms and self._takeover:
             self._takeover.confirming = self._number
-        self._counted(self._number)
-        return [] if self.majority == 1 else self._to_missing(pending)
+        self._check_majority(self._number)
+        return [] if self.majority == 1 else self._missing_parts(pending)
 
-    def _to_missing(self, pending: Pending) -> list[Letter]:
+    def _missing_parts(self, pending: Pending) -> list[Letter]:
         return [(name, write) for name in self.members for write in pending.missing(name)[:WINDOW]]
 
     def put(self, values: Mapping[str, bytes], ticket: int) -> list[Letter]:
-        """Only while it leads. `done` tells the ticket once the values count, or that nobody knows."""
-        assert self.leads and ticket
+        """Writes values; `finished` gets the ticket once they are committed, or the leader is deposed.
+
+        Only for the leader.
+        """
+        assert self.is_leader and ticket
         entries = self._stamped(values)
-        self._take(entries)
-        return self._write(entries, ticket)
+        self._merge(entries)
+        return self._start_write(entries, ticket)
 
     def again(self) -> list[Letter]:
-        """Says what has no majority yet once more, and goes on recovering: links lose messages."""
-        oldest = list(self._pending.values())[:REMINDED]
-        letters = [letter for pending in oldest for letter in self._to_missing(pending)]
-        if not self.whole and not self._takeover:
+        """Sends uncommitted writes and recovery requests again, since links lose messages."""
+        oldest = list(self._pending.values())[:RESEND_LIMIT]
+        letters = [letter for pending in oldest for letter in self._missing_parts(pending)]
+        if not self.recovered and not self._takeover:
             letters += self._recover()
         return letters
 
-    def _counted(self, number: int) -> None:
+    def _check_majority(self, number: int) -> None:
         pending = self._pending[number]
         if sum(not pending.missing(name) for name in self.members) < self.majority:
             return
         del self._pending[number]
         if pending.ticket:
-            self.done.append((pending.ticket, True))
+            self.finished.append((pending.ticket, True))
         if self._takeover and self._takeover.confirming == number:
-            self._takeover, self.leads = None, True
+            self._takeover, self.is_leader = None, True
 
     # ---- recovery ----
 
@@ -358,182 +418,212 @@
         if self._recovering is None:
             self._nonce += 1
             self._recovering = Recovering(self._nonce)
-        r = self._recovering
-        if r.leader:
-            return self._fetches(r.answers[r.leader].promised, r.leader, r.wanted)
-        return [(None, Recover(r.nonce))]
-
-    def _recovered(self, sender: str, told: Recovery) -> list[Letter]:
-        r = self._recovering
-        if r is None or told.nonce != r.nonce or self.whole or r.leader:
+        recovery = self._recovering
+        if recovery.leader:
+            return self._fetch_letters(
+                recovery.answers[recovery.leader].promised, recovery.leader, recovery.missing_buckets
+            )
+        return [(None, Recover(recovery.nonce))]
+
+    def _handle_recovery(self, sender: str, response: Recovery) -> list[Letter]:
+        recovery = self._recovering
+        if recovery is None or response.nonce != recovery.nonce or self.recovered or recovery.leader:
             return []
-        if told.whole:
-            r.answers[sender] = told
-        if len(r.answers) < self.majority:
+        if response.whole:
+            recovery.answers[sender] = response
+        if len(recovery.answers) < self.majority:
             return []
-        highest = max(answer.promised for answer in r.answers.values())
-        leaders = [n for n, answer in r.answers.items() if answer.leads and answer.promised == highest]
+        highest = max(answer.promised for answer in recovery.answers.values())
+        leaders = [n for n, answer in recovery.answers.items() if answer.leads and answer.promised == highest]
         if not leaders or highest < self.promised:
-            r.answers.clear()  # asked again; meanwhile somebody may lead
+            recovery.answers.clear()  # requested again later: a member may lead by then
             return []
-        r.leader, self.promised = leaders[0], highest
-        r.wanted = self._differing(r.answers[r.leader].digests)
-        return self._caught_up() or self._fetches(highest, r.leader, r.wanted)
-
-    def _caught_up(self) -> list[Letter]:
-        r = self._recovering
-        if r and r.leader and not r.wanted:
-            # What the leader wrote since its answer it has sent here as well, or sends again: it needs an
-            # acknowledgement for it, and has none from here yet.
-            self.whole, self._recovering = True, None
+        recovery.leader, self.promised = leaders[0], highest
+        recovery.missing_buckets = self._differing_buckets(recovery.answers[recovery.leader].digests)
+        return self._finish_recovery() or self._fetch_letters(
+            highest, recovery.leader, recovery.missing_buckets
+        )
+
+    def _finish_recovery(self) -> list[Letter]:
+        recovery = self._recovering
+        if recovery and recovery.leader and not recovery.missing_buckets:
+            # Anything that the leader has written since its response it sends here as well, again and again
+            # until a majority has acknowledged it, and this member has not acknowledged any of it yet.
+            self.recovered, self._recovering = True, None
         return []
 
     # ---- messages ----
 
-    def heard(self, sender: str, message: Message) -> list[Letter]:
+    def receive(self, sender: str, message: Message) -> list[Letter]:
+        """Handles a message of another member; those of unknown senders are ignored."""
         if sender not in self.members or sender == self.me:
             return []
         match message:
             case Prepare(token):
                 if token < self.promised:
                     return [(sender, Refused(token, self.promised))]
-                self._promise(token)
-                return [(sender, Promise(token, self.whole, self.digests()))]
+                self._adopt_token(token)
+                return [(sender, Promise(token, self.recovered, self.digests()))]
             case Promise(token) if token == self.promised and self._takeover:
                 self._takeover.promises.setdefault(sender, message)
-                return self._read(token)
+                return self._read_majority(token)
             case Refused(token, promised):
-                if token == self.promised and (self.leads or self._takeover):
-                    self._stop()
+                if token == self.promised and (self.is_leader or self._takeover):
+                    self._step_down()
                     self.promised = max(self.promised, promised)
             case Fetch(token, bucket, have):
                 if token == self.promised and 0 <= bucket < self._buckets:
-                    entries, gone = self._kept.beyond(bucket, have)
-                    serial = self._serial if self.leads else 0
+                    entries, gone = self._registers.difference(bucket, have)
+                    serial = self._serial if self.is_leader else 0
                     return [(sender, Bucket(token, bucket, entries, gone, serial))]
             case Bucket():
-                return self._bucket(sender, message)
+                return self._handle_bucket(sender, message)
             case Write(token):
-                return self._written(sender, message)
+                return self._handle_write(sender, message)
             case Ack(token, number, part):
                 if token == self.promised and (pending := self._pending.get(number)):
                     pending.acks.setdefault(sender, set()).add(part)
-                    self._counted(number)
+                    self._check_majority(number)
                     return [(sender, write) for write in pending.missing(sender)[WINDOW - 1 : WINDOW]]
             case Recover(nonce):
-                digests = self.digests() if self.leads else ()
-                return [(sender, Recovery(nonce, self.whole, self.promised, self.leads, digests))]
+                digests = self.digests() if self.is_leader else ()
+                return [(sender, Recovery(nonce, self.recovered, self.promised, self.is_leader, digests))]
             case Recovery():
-                return self._recovered(sender, message)
+                return self._handle_recovery(sender, message)
             case Tally(token, digests):
-                if token == self.promised and sender == token.holder and self.whole:
-                    self._mirror = self._differing(digests)
-                    self.compared, self.behind = self.compared + 1, len(self._mirror)
-                    return self._fetches(token, sender, self._mirror)
+                if token == self.promised and sender == token.holder and self.recovered:
+                    self._buckets_to_copy = self._differing_buckets(digests)
+                    self.compare_count, self.behind_buckets = (
+                        self.compare_count + 1,
+                        len(self._buckets_to_copy),
+                    )
+                    return self._fetch_letters(token, sender, self._buckets_to_copy)
             case Drop(token, serial, keys):
                 if token == self.promised and sender == token.holder:
                     self._drop_older(keys, Stamp(token, serial))
         return []
 
-    def _promise(self, token: Token) -> None:
+    def _adopt_token(self, token: Token) -> None:
         if token != self.promised:
-            self._stop()
+            self._step_down()
             self.promised = token
-            self._mirror.clear()
-            if self._recovering:  # its leader leads no more
+            self._buckets_to_copy.clear()
+            if self._recovering:  # the leader that it copies from is deposed
                 self._recovering = None
 
     def compare(self) -> list[Letter]:
-        """Of the leader, now and then: the others find what they have missed."""
-        return [(None, Tally(self.promised, self.digests()))] if self.leads else []
+        """The leader's digests, by which the other members find what they have missed."""
+        return [(None, Tally(self.promised, self.digests()))] if self.is_leader else []
 
-    def _bucket(self, sender: str, told: Bucket) -> list[Letter]:
-        token, bucket = told.token, told.bucket
+    def _handle_bucket(self, sender: str, response: Bucket) -> list[Letter]:
+        token, bucket = response.token, response.bucket
         if token != self.promised:
             return []
-        r, take = self._recovering, self._takeover
-        if take and (sender, bucket) in take.wanted:
-            mine = {key for mark in told.gone if (key := self._kept.key(bucket, mark))}
-            take.changed |= mine | {entry.key for entry in told.entries}
-            self._take(told.entries)
-            take.wanted.discard((sender, bucket))
-            rest = self._next(token, sender, (n for name, n in take.wanted if name == sender))
-            return rest + self._confirm()
-        if r and r.leader == sender and bucket in r.wanted:
-            self._follow(told)
-            r.wanted.discard(bucket)
-            return self._caught_up() or self._next(token, sender, r.wanted)
-        if sender == token.holder and bucket in self._mirror:
-            self._follow(told)
-            self._mirror.discard(bucket)
-            return self._next(token, sender, self._mirror)
+        recovery, takeover = self._recovering, self._takeover
+        if takeover and (sender, bucket) in takeover.missing_buckets:
+            keys = {key for mark in response.gone if (key := self._registers.key_with_mark(bucket, mark))}
+            takeover.changed |= keys | {entry.key for entry in response.entries}
+            self._merge(response.entries)
+            takeover.missing_buckets.discard((sender, bucket))
+            rest = self._next_fetch(
+                token, sender, (n for name, n in takeover.missing_buckets if name == sender)
+            )
+            return rest + self._confirm_takeover()
+        if recovery and recovery.leader == sender and bucket in recovery.missing_buckets:
+            self._copy_from_leader(response)
+            recovery.missing_buckets.discard(bucket)
+            return self._finish_recovery() or self._next_fetch(token, sender, recovery.missing_buckets)
+        if sender == token.holder and bucket in self._buckets_to_copy:
+            self._copy_from_leader(response)
+            self._buckets_to_copy.discard(bucket)
+            return self._next_fetch(token, sender, self._buckets_to_copy)
         return []
 
-    def _follow(self, told: Bucket) -> None:
-        """As the leader has it: what it lacks was never acknowledged, or is no longer asked for."""
-        if told.serial:
-            keys = [key for mark in told.gone if (key := self._kept.key(told.bucket, mark))]
-            self._drop_older(keys, Stamp(told.token, told.serial))
-        self._take(told.entries)
+    def _copy_from_leader(self, response: Bucket) -> None:
+        """Makes a bucket equal to the leader's.
 
-    def _written(self, sender: str, write: Write) -> list[Letter]:
+        An entry that the leader does not have was never committed, or has been deleted.
+        """
+        if response.serial:
+            keys = [
+                key for mark in response.gone if (key := self._registers.key_with_mark(response.bucket, mark))
+            ]
+            self._drop_older(keys, Stamp(response.token, response.serial))
+        self._merge(response.entries)
+
+    def _handle_write(self, sender: str, write: Write) -> list[Letter]:
         if write.token < self.promised:
             return [(sender, Refused(write.token, self.promised))]
         if sender != write.token.holder:
             return []
-        self._promise(write.token)
-        self._take(write.entries)
+        self._adopt_token(write.token)
+        self._merge(write.entries)
         if write.found:
-            token, number, parts = self._parts
+            token, number, parts = self._founding_parts
             known = parts if (token, number) == (write.token, write.number) else frozenset()
-            self._parts = (write.token, write.number, known | {write.part})
-            if len(self._parts[2]) == write.parts:
-                self.whole, self._recovering = True, None
-        elif not self.whole:
-            return []  # it has forgotten what it acknowledged: nobody may count on it yet
+            self._founding_parts = (write.token, write.number, known | {write.part})
+            if len(self._founding_parts[2]) == write.parts:
+                self.recovered, self._recovering = True, None
+        elif not self.recovered:
+            return []  # not recovered: its acknowledgement must not count in a majority
         return [(sender, Ack(write.token, write.number, write.part))]
 
-    # ---- for whoever looks ----
+    # ---- inspection ----
 
     def pending(self) -> int:
+        """Number of writes that no majority has yet."""
         return len(self._pending)
 
     def copied(self) -> Group:
-        """For whoever explores what may come of it."""
+        """A deep copy, for the exploration of states."""
         other = copy.copy(self)
-        other._kept, other.done, other.differ = self._kept.copied(), list(self.done), list(self.differ)
-        other._mirror = set(self._mirror)
+        other._registers, other.finished, other.conflicts = (
+            self._registers.copied(),
+            list(self.finished),
+            list(self.conflicts),
+        )
+        other._buckets_to_copy = set(self._buckets_to_copy)
         other._pending = {
             n: replace(p, acks={name: set(parts) for name, parts in p.acks.items()})
             for n, p in self._pending.items()
         }
-        if take := self._takeover:
+        if takeover := self._takeover:
             other._takeover = replace(
-                take, promises=dict(take.promises), reading=set(take.reading), wanted=set(take.wanted),
-                changed=set(take.changed),
-            )  # fmt: skip
-        if r := self._recovering:
-            other._recovering = replace(r, answers=dict(r.answers), wanted=set(r.wanted))
+                takeover,
+                promises=dict(takeover.promises),
+                reading=set(takeover.reading),
+                missing_buckets=set(takeover.missing_buckets),
+                changed=set(takeover.changed),
+            )
+        if recovery := self._recovering:
+            other._recovering = replace(
+                recovery, answers=dict(recovery.answers), missing_buckets=set(recovery.missing_buckets)
+            )
         return other
 
     def frozen(self) -> tuple[object, ...]:
-        """All of its state, to be compared."""
-        take, r = self._takeover, self._recovering
+        """The complete state as a hashable value."""
+        takeover, recovery = self._takeover, self._recovering
         return (
-            tuple(sorted(self.entries.items())), self.promised, self.whole, self.leads,
+            tuple(sorted(self.entries.items())), self.promised, self.recovered, self.is_leader,
             self._serial, self._number,
             tuple(
                 (n, p.writes, tuple((name, tuple(parts)) for name, parts in sorted(p.acks.items())), p.ticket)
                 for n, p in sorted(self._pending.items())
             ),
-            tuple(sorted(self._mirror)), self._parts,
-            take and (
-                tuple(sorted((n, p.whole, p.digests) for n, p in take.promises.items())),
-                tuple(sorted(take.reading)), tuple(sorted(take.wanted)), tuple(sorted(take.changed)),
-                take.confirming,
-                take.founds is None,
+            tuple(sorted(self._buckets_to_copy)), self._founding_parts,
+            takeover and (
+                tuple(sorted((n, p.whole, p.digests) for n, p in takeover.promises.items())),
+                tuple(sorted(takeover.reading)),
+                tuple(sorted(takeover.missing_buckets)),
+                tuple(sorted(takeover.changed)),
+                takeover.confirming,
+                takeover.new_values is None,
+            ),
+            recovery and (
+                recovery.nonce, tuple(sorted(recovery.answers)), recovery.leader,
+                tuple(sorted(recovery.missing_buckets)),
             ),
-            r and (r.nonce, tuple(sorted(r.answers)), r.leader, tuple(sorted(r.wanted))),
         )  # fmt: skip
 
 
--- a/rookwood/replicas/registers.py
+++ b/rookwood/replicas/registers.py
@@ -1,8 +1,9 @@
-"""A member's registers, with a sum for each bucket of keys: what two copies differ in is found without a walk
-over either, and is shipped by itself.
+"""A member's registers, with a digest for each bucket of keys.
 
-A sum is that of the marks of a bucket's entries, and a mark a digest (BLAKE3, 64 bits) of the whole entry. A
-value holds a nonce that its writer draws, so whoever chooses keys does not choose marks.
+The digests show in which buckets two copies differ, without iterating over either, so only the difference has
+to be transferred. A bucket's digest is the sum of the marks of its entries; a mark is a hash (BLAKE3, 64
+bits) of the whole entry. A value contains a nonce drawn by its writer, so a client that chooses keys cannot
+choose marks.
 """
 
 from __future__ import annotations
@@ -14,19 +15,21 @@
 
 from rookwood.duties.lease import Token
 
-WIDTH = 8  # octets of a mark, and of a sum
-FULL = (1 << 8 * WIDTH) - 1
+MARK_BYTES = 8  # length of a mark and of a sum
+MARK_MASK = (1 << 8 * MARK_BYTES) - 1
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Stamp:
+    """Orders the values of a register: the leader's token, then the number of its write."""
+
     token: Token
     serial: int
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A register. `value` empty: it holds nothing any more."""
+    """A register and its value. An empty value: the register was cleared."""
 
     key: str
     stamp: Stamp
@@ -38,13 +41,16 @@
 
 
 def mark_of(entry: Entry) -> int:
+    """A hash of the entry. The length prefix keeps its header apart from the value."""
     t = entry.stamp.token
-    told = f"{entry.key} {t.term} {t.holder} {t.life} {entry.stamp.serial} ".encode()
-    whole = len(told).to_bytes(4, "big") + told + entry.value
-    return int.from_bytes(blake3(whole).digest(length=WIDTH))
+    header = f"{entry.key} {t.term} {t.holder} {t.life} {entry.stamp.serial} ".encode()
+    data = len(header).to_bytes(4, "big") + header + entry.value
+    return int.from_bytes(blake3(data).digest(length=MARK_BYTES))
 
 
 class Registers:
+    """The entries by key, with their marks and the sums by bucket."""
+
     def __init__(self, buckets: int) -> None:
         self.buckets = buckets
         self.entries: dict[str, Entry] = {}
@@ -63,25 +69,28 @@
         bucket, mark = bucket_of(entry.key, self.buckets), mark_of(entry)
         self.entries[entry.key], self._marks[entry.key] = entry, (bucket, mark)
         self._keys[bucket][mark] = entry.key
-        self._sums[bucket] = (self._sums[bucket] + mark) & FULL
+        self._sums[bucket] = (self._sums[bucket] + mark) & MARK_MASK
 
     def drop(self, key: str) -> None:
         if self.entries.pop(key, None):
             bucket, mark = self._marks.pop(key)
             self._keys[bucket].pop(mark, None)
-            self._sums[bucket] = (self._sums[bucket] - mark) & FULL
+            self._sums[bucket] = (self._sums[bucket] - mark) & MARK_MASK
 
     def digests(self) -> tuple[bytes, ...]:
-        return tuple(total.to_bytes(WIDTH, "big") for total in self._sums)
+        return tuple(total.to_bytes(MARK_BYTES, "big") for total in self._sums)
 
     def marks(self, bucket: int) -> tuple[int, ...]:
         return tuple(self._keys[bucket])
 
-    def key(self, bucket: int, mark: int) -> str | None:
+    def key_with_mark(self, bucket: int, mark: int) -> str | None:
         return self._keys[bucket].get(mark)
 
-    def beyond(self, bucket: int, have: Iterable[int]) -> tuple[tuple[Entry, ...], tuple[int, ...]]:
-        """What is here and not there, and the marks that are there and not here."""
+    def difference(self, bucket: int, have: Iterable[int]) -> tuple[tuple[Entry, ...], tuple[int, ...]]:
+        """Compares a bucket with a copy whose marks are `have`.
+
+        Returns the entries missing in that copy, and its marks that are missing here.
+        """
         there, keys = set(have), self._keys[bucket]
         entries = tuple(self.entries[key] for mark, key in keys.items() if mark not in there)
         return entries, tuple(mark for mark in there if mark not in keys)
--- a/rookwood/replicas/wire.py
+++ b/rookwood/replicas/wire.py
@@ -1,4 +1,4 @@
-"""Messages of a group, and steps of a store, as bytes of the links' frames, and back."""
+"""Encodes and decodes the messages of a group and the steps of a store, for the frames of the links."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import msgspec
 
 from rookwood.gateway.frames import FrameError
-from rookwood.ledger.life import Ask, Phase, Record
+from rookwood.ledger.life import ClaimRequest, Phase, Record
 from rookwood.ledger.store import Reply
-from rookwood.ledger.watch import Mark, Member, Watch
+from rookwood.ledger.watch import KnownHistory, Mark, Member
 from rookwood.replicas.group import (
     Ack,
     Bucket,
@@ -26,25 +26,26 @@
     Write,
 )
 
+# The kind of a message on the wire is its index here, so the order is fixed.
 KINDS: tuple[type[Any], ...] = (
     *(Prepare, Promise, Refused, Fetch, Bucket, Write, Ack, Recover, Recovery, Tally, Drop),
 )
 
 
 class Call(msgspec.Struct, frozen=True, array_like=True):
-    """One step of a store; of the arguments those that it takes."""
+    """A step of a store with its arguments. Encoded as an array, so the order of the fields is fixed."""
 
     step: str
-    seen: Watch | None = None
+    history: KnownHistory | None = None
     key: str = ""
     token: int = 0
-    ask: Ask | None = None
+    claim_request: ClaimRequest | None = None
     lease: float = 0.0  # seconds
     phase: Phase | None = None
     result: bytes = b""
     generation: str = ""
-    known: int = 0
-    was: str = ""
+    highest_token: int = 0
+    expected_generation: str = ""
     trusted: bool = False
     member: Member | None = None
     records: dict[str, Record] = {}  # noqa: RUF012 - msgspec copies it
@@ -57,7 +58,7 @@
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise FrameError(f"not what it should be: {error}") from None
+        raise FrameError(f"malformed message: {error}") from None
 
 
 def message_of(message: Message) -> bytes:
@@ -65,10 +66,10 @@
 
 
 def message_from(data: bytes) -> Message:
-    """Raises `FrameError`."""
+    """Decodes a group message. Raises `FrameError`, as the other decoders do."""
     number, rest = _decoded(data, tuple[int, msgspec.Raw])
     if not 0 <= number < len(KINDS):
-        raise FrameError(f"no message of kind {number}")
+        raise FrameError(f"unknown message kind {number}")
     found: Message = _decoded(rest, KINDS[number])
     return found
 
@@ -92,7 +93,7 @@
 
 
 def record_of(record: Record | None) -> bytes:
-    """Empty: there is none any more."""
+    """The value of a record's register; empty for a deleted record."""
     return _encode(record) if record else b""
 
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -15,12 +15,12 @@
 from rookwood.conf import load
 from rookwood.interface import DeduplicationScope, JobClass, RetrySafety
 from rookwood.lab.redis import StandIn
-from rookwood.ledger.front import LedgerFront, claimed, front_of
+from rookwood.ledger.front import LedgerExtension, claimed_classes, ledger_extension
 from rookwood.ledger.guard import Ledger, Terms
-from rookwood.ledger.health import FAILURES, LONGEST_PAUSE, Breaker, Circuit
+from rookwood.ledger.health import FAILURE_THRESHOLD, LONGEST_PAUSE, Breaker, Circuit
 from rookwood.ledger.life import Phase
 from rookwood.ledger.memory import MemoryStore
-from rookwood.ledger.store import Reply, StoreError, Tier
+from rookwood.ledger.store import Reply, StoreError, TrustPolicy
 from rookwood.ledger.watch import Mark
 from rookwood.net.clock import Clock
 from rookwood.net.endpoints import WorkerRequest
@@ -52,7 +52,7 @@
         self,
         stand_in: StandIn,
         stages: list[DispatcherFixture],
-        fronts: list[LedgerFront],
+        fronts: list[LedgerExtension],
         clock: list[float],
     ) -> None:
         self.redis, self.stages, self.fronts, self._clock = stand_in, stages, fronts, clock
@@ -62,7 +62,7 @@
         self._clock[0] += seconds
 
     def figure(self, n: int, name: str) -> float:
-        lines = (line.partition(":") for line in self.fronts[n].ledger.figures())
+        lines = (line.partition(":") for line in self.fronts[n].ledger.stats_lines())
         return next(float(v.partition("|")[0]) for k, _, v in lines if k == f"ledger.{name}")
 
 
@@ -84,7 +84,7 @@
     await stand_in.server.start()
     async with contextlib.AsyncExitStack() as stack:
         stack.callback(stand_in.server.close)
-        stages, fronts = list[DispatcherFixture](), list[LedgerFront]()
+        stages, fronts = list[DispatcherFixture](), list[LedgerExtension]()
         for n in range(size):
             place = folder / f"rookwood{n}.conf"
             where = f"redis {stand_in.server.address}\nprefix p\ntier {size}"
@@ -92,8 +92,8 @@
             place.write_text(f"store {{\n{where}\n}}\n")
             operator = load(place).operator
 
-            def front(core: Any, operator: Any = operator) -> LedgerFront:
-                fronts.append(front_of(operator)(core))
+            def front(core: Any, operator: Any = operator) -> LedgerExtension:
+                fronts.append(ledger_extension(operator)(core))
                 return fronts[-1]
 
             own = folder / f"n{n}"
@@ -102,7 +102,7 @@
                 await stack.enter_async_context(start_dispatcher(own, box, name=f"n{n}", extensions=(front,)))
             )
         t = Site(stand_in, stages, fronts, clock)
-        await wait_until(lambda: all(f.ledger._watch.generation for f in fronts))
+        await wait_until(lambda: all(f.ledger._known_history.generation for f in fronts))
         if sure:
             t.later(3600)
         yield t
@@ -123,7 +123,7 @@
     repeat: RetrySafety, group: DeduplicationScope, window: int, claims: bool
 ) -> None:
     job_class = JobClass("a", 1, 1, 1.0, repeat, group, window * 1_000_000)
-    assert claimed([job_class], timedelta(seconds=30)) == ({"a"} if claims else set())
+    assert claimed_classes([job_class], timedelta(seconds=30)) == ({"a"} if claims else set())
 
 
 def test_retry_at_another_dispatcher_gets_the_first_answer(tmp_path: Path) -> None:
@@ -183,7 +183,7 @@
             t.stages[0].discovery.send_update(2, target_entry("s-0", box.address, "removed"))
             await wait_until(lambda: t.stages[0].dispatcher._decisions.cluster_health().listed == 0)
             assert (await ask(t.stages[0], timeout=0.5))[0] == 503
-            await wait_until(lambda: not t.fronts[0].ledger._held)
+            await wait_until(lambda: not t.fronts[0].ledger._claims)
             assert (await ask(t.stages[1]))[0] == 200 and len(box.paths) == 1
 
     play(story())
@@ -199,7 +199,7 @@
             streams[1].write(keyed())
             await wait_until(lambda: t.figure(0, "open") == 1)
             streams[1].close()
-            await wait_until(lambda: not t.fronts[0].ledger._held)
+            await wait_until(lambda: not t.fronts[0].ledger._claims)
             assert (await ask(t.stages[1]))[0] == 200 and len(box.paths) == 1
 
     play(story())
@@ -220,7 +220,7 @@
                 t.redis.drop()
             else:
                 t.redis.faults.error = trouble
-            for _ in range(FAILURES + 1):
+            for _ in range(FAILURE_THRESHOLD + 1):
                 began = loop.time()
                 status, headers, _ = await ask(t.stages[0])
                 assert status == 503 and float(headers["retry-after"]) > 0 and loop.time() - began < 1.5
@@ -269,14 +269,14 @@
     class Racing(MemoryStore):
         async def settle(self, *words: Any) -> Reply:
             reply = await super().settle(*words)
-            await wait_until(lambda: ledgers[0]._watch.generation == "another")
+            await wait_until(lambda: ledgers[0]._known_history.generation == "another")
             return reply
 
     async def story() -> None:
         clock = Clock()
-        tier = Tier(1, timedelta(seconds=9))
+        tier = TrustPolicy(1, timedelta(seconds=9))
         store = Racing(tier, clock.now)
-        await store.begin("first", 0, "", True)
+        await store.begin_history("first", 0, "", True)
         ledger = Ledger("n0", store, tier, Terms(), clock, frozenset({"unlock"}))
         ledgers.append(ledger)
         await ledger.start()
@@ -285,11 +285,11 @@
         request = InboundRequest("unlock", ends, 1.0, None, "7", False, outgoing, '"k1"')
 
         async def run(course: RequestProgress) -> Response:
-            await store.begin("another", 9, ledger._watch.generation, False)
+            await store.begin_history("another", 9, ledger._known_history.generation, False)
             return Response(200, b"page")
 
         assert not (await ledger.serve_once(request, run)).replayed
-        await wait_until(lambda: store.book.records["k1"].phase is Phase.SERVED)
+        await wait_until(lambda: store.storage.records["k1"].phase is Phase.SERVED)
         again = await ledger.serve_once(request, run)
         assert (again.status, again.body, again.replayed) == (200, b"page", True)
         await ledger.close()
@@ -302,18 +302,18 @@
     """What a look found comes after the reply to a later claim, which tells of a higher count."""
 
     class Overtaken(MemoryStore):
-        async def look(self) -> Reply:
-            reply, before = await super().look(), len(served)
+        async def read_history(self) -> Reply:
+            reply, before = await super().read_history(), len(served)
             looks.append(reply)
             await wait_until(lambda: len(served) > before or bool(done))
             return reply
 
     async def story() -> None:
-        clock, tier = Clock(), Tier(1, timedelta(seconds=9))
+        clock, tier = Clock(), TrustPolicy(1, timedelta(seconds=9))
         store = Overtaken(tier, clock.now)
-        await store.begin("first", 0, "", True)
+        await store.begin_history("first", 0, "", True)
         ledger = Ledger("n0", store, tier, Terms(), clock, frozenset({"unlock"}))
-        ledger._watch.saw(looked(store))
+        ledger._known_history.update(looked(store))
         await ledger.start()
         ends = clock.now() + timedelta(seconds=9)
 
@@ -336,7 +336,7 @@
 
 
 def looked(store: MemoryStore) -> Mark:
-    mark = store.book.mark()
+    mark = store.storage.mark()
     assert mark
     return mark
 
@@ -353,12 +353,12 @@
             return reply
 
     async def story() -> None:
-        clock, tier = Clock(), Tier(1, timedelta(seconds=9))
+        clock, tier = Clock(), TrustPolicy(1, timedelta(seconds=9))
         store = Losing(tier, clock.now)
-        await store.begin("first", 0, "", True)
+        await store.begin_history("first", 0, "", True)
         ledger = Ledger("n0", store, tier, Terms(), clock, frozenset({"unlock"}))
         await ledger.start()
-        await wait_until(lambda: ledger._watch.generation == "first")
+        await wait_until(lambda: ledger._known_history.generation == "first")
         ends = clock.now() + timedelta(seconds=9)
         outgoing = WorkerRequest("r1", b"/unlock?k=7", "api", None, b"hello")
         request = InboundRequest("unlock", ends, 1.0, None, "7", False, outgoing, '"k1"')
@@ -367,8 +367,8 @@
             return Response(200, b"page")
 
         refused = await ledger.serve_once(request, run)
-        assert refused.status == 503 and store.book.records["k1"].phase is Phase.CLAIMED
-        await wait_until(lambda: "k1" not in store.book.records)
+        assert refused.status == 503 and store.storage.records["k1"].phase is Phase.CLAIMED
+        await wait_until(lambda: "k1" not in store.storage.records)
         assert (await ledger.serve_once(request, run)).status == 200
         await ledger.close()
 
@@ -387,18 +387,20 @@
 
 def test_breaker_opens_lets_one_look_and_waits_longer_each_time() -> None:
     now, breaker = datetime(2026, 1, 1, tzinfo=UTC), Breaker()
-    for _ in range(FAILURES):
-        assert breaker.lets(now)
-        breaker.failed(now)
+    for _ in range(FAILURE_THRESHOLD):
+        assert breaker.allows_call(now)
+        breaker.record_failure(now)
     waits = []
     for _ in range(6):
-        assert not breaker.lets(now) and breaker.circuit is Circuit.OPEN
-        waits.append(breaker.wait(now))
+        assert not breaker.allows_call(now) and breaker.circuit is Circuit.OPEN
+        waits.append(breaker.retry_after(now))
         now += waits[-1]
-        assert breaker.lets(now) and not breaker.lets(now)  # one, and the others wait for its word
-        breaker.failed(now)
+        assert breaker.allows_call(now) and not breaker.allows_call(
+            now
+        )  # one, and the others wait for its word
+        breaker.record_failure(now)
     assert waits == sorted(waits) and waits[0] == timedelta(milliseconds=200) and waits[-1] == LONGEST_PAUSE
     now += LONGEST_PAUSE
-    assert breaker.lets(now)
-    breaker.answered()
-    assert breaker.lets(now) and breaker.lets(now)
+    assert breaker.allows_call(now)
+    breaker.record_success()
+    assert breaker.allows_call(now) and breaker.allows_call(now)
