--- a/rookwood/ledger/explore.py
+++ b/rookwood/ledger/explore.py
@@ -108,12 +108,12 @@
             )
 
     def _replace_node(
-        self, state: State, n: int, node: Node, store: Store | None = None, spends: int = 0
+        self, state: State, n: int, node: Node, store: Store | None = None, new_runs: int = 0
     ) -> State:
         nodes = (node, state.nodes[1]) if n == 0 else (state.nodes[0], node)
         store = store or state.store
         before = state.before if store == state.store else state.store
-        return replace(state, nodes=nodes, store=store, before=before, runs=state.runs + spends)
+        return replace(state, nodes=nodes, store=store, before=before, runs=state.runs + new_runs)
 
     def _node_steps(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
         if node.restarts < self._deaths:
@@ -126,7 +126,7 @@
         if node.stage == "idle" and node.claim_attempts < 1 and state.now < LAST_TICK:
             yield from self._claim_steps(state, n, node)
         if node.stage == "held" and node.claim and at(state.now) < node.claim.lease_until:
-            yield "sends", self._replace_node(state, n, replace(node, stage="running"), spends=1)
+            yield "sends", self._replace_node(state, n, replace(node, stage="running"), new_runs=1)
             yield from self._release_steps(state, n, node)
         if node.stage == "running":
             yield from self._settle_steps(state, n, node)
@@ -169,7 +169,7 @@
     def _claim_steps(self, state: State, n: int, node: Node) -> Iterator[tuple[str, State]]:
         node = replace(node, claim_attempts=node.claim_attempts + 1)
         if not self._rules.claims_first:
-            yield "sends unclaimed", self._replace_node(state, n, replace(node, stage="running"), spends=1)
+            yield "sends unclaimed", self._replace_node(state, n, replace(node, stage="running"), new_runs=1)
             return
         if self._compare_history(state, node) is not History.SAME:
             return  # the dispatcher joins the history first and then requests the claim again
@@ -185,8 +185,8 @@
             return
         token = store.mark.count + 1
         record, result = self._rules.claim(store.record, claim_request, token, now)
-        fresh = record is not None and record.nonce == claim_request.nonce
-        mark = replace(store.mark, count=token) if fresh else store.mark
+        is_new = record is not None and record.nonce == claim_request.nonce
+        mark = replace(store.mark, count=token) if is_new else store.mark
         after = Store(record, mark, store.members)
         if result.verdict is not Verdict.GRANTED:
             yield (
--- a/rookwood/ledger/guard.py
+++ b/rookwood/ledger/guard.py
@@ -77,6 +77,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
+        """Starts the background task that watches the store and renews claims."""
         self._spawn(self._tick_forever())
 
     async def close(self) -> None:
@@ -93,6 +94,7 @@
     # ---- a request ----
 
     def applies_to(self, request: InboundRequest) -> bool:
+        """Whether the request has a key and its class needs a claim."""
         return request.idempotency_key is not None and request.job_class in self._claimed_classes
 
     async def serve_once(self, request: InboundRequest, run: Run) -> Response:
@@ -274,8 +276,8 @@
         `known_count` is the claim count at that time. Replies may overtake one another, and a reply that was
         overtaken has a lower count without belonging to an older history.
         """
-        watch = KnownHistory(self._known_history.generation, known_count)
-        return History.BROKEN if reply.mark is None else watch.compare(reply.run_id, reply.mark)
+        known = KnownHistory(self._known_history.generation, known_count)
+        return History.BROKEN if reply.mark is None else known.compare(reply.run_id, reply.mark)
 
     async def _confirm_history(self, reply: Reply, history: KnownHistory, known_count: int) -> bool:
         """Whether the reply belongs to the known history, and that is still the one of the step (`history`).
@@ -298,7 +300,7 @@
             if reply.mark and self._compare_history(reply, known_count) is History.SAME:
                 return False  # another task has joined the history meanwhile
             if self._compare_history(reply, known_count) is History.BROKEN:
-                before = reply.mark.generation if reply.mark else ""
+                old_generation = reply.mark.generation if reply.mark else ""
                 log.warning(
                     "store went back in time",
                     was=self._known_history.generation,
@@ -310,20 +312,20 @@
                     max(self._highest_token, self._known_history.count),
                 )
                 reply = await self._call(
-                    lambda: self._store.begin_history(generation, highest, before, False)
+                    lambda: self._store.begin_history(generation, highest, old_generation, False)
                 )
             if reply.mark is None or reply.mark.run_id != reply.run_id:
                 return False
-            fresh = KnownHistory()
-            fresh.update(reply.mark)
+            new_history = KnownHistory()
+            new_history.update(reply.mark)
             assert self._alive_since
             records = {claim.key: self._current_record(claim) for claim in self._claims.values()}
             member = Member(self._name, self._alive_since)
-            joined = await self._call(lambda: self._store.join_history(fresh, member, records))
+            joined = await self._call(lambda: self._store.join_history(new_history, member, records))
             if joined.done and joined.mark:
-                self._known_history = fresh
+                self._known_history = new_history
                 self._known_history.update(joined.mark)
-                log.info("joined the store's history", generation=fresh.generation, claims=len(records))
+                log.info("joined the store's history", generation=new_history.generation, claims=len(records))
         return False
 
     @staticmethod
@@ -350,7 +352,7 @@
                     if reply.now > claim.record.last_end + self._trust.window:
                         self._claims.pop(claim.key, None)
             except StoreError as error:
-                log.debug("store does not answer", why=str(error))
+                log.debug("store does not respond", why=str(error))
             except Exception:
                 log.exception("ledger tick failed")
 
@@ -362,6 +364,7 @@
             claim.record = replace(claim.record, lease_until=until)
 
     def stats_lines(self) -> Iterator[str]:
+        """The ledger's lines of /ops/stats."""
         for verdict in Verdict:
             yield f"ledger.{verdict.value}:{self.counts[verdict.value]}|c"
         yield f"ledger.unreachable:{self.counts['unreachable']}|c"
--- a/rookwood/ledger/health.py
+++ b/rookwood/ledger/health.py
@@ -42,9 +42,11 @@
         return False
 
     def record_success(self) -> None:
+        """Closes the breaker after a reply."""
         self.circuit, self._failures, self._pause, self._until = Circuit.CLOSED, 0, FIRST_PAUSE, None
 
     def record_failure(self, now: datetime) -> None:
+        """Counts a failed call; opens the breaker at the threshold, or at once after a failed probe."""
         self._failures += 1
         if self.circuit is Circuit.HALF_OPEN or self._failures >= FAILURE_THRESHOLD:
             if self.circuit is Circuit.HALF_OPEN:
--- a/rookwood/members/swim.py
+++ b/rookwood/members/swim.py
@@ -234,7 +234,7 @@
         for state in self._states.values():
             if state.suspected_until and now >= state.suspected_until:
                 found = replace(state.news, standing=Standing.DEAD, by=self.me.name)
-                self._apply(state, found, now, f"no acknowledgement, suspected by {len(state.suspects)}")
+                self._apply(state, found, now, f"suspicion not refuted, suspected by {len(state.suspects)}")
         for number in [n for n, relayed in self._relayed.items() if now >= relayed.expires_at]:
             del self._relayed[number]
         if now >= self._next_probe:
@@ -363,7 +363,7 @@
             fresh = (news.by or sender) not in state.suspects
             if news.revision > state.news.revision or state.news.standing < Standing.SUSPECTED:
                 state.suspects = {news.by or sender}
-                self._apply(state, news, now, f"no acknowledgement, says {news.by or sender}")
+                self._apply(state, news, now, f"suspected by {news.by or sender}")
                 state.suspected_until = now + self._suspicion_time(1)
             elif fresh and state.suspected_until:  # an independent suspicion shortens the wait
                 state.suspects.add(news.by or sender)
--- a/rookwood/replicas/group.py
+++ b/rookwood/replicas/group.py
@@ -177,7 +177,7 @@
     """The state of a member that has not recovered yet."""
 
     nonce: int
-    answers: dict[str, Recovery] = field(default_factory=dict)
+    responses: dict[str, Recovery] = field(default_factory=dict)
     leader: str = ""
     missing_buckets: set[int] = field(default_factory=set)
 
@@ -205,7 +205,7 @@
         self._takeover: Takeover | None = None
         self._recovering: Recovering | None = None
         self._buckets_to_copy: set[int] = set()  # buckets that differ from the leader's, still to be received
-        self._founding_parts: tuple[Token, int, frozenset[int]] = (
+        self._reinitialization_parts: tuple[Token, int, frozenset[int]] = (
             NO_TOKEN,
             0,
             frozenset(),
@@ -370,8 +370,10 @@
         self, entries: Iterable[Entry], ticket: int, found: bool = False, confirms: bool = False
     ) -> list[Letter]:
         self._number += 1
-        every = tuple(entries)
-        pieces = [every[at : at + PART_ENTRIES] for at in range(0, len(every), PART_ENTRIES)] or [()]
+        all_entries = tuple(entries)
+        pieces = [all_entries[at : at + PART_ENTRIES] for at in range(0, len(all_entries), PART_ENTRIES)] or [
+            ()
+        ]
         writes = tuple(
             Write(self.promised, self._number, piece, found, n, len(pieces)) for n, piece in enumerate(pieces)
         )
@@ -421,7 +423,7 @@
         recovery = self._recovering
         if recovery.leader:
             return self._fetch_letters(
-                recovery.answers[recovery.leader].promised, recovery.leader, recovery.missing_buckets
+                recovery.responses[recovery.leader].promised, recovery.leader, recovery.missing_buckets
             )
         return [(None, Recover(recovery.nonce))]
 
@@ -430,16 +432,16 @@
         if recovery is None or response.nonce != recovery.nonce or self.recovered or recovery.leader:
             return []
         if response.whole:
-            recovery.answers[sender] = response
-        if len(recovery.answers) < self.majority:
+            recovery.responses[sender] = response
+        if len(recovery.responses) < self.majority:
             return []
-        highest = max(answer.promised for answer in recovery.answers.values())
-        leaders = [n for n, answer in recovery.answers.items() if answer.leads and answer.promised == highest]
+        highest = max(r.promised for r in recovery.responses.values())
+        leaders = [n for n, r in recovery.responses.items() if r.leads and r.promised == highest]
         if not leaders or highest < self.promised:
-            recovery.answers.clear()  # requested again later: a member may lead by then
+            recovery.responses.clear()  # requested again later: a member may lead by then
             return []
         recovery.leader, self.promised = leaders[0], highest
-        recovery.missing_buckets = self._differing_buckets(recovery.answers[recovery.leader].digests)
+        recovery.missing_buckets = self._differing_buckets(recovery.responses[recovery.leader].digests)
         return self._finish_recovery() or self._fetch_letters(
             highest, recovery.leader, recovery.missing_buckets
         )
@@ -559,10 +561,10 @@
         self._adopt_token(write.token)
         self._merge(write.entries)
         if write.found:
-            token, number, parts = self._founding_parts
+            token, number, parts = self._reinitialization_parts
             known = parts if (token, number) == (write.token, write.number) else frozenset()
-            self._founding_parts = (write.token, write.number, known | {write.part})
-            if len(self._founding_parts[2]) == write.parts:
+            self._reinitialization_parts = (write.token, write.number, known | {write.part})
+            if len(self._reinitialization_parts[2]) == write.parts:
                 self.recovered, self._recovering = True, None
         elif not self.recovered:
             return []  # not recovered: its acknowledgement must not count in a majority
@@ -597,7 +599,7 @@
             )
         if recovery := self._recovering:
             other._recovering = replace(
-                recovery, answers=dict(recovery.answers), missing_buckets=set(recovery.missing_buckets)
+                recovery, responses=dict(recovery.responses), missing_buckets=set(recovery.missing_buckets)
             )
         return other
 
@@ -611,7 +613,7 @@
                 (n, p.writes, tuple((name, tuple(parts)) for name, parts in sorted(p.acks.items())), p.ticket)
                 for n, p in sorted(self._pending.items())
             ),
-            tuple(sorted(self._buckets_to_copy)), self._founding_parts,
+            tuple(sorted(self._buckets_to_copy)), self._reinitialization_parts,
             takeover and (
                 tuple(sorted((n, p.whole, p.digests) for n, p in takeover.promises.items())),
                 tuple(sorted(takeover.reading)),
@@ -621,7 +623,7 @@
                 takeover.new_values is None,
             ),
             recovery and (
-                recovery.nonce, tuple(sorted(recovery.answers)), recovery.leader,
+                recovery.nonce, tuple(sorted(recovery.responses)), recovery.leader,
                 tuple(sorted(recovery.missing_buckets)),
             ),
         )  # fmt: skip
--- a/rookwood/replicas/peers.py
+++ b/rookwood/replicas/peers.py
@@ -41,7 +41,7 @@
 STEP_TIMEOUT = timedelta(milliseconds=400)  # for a step, with the way to the leader and back
 RETRY_INTERVAL = timedelta(milliseconds=15)  # until a step is tried again that found no leader
 NOT_TAKEN = b"not taken"  # body of an error reply to a step that was certainly not applied
-REINITIALIZE_AFTER = timedelta(seconds=1)  # without becoming the leader for so long, the holder reinitializes
+REINITIALIZE_AFTER = timedelta(seconds=1)  # a holder that cannot lead for this long reinitializes
 COMPARE_INTERVAL = timedelta(seconds=1)  # between two messages with the leader's digests
 SWEEP_INTERVAL = timedelta(seconds=10)  # between two searches for expired records
 SWEEP_BATCH = 200  # records checked in one tick
@@ -122,6 +122,7 @@
         self.reinitializations = 0  # reinitializations by this member
 
     def bind(self, host: Host, members: tuple[str, ...]) -> None:
+        """Attaches the store to its dispatcher; until then every step is rejected."""
         self._host, self.group = host, Group(host.me, members, secrets.randbits(60), BUCKETS)
 
     def is_recovered(self) -> bool:
@@ -297,6 +298,7 @@
         }
 
     def stats_lines(self) -> Iterator[str]:
+        """The lines of /ops/stats for this member's copy."""
         if self.group:
             yield f"replicas.whole:{int(self.group.recovered)}|g"
             yield f"replicas.leads:{int(self.group.is_leader)}|g"
--- a/rookwood/replicas/registers.py
+++ b/rookwood/replicas/registers.py
@@ -37,6 +37,7 @@
 
 
 def bucket_of(key: str, buckets: int) -> int:
+    """The bucket of a key, among at most 256 buckets."""
     return int(blake3(key.encode()).digest(length=1)[0]) % buckets
 
 
@@ -65,6 +66,7 @@
         return other
 
     def put(self, entry: Entry) -> None:
+        """Stores an entry, whatever the stamp of the one that it replaces."""
         self.drop(entry.key)
         bucket, mark = bucket_of(entry.key, self.buckets), mark_of(entry)
         self.entries[entry.key], self._marks[entry.key] = entry, (bucket, mark)
@@ -78,9 +80,11 @@
             self._sums[bucket] = (self._sums[bucket] - mark) & MARK_MASK
 
     def digests(self) -> tuple[bytes, ...]:
+        """The digest of each bucket."""
         return tuple(total.to_bytes(MARK_BYTES, "big") for total in self._sums)
 
     def marks(self, bucket: int) -> tuple[int, ...]:
+        """The marks of the entries in a bucket."""
         return tuple(self._keys[bucket])
 
     def key_with_mark(self, bucket: int, mark: int) -> str | None:
