--- a/rookwood/ledger/store.py
+++ b/rookwood/ledger/store.py
@@ -102,8 +102,8 @@
     def __init__(self, storage: Storage, trust: TrustPolicy, now: datetime) -> None:
         self._storage, self._trust, self._now = storage, trust, now
 
-    def _reply(self, said: ClaimResult | None = None, done: bool = False) -> Reply:
-        return Reply(self._storage.run_id, self._storage.mark(), self._now, said, done)
+    def _reply(self, result: ClaimResult | None = None, done: bool = False) -> Reply:
+        return Reply(self._storage.run_id, self._storage.mark(), self._now, result, done)
 
     def _is_known_history(self, history: KnownHistory) -> bool:
         mark = self._storage.mark()
@@ -142,12 +142,12 @@
             mark, self._storage.members(), self._trust.size, window, self._now
         ):
             return self._reply(ClaimResult(Verdict.UNSURE, wait=mark.began + window - self._now))
-        after, said = life.claim(record, claim_request, mark.count + 1, self._now)
+        after, result = life.claim(record, claim_request, mark.count + 1, self._now)
         if after is not None and after != record:
             if record is None:
                 self._storage.set_mark(mark.with_count(after.token))
             self._storage.put(claim_request.key, after)
-        return self._reply(said, said.verdict is Verdict.GRANTED)
+        return self._reply(result, result.verdict is Verdict.GRANTED)
 
     def renew(self, history: KnownHistory, key: str, token: int, lease: timedelta) -> Reply:
         after, done = life.renew(self._storage.get(key), token, lease, self._now)
--- a/rookwood/members/swim.py
+++ b/rookwood/members/swim.py
@@ -233,8 +233,8 @@
                 letters += self._ask_helpers(probe)
         for state in self._states.values():
             if state.suspected_until and now >= state.suspected_until:
-                found = replace(state.news, standing=Standing.DEAD, by=self.me.name)
-                self._apply(state, found, now, f"suspicion not refuted, suspected by {len(state.suspects)}")
+                news = replace(state.news, standing=Standing.DEAD, by=self.me.name)
+                self._apply(state, news, now, f"suspicion not refuted, suspected by {len(state.suspects)}")
         for number in [n for n, relayed in self._relayed.items() if now >= relayed.expires_at]:
             del self._relayed[number]
         if now >= self._next_probe:
@@ -292,20 +292,22 @@
         First the news of this member; then the receiver's, if it is not known as alive, so that it can refute
         it; then the news passed on least often.
         """
-        found = [self.me]
+        selected = [self.me]
         other = self._states.get(receiver)
         if other and (other.has_other_incarnation or other.news.standing is not Standing.ALIVE):
-            found.append(other.news)
-        most = 3 * math.ceil(math.log2(len(self._states) + 2))
-        fresh = [
-            s for s in self._states.values() if s.times_sent < most and s.news.revision + s.news.standing > 0
+            selected.append(other.news)
+        max_times = 3 * math.ceil(math.log2(len(self._states) + 2))
+        recent = [
+            s
+            for s in self._states.values()
+            if s.times_sent < max_times and s.news.revision + s.news.standing > 0
         ]
-        fresh.sort(key=lambda state: (state.times_sent, state.news.name))
-        for state in fresh[: self.pace.max_news - len(found)]:
+        recent.sort(key=lambda state: (state.times_sent, state.news.name))
+        for state in recent[: self.pace.max_news - len(selected)]:
             if state is not other:
                 state.times_sent += 1
-                found.append(state.news)
-        return tuple(found)
+                selected.append(state.news)
+        return tuple(selected)
 
     def receive(self, sender: str, message: Probe | Ack, now: datetime) -> list[Letter]:
         """Handles a message. Messages of unknown senders are ignored."""
@@ -335,7 +337,7 @@
         state = self._states[about]
         if state.is_direct != (sender == about):
             state.is_direct = sender == about
-            reason = "reachable from here again" if state.is_direct else f"acknowledged through {sender} only"
+            reason = "reachable from here again" if state.is_direct else f"reachable only through {sender}"
             self.changes.append(Change(about, state.news.standing, reason))
 
     def connection_refused(self, name: str, now: datetime) -> None:
@@ -350,8 +352,8 @@
     def _suspect(self, name: str, now: datetime) -> None:
         state = self._states.get(name)
         if state and state.news.standing <= Standing.SUSPECTED:
-            found = replace(state.news, standing=Standing.SUSPECTED, by=self.me.name)
-            self._learn(found, now, self.me.name)
+            news = replace(state.news, standing=Standing.SUSPECTED, by=self.me.name)
+            self._learn(news, now, self.me.name)
 
     def _learn(self, news: News, now: datetime, sender: str) -> None:
         if news.name == self.me.name:
@@ -360,12 +362,12 @@
         if state is None:
             return None
         if news.standing is Standing.SUSPECTED and news.revision >= state.news.revision:
-            fresh = (news.by or sender) not in state.suspects
+            is_new_suspicion = (news.by or sender) not in state.suspects
             if news.revision > state.news.revision or state.news.standing < Standing.SUSPECTED:
                 state.suspects = {news.by or sender}
                 self._apply(state, news, now, f"suspected by {news.by or sender}")
                 state.suspected_until = now + self._suspicion_time(1)
-            elif fresh and state.suspected_until:  # an independent suspicion shortens the wait
+            elif is_new_suspicion and state.suspected_until:  # an independent suspicion shortens the wait
                 state.suspects.add(news.by or sender)
                 state.suspected_until = min(
                     state.suspected_until, state.since + self._suspicion_time(len(state.suspects))
--- a/rookwood/replicas/explore.py
+++ b/rookwood/replicas/explore.py
@@ -23,7 +23,7 @@
 
 MEMBERS = ("a", "b", "c")
 KEY, NEW, CLAIM, SERVED = "k", "new", b"claim", b"served"
-CLAIMS, SETTLES = 1, 2  # tickets
+CLAIMS, SETTLES = 1, 2  # tickets of the two kinds of writes
 
 
 def _new() -> dict[str, bytes]:
@@ -43,9 +43,9 @@
     """What an exploration includes, and how far it goes."""
 
     tokens: tuple[Token, ...] = (Token(1, "a", 1), Token(2, "b", 1))
-    restarts: int = 1
-    settles: bool = False
-    reinitializes: bool = False
+    restarts: int = 1  # of the third member
+    settles: bool = False  # leaders settle their claims
+    reinitializes: bool = False  # a member that takes over may reinitialize the group, once
     compares: int = 0  # times that a leader sends its digests
     starts_led: bool = True  # the holder of the first token leads from the start
     max_states: int = 400_000  # the exploration stops at this many states
@@ -142,6 +142,7 @@
         state.begun_tokens |= {token}
 
     def _trace(self, mark: Any) -> list[str]:
+        """The steps from the initial state to the state with this frozen form."""
         steps = []
         while entry := self._seen[mark]:
             mark, step = entry
@@ -216,9 +217,11 @@
             yield f"{sender}>{to} {type(message).__name__.lower()}", self._post(after, to, letters)
 
     def _call(self, state: State, name: str, method: str, *arguments: Any) -> State:
+        """Calls a method of one member and posts the letters that it returns."""
         return self._post(state, name, getattr(state.nodes[name], method)(*arguments))
 
     def _post(self, state: State, sender: str, letters: list[Letter]) -> State:
+        """Adds letters to the network, and counts the writes of the sender that are committed."""
         for to, message in letters:
             posts = [(sender, name, message) for name in ([to] if to else MEMBERS) if name != sender]
             state.net += tuple(post for post in posts if post not in state.net)
--- a/rookwood/replicas/group.py
+++ b/rookwood/replicas/group.py
@@ -154,6 +154,7 @@
     ticket: int  # returned to the caller that waits for it; 0: none
 
     def missing(self, name: str) -> list[Write]:
+        """The parts that a member has not acknowledged."""
         have = self.acks.get(name, ())
         return [write for write in self.writes if write.part not in have]
 
@@ -353,11 +354,11 @@
             return []
         if takeover.new_values is not None:
             self._merge(self._stamped(takeover.new_values()))
-        new = takeover.new_values is not None
-        keys = sorted(self.entries) if new else sorted(takeover.changed & self.entries.keys())
+        reinitializes = takeover.new_values is not None
+        keys = sorted(self.entries) if reinitializes else sorted(takeover.changed & self.entries.keys())
         entries = [self.entries[key] for key in keys]
         self.recovered, self._recovering = True, None
-        return self._start_write(entries, ticket=0, found=new, confirms=True)
+        return self._start_write(entries, ticket=0, reinitializes=reinitializes, confirms=True)
 
     def _stamped(self, values: Mapping[str, bytes]) -> list[Entry]:
         entries = []
@@ -367,7 +368,7 @@
         return entries
 
     def _start_write(
-        self, entries: Iterable[Entry], ticket: int, found: bool = False, confirms: bool = False
+        self, entries: Iterable[Entry], ticket: int, reinitializes: bool = False, confirms: bool = False
     ) -> list[Letter]:
         self._number += 1
         all_entries = tuple(entries)
@@ -375,7 +376,8 @@
             ()
         ]
         writes = tuple(
-            Write(self.promised, self._number, piece, found, n, len(pieces)) for n, piece in enumerate(pieces)
+            Write(self.promised, self._number, piece, reinitializes, n, len(pieces))
+            for n, piece in enumerate(pieces)
         )
         pending = self._pending[self._number] = Pending(writes, {self.me: set(range(len(writes)))}, ticket)
         if confirms and self._takeover:
@@ -384,6 +386,7 @@
         return [] if self.majority == 1 else self._missing_parts(pending)
 
     def _missing_parts(self, pending: Pending) -> list[Letter]:
+        """The first parts that each member has not acknowledged."""
         return [(name, write) for name in self.members for write in pending.missing(name)[:WINDOW]]
 
     def put(self, values: Mapping[str, bytes], ticket: int) -> list[Letter]:
@@ -405,6 +408,7 @@
         return letters
 
     def _check_majority(self, number: int) -> None:
+        """Commits a write that a majority has; a takeover ends with its confirming write."""
         pending = self._pending[number]
         if sum(not pending.missing(name) for name in self.members) < self.majority:
             return
@@ -428,6 +432,7 @@
         return [(None, Recover(recovery.nonce))]
 
     def _handle_recovery(self, sender: str, response: Recovery) -> list[Letter]:
+        """Once a majority of recovered members has responded, copies the leader's registers."""
         recovery = self._recovering
         if recovery is None or response.nonce != recovery.nonce or self.recovered or recovery.leader:
             return []
