--- a/rookwood/__main__.py
+++ b/rookwood/__main__.py
@@ -76,7 +76,7 @@
     if operator.store:
         from rookwood.ledger import front as ledger
 
-        extensions.append(ledger.front_of(operator))
+        extensions.append(ledger.ledger_extension(operator))
     if operator.gateway:
         from rookwood.gateway import gate
 
