--- a/rookwood/httpclient/client.py
+++ b/rookwood/httpclient/client.py
@@ -14,7 +14,7 @@
 from rookwood.httpclient.outcomes import NotSent, ResponseLost
 
 SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-FIRST_FINAL_STATUS = 200  # lower ones are of interim responses, or 101, which no request here asks for
+FIRST_FINAL_STATUS = 200  # below are interim responses, and 101, which no request here asks for
 HTTP_VERSION = "HTTP/1."  # searched before `STATUS_LINE`, since that is much cheaper
 STATUS_LINE = re.compile(r"HTTP/1\.[01] \d{3}")
 
@@ -67,12 +67,19 @@
         self._response.close()
 
     def discard(self) -> None:
-        """Drop the response as one that belongs to another request; its connection is closed in any case."""
+        """Drop a response that belongs to another request; even if it is complete, close its connection.
+
+        Only a connection that a later request already uses stays open.
+        """
         self._response.discard()
 
 
 class HttpClient:
-    """Sends requests over a pool of connections; failures are returned as values, not raised."""
+    """Sends requests over a pool of connections; failures are returned as values, not raised.
+
+    `idle_limit` is how long a connection may be idle and still be reused, `connect_limit` how long it may
+    take to open one, both in seconds.
+    """
 
     def __init__(self, *, connections: int, idle_limit: float, connect_limit: float) -> None:
         self._connector = ResponseConnector(limit=connections, keepalive_timeout=idle_limit)
--- a/rookwood/httpclient/connections.py
+++ b/rookwood/httpclient/connections.py
@@ -42,7 +42,7 @@
                 return
             self._response_body = body
             if self._request_is_pending():
-                self.force_close()
+                self.force_close()  # no other request may follow one that is not completely written
         super().feed_data(data, size)
 
     def data_received(self, data: bytes) -> None:
@@ -60,21 +60,21 @@
     def connection_lost(self, exc: BaseException | None) -> None:
         """Handle the end of the connection; only an orderly end from the peer completes a response."""
         if exc is not None or not self._peer_finished:
-            self._break_answer(exc)
+            self._break_response(exc)
         super().connection_lost(exc)
 
     def close(self) -> None:
         """Close the connection from this side, which completes no response."""
-        self._break_answer(None)
+        self._break_response(None)
         super().close()
 
     def abort(self) -> None:
         """Abort the connection from this side, which completes no response."""
-        self._break_answer(None)
+        self._break_response(None)
         super().abort()
 
-    def end_after(self, body: StreamReader) -> None:
-        """Close the connection unless it carries another request by now than the one with this response."""
+    def drop_unless_reused(self, body: StreamReader) -> None:
+        """Close the connection unless it carries a later request by now. `body` is that of the response."""
         if self._response_body is body:
             self._drop_connection()
 
@@ -84,7 +84,7 @@
             return True
         return self.writing_paused or self.transport.get_write_buffer_size() > 0
 
-    def _break_answer(self, cause: BaseException | None) -> None:
+    def _break_response(self, cause: BaseException | None) -> None:
         body = self._response_body
         if body is None or body.is_eof() or body.exception() is not None:
             return
@@ -115,11 +115,11 @@
         return await super().start(connection)
 
     def discard(self) -> None:
-        """Drop the response and close its connection, on which data for any request may arrive now."""
+        """Drop the response and close its connection, unless a later request already uses that."""
         body = self.content
         self.close()
         if self._response_protocol is not None:
-            self._response_protocol.end_after(body)
+            self._response_protocol.drop_unless_reused(body)
 
 
 class ResponseConnector(TCPConnector):
--- a/tests/test_httpclient_answers.py
+++ b/tests/test_httpclient_answers.py
@@ -35,7 +35,7 @@
 PLAIN_BODY = b"answer"
 STREAM_BODY = event(1) + event(2)
 CONNECTIONS = 64
-MORE_THAN_BUFFERS = 3_000_000
+MORE_THAN_BUFFERS = 3_000_000  # bytes; more than the socket buffers of both sides hold
 
 
 class Framing(Enum):
@@ -64,7 +64,7 @@
 
     @property
     def all_bytes(self) -> bytes:
-        """All bytes."""
+        """The head and the framed body, as they are sent."""
         return self.head + self.framed_body
 
 
--- a/tests/test_worker_answers.py
+++ b/tests/test_worker_answers.py
@@ -172,7 +172,7 @@
             self.assertIn(rule, await self.rules_broken(plans, kind))
 
     async def test_a_reset_taken_for_the_end(self) -> None:
-        fault = mock.patch.object(ResponseProtocol, "_break_answer", lambda self, cause: None)
+        fault = mock.patch.object(ResponseProtocol, "_break_response", lambda self, cause: None)
         plans = [
             Misbehaviour(framing=Framing.UNFRAMED, cut=share / 200, ending=Ending.RESET)
             for share in range(100, 200)
