--- a/rookwood/conf/read.py
+++ b/rookwood/conf/read.py
@@ -26,13 +26,13 @@
     Store,
 )
 
-MAX_DEPTH = 8  # of nested includes
+MAX_INCLUDE_DEPTH = 8
 MAX_LINES = 20_000  # in all files together
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """The position of a value."""
+    """The position of a value, directive or section in the operator file or a file that it includes."""
 
     file: str
     line: int
@@ -44,20 +44,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault in the file, and what would be valid in its place."""
+    """A fault in the operator file, with what the file should hold there, if that is known."""
 
     origin: Origin
     directive: str
     reason: str
-    right: str = ""
+    expected: str = ""
 
     def __str__(self) -> str:
         at = f" {self.directive}:" if self.directive else ""
-        return f"{self.origin}:{at} {self.reason}" + (f"; expected {self.right}" if self.right else "")
+        return f"{self.origin}:{at} {self.reason}" + (f"; expected {self.expected}" if self.expected else "")
 
 
 class OperatorFileError(ValueError):
-    """The file is invalid. The message has one line for each fault."""
+    """The operator file is invalid. The message has one line for each fault."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """The loaded file, and the origin of each value by its dotted path; defaults have none."""
+    """The loaded operator file, and the origin of each value by its dotted path; defaults have no origin."""
 
     operator: OperatorFile
     origins: dict[str, Origin]
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True)
 class _Block:
-    """A section while it is read. The directives outside all sections form one, too."""
+    """A section while it is read. The directives outside all sections form a block as well."""
 
     kind: str
     name: str
@@ -134,16 +134,18 @@
         self.blocks: list[_Block] = []
         self._lines = itertools.count(1)
 
-    def add_fault(self, origin: Origin, directive: str, reason: str, right: str = "") -> None:
-        self.faults.append(Fault(origin, directive, reason, right))
+    def add_fault(self, origin: Origin, directive: str, reason: str, expected: str = "") -> None:
+        self.faults.append(Fault(origin, directive, reason, expected))
 
     def read_file(self, path: Path, stack: tuple[Path, ...] = (), include: Origin | None = None) -> None:
         """Read a file. `stack` holds the files that include it, `include` the position of the directive."""
         include = include or Origin(str(path), 1)
         if path.resolve() in stack:
             return self.add_fault(include, "include", f"{path} includes itself")
-        if len(stack) >= MAX_DEPTH:
-            return self.add_fault(include, "include", f"includes are nested over {MAX_DEPTH} files deep")
+        if len(stack) >= MAX_INCLUDE_DEPTH:
+            return self.add_fault(
+                include, "include", f"includes are nested over {MAX_INCLUDE_DEPTH} files deep"
+            )
         try:
             lines = path.read_text(encoding="utf-8").splitlines()
         except (OSError, ValueError) as error:
@@ -196,8 +198,8 @@
             return _Block(keyword.text, "?", Section({}), origin)  # its lines are skipped
         name = words[0].text if words else ""
         if section.named != bool(words) or len(words) > 1:
-            right = f"{keyword.text} NAME {{" if section.named else f"{keyword.text} {{"
-            self.add_fault(origin, keyword.text, "wrong number of words", right)
+            expected = f"{keyword.text} NAME {{" if section.named else f"{keyword.text} {{"
+            self.add_fault(origin, keyword.text, "wrong number of words", expected)
         first = next((b for b in self.blocks if (b.kind, b.name) == (keyword.text, name)), None)
         if first:
             self.add_fault(origin, keyword.text, f"is given twice, first at {first.origin}")
@@ -221,7 +223,7 @@
         groups = max(1, len(words) // len(directive.parsers)) if directive.many else 1
         if len(words) != groups * len(directive.parsers):
             return self.add_fault(
-                origin, keyword.text, f"takes {len(directive.parsers)} value(s)", directive.right
+                origin, keyword.text, f"takes {len(directive.parsers)} value(s)", directive.expected
             )
         self.origins.setdefault(path, origin)
         found = block.values.setdefault(keyword.text, [])
@@ -239,19 +241,19 @@
                 values.append(parser(word.text))
             except ValueError as error:
                 at = Origin(origin.file, origin.line, word.column)
-                self.add_fault(at, keyword.text, str(error), directive.right)
+                self.add_fault(at, keyword.text, str(error), directive.expected)
                 return
         found.append(values[0] if len(values) == 1 else tuple(values))
 
-    # ---- the typed file ----
+    # ---- the typed values ----
 
     def build(self) -> OperatorFile:
-        """Build the typed file from the sections. After a fault it is empty."""
+        """Build the typed values of the file from its sections; after a fault all are defaults."""
         for block in (self.top, *self.blocks):
             for name, directive in block.section.directives.items():
                 if directive.required and not block.values.get(name) and not self.faults:
                     self.add_fault(
-                        block.origin, name, f"is missing in section {block.kind!r}", directive.right
+                        block.origin, name, f"is missing in section {block.kind!r}", directive.expected
                     )
         if self.faults:
             return OperatorFile()
@@ -271,7 +273,7 @@
         return OperatorFile(gateway=gateway, store=store, duties=duties, sites=sites, **top)
 
     def check(self, operator: OperatorFile) -> None:
-        """Check what depends on more than one directive."""
+        """Check the rules that involve more than one directive, and that the password file exists."""
         gateway, store = operator.gateway, operator.store
         sections = {b.path: b.origin for b in self.blocks}
         if store and sum(map(bool, (store.redis, store.file, store.memory, store.peers))) != 1:
--- a/rookwood/conf/schema.py
+++ b/rookwood/conf/schema.py
@@ -46,9 +46,9 @@
     price: float = 0.13  # price of forwarding a request, relative to the mean worth of a request
     enter: float = 0.95  # load of the own site, relative to its slots, from which requests are forwarded
     leave: float = 0.85  # load below which forwarding stops
-    max_jobs: int = 256  # forwarded to one peer, and accepted from one
-    max_bytes: int = 8 << 20  # buffered for one peer
-    max_frame: int = 256 << 10
+    max_jobs: int = 256  # jobs open at once that are forwarded to one peer, and that are accepted from one
+    max_bytes: int = 8 << 20  # bytes buffered for one peer
+    max_frame: int = 256 << 10  # bytes
     lease: timedelta = timedelta(seconds=1)
     keepalive: timedelta = timedelta(milliseconds=100)
     retransmit: timedelta = timedelta(milliseconds=40)
@@ -92,7 +92,7 @@
 
 
 class OperatorFile(Struct, frozen=True):
-    """The values of the whole file."""
+    """The values of the whole operator file."""
 
     site: str = ""
     log_format: str = "plain"
@@ -105,17 +105,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Directive:
-    """`keyword value ...`, with one parser for each value."""
+    """A line of a keyword and its values, with one parser for each value."""
 
     parsers: tuple[Parser, ...]
-    right: str  # describes a valid value, for error messages and the documentation
+    expected: str  # describes a valid value, for error messages and the documentation
     many: bool = False  # may be repeated, or have several groups of values
     required: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """`keyword { ... }` or, if it is named, `keyword NAME { ... }`."""
+    """Directives in braces: `keyword { ... }` or, if the section is named, `keyword NAME { ... }`."""
 
     directives: dict[str, Directive]
     named: bool = False
@@ -123,8 +123,8 @@
     build: Callable[..., Any] | None = None
 
 
-def _one(parser: Parser, right: str, **more: bool) -> Directive:
-    return Directive((parser,), right, **more)
+def _one(parser: Parser, expected: str, **more: bool) -> Directive:
+    return Directive((parser,), expected, **more)
 
 
 DURATION = "a duration such as 250ms"
