--- a/rookwood/metrics/server.py
+++ b/rookwood/metrics/server.py
@@ -24,7 +24,7 @@
 METRICS_PORT = 9464  # also named in deploy/system.toml; outside the port ranges that deployments use
 METRICS_PATH = "/metrics"
 TEXT_HEADERS = {"Content-Type": "text/plain; version=0.0.4; charset=utf-8"}
-SHUTDOWN_LIMIT = 0.1
+SHUTDOWN_TIMEOUT = 0.1  # seconds that open scrapes get to finish when the server stops
 
 LoadSources = Callable[[], "Iterable[FamilySource]"]
 
@@ -50,7 +50,7 @@
         """Start to listen; if that fails, the process runs without serving metrics."""
         self._measuring = asyncio.create_task(self._lag.run())
         server = web.Server(self._respond, access_log=None)
-        self._runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=SHUTDOWN_LIMIT)
+        self._runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=SHUTDOWN_TIMEOUT)
         try:
             await self._runner.setup()
             await web.TCPSite(self._runner, self._ip, self._port).start()
@@ -79,6 +79,6 @@
         from rookwood.metrics.exposition import loop_families, process_families, render
 
         if not self._sources:
-            own = (lambda: loop_families(self._lag), process_families)
-            self._sources = (*self._load_sources(), *own)
+            own_sources = (lambda: loop_families(self._lag), process_families)
+            self._sources = (*self._load_sources(), *own_sources)
         return render(self._sources)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -41,7 +41,7 @@
 from tests.fake_worker import HOST, WAIT_LIMIT, within
 from tests.metrics_text import MetricsText
 
-LIMIT = 2.0  # seconds
+LIMIT = 2.0  # seconds after a commit until which a dispatcher must have it
 FIRST = ConfigurationPosition(1, 1)
 SECOND = ConfigurationPosition(1, 2)
 THIRD = ConfigurationPosition(2, 3)
@@ -194,13 +194,13 @@
         self.progress.check(LIMIT)
 
     def link_and_commit(self) -> None:
-        """Commit what a dispatcher does not have, which has been linked for long."""
+        """Commit a configuration that a dispatcher does not have, after it was linked for 5 s."""
         for _ in range(5):
             self.pass_time(1.0)
         self.progress.record_commit(FIRST)
 
     def test_stalls_of_a_dispatcher_do_not_count_as_its_delay(self) -> None:
-        """The soak test measured 2.1 s under load; for parts of them the process had not run."""
+        """The soak test measured 2.1 s under load, for a part of which the process had not run."""
         self.link_and_commit()
         self.pass_time(1.0)
         self.pass_time(1.1, stalled=0.5)
