--- a/rookwood/__main__.py
+++ b/rookwood/__main__.py
@@ -1,4 +1,4 @@
-"""The dispatcher's program: ``python -m rookwood``. Only extensions in the operator file are imported."""
+"""The dispatcher's program: ``python -m rookwood``. Extensions are imported only if they are on."""
 
 from __future__ import annotations
 
--- a/rookwood/hints.py
+++ b/rookwood/hints.py
@@ -18,7 +18,7 @@
 MAX_HINTS = 64  # in a message
 KINDS = {kind.value: kind for kind in HintKind}
 MAX_SLOTS = 255  # that a byte holds
-FAULT_LEVEL = 0.05  # fault rate that one level represents
+FAULT_LEVEL = 0.05  # step of the fault rate from one level to the next
 MAX_FAULT_LEVEL = 7  # that three bits hold
 
 
--- a/rookwood/interface.py
+++ b/rookwood/interface.py
@@ -23,7 +23,10 @@
 
 
 class DeduplicationScope(Enum):
-    """Which workers drop duplicates of a keyed request that one of them has run."""
+    """Which workers drop duplicates of a keyed request that one of them has run.
+
+    ALL: every worker. ZONE, CELL: the workers of the same zone or cell.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -106,7 +109,7 @@
     worth_by_work: bool = False  # the worth of a class counts for each unit of work, not for each request
     over_share_worth: float = 1.0  # factor on the worth of requests above a tenant's allowance
     worst_class: float = 0.0  # weight of the class served worst, as a multiple of all classes together
-    crossing: float = 1.0  # price of sending a request to another zone, in requests; dear where it is not set
+    crossing: float = 1.0  # price of sending to another zone, in requests; if high, the own zone comes first
     tells_start: bool = False  # workers report the start of a job
     cold_share: float = 1.0  # least part of its capacity with which a worker starts
     warm_up: int = 0  # time until a started worker has its full capacity
@@ -174,13 +177,13 @@
     ENDED = 2  # a job sent there has ended
     FAILED = 3  # a job sent there has ended by the worker's fault
     SUSPECT = 4  # the worker is unresponsive
-    LOAD_QUERY = 5  # asks for the worker's load
+    LOAD_QUERY = 5  # requests a LOAD_REPORT about the worker
     LOAD_REPORT = 6  # the worker's load without the jobs of the dispatcher that queried it
 
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """What one dispatcher tells another about a worker's load.
+    """What one dispatcher sends another about a worker's load or faults.
 
     It may arrive late, twice or never. It can make a dispatcher more careful, and no rule depends on it.
     """
@@ -311,10 +314,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final response: the request was turned away, and a retry by the client does no harm."""
+    """Final response: the request is rejected without having run, and a retry by the client does no harm."""
 
     request: int
-    retry_after: int = 0  # how long the client should wait before it; 0: no advice
+    retry_after: int = 0  # how long the client should wait before a retry; 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookwood/load_exchange.py
+++ b/rookwood/load_exchange.py
@@ -21,17 +21,16 @@
 from rookwood.interface import Hint, HintKind
 from rookwood.state import Attempt, Job, WorkerState
 
-TRACKERS_PER_WORKER = 4  # what they know outlives the death of three, or a partition
+TRACKERS_PER_WORKER = 4  # so many that a load stays known if three of them die or are cut off
 MAX_TRACKED_JOBS = 99  # jobs of other dispatchers remembered at one worker
-HINT_LIFETIME = (
-    4  # mean jobs; after this time the hint of a job's end may have been lost, and the job is dropped
-)
+# In mean service times of a job: a tracked job is dropped after this time, since the hint of its end may have
+# been lost.
+HINT_LIFETIME = 4
 QUERY_TIMEOUT = 25_000  # microseconds; two messages take 14 ms
-SILENT_PEER_PAUSE = 2_000_000  # microseconds for which a peer that did not reply is not queried again
-MAX_MISSED_REPLIES = (
-    2 * TRACKERS_PER_WORKER
-)  # after so many in a row no peer is queried, but one now and then
-FRESH_AGE = 0.1  # mean jobs; a reported load of this age is as good as new
+PEER_TIMEOUT_PAUSE = 2_000_000  # microseconds for which a peer that did not reply is not queried again
+# After so many missed replies in a row, peers get only a trial query every quarter of `PEER_TIMEOUT_PAUSE`.
+MAX_MISSED_REPLIES = 2 * TRACKERS_PER_WORKER
+FRESH_AGE = 0.1  # in mean service times of a job; up to this age a reported load counts as known
 MAX_PROBES_PER_JOB = 4  # workers probed to place one request
 LOAD_SMOOTHING = 0.02  # weight of a reported load in the mean over workers
 INITIAL_SLOTS = 4.0  # slots that a worker is assumed to have before any report
@@ -74,7 +73,7 @@
         if self._missed_replies >= MAX_MISSED_REPLIES:
             if now < self._next_trial_at:
                 return None
-            self._next_trial_at = now + SILENT_PEER_PAUSE // 4  # this query is the trial
+            self._next_trial_at = now + PEER_TIMEOUT_PAUSE // 4  # this query is the trial
         return next((n for n in self.others_of(w) if self._paused_until.get(n, 0) <= now), None)
 
     def record_reply(self, peer: int) -> None:
@@ -82,10 +81,10 @@
         self._missed_replies = 0
         self._paused_until.pop(peer, None)
 
-    def record_silence(self, peer: int, now: int) -> None:
+    def record_timeout(self, peer: int, now: int) -> None:
         """Record that a dispatcher did not reply in time."""
         self._missed_replies += 1
-        self._paused_until[peer] = now + SILENT_PEER_PAUSE
+        self._paused_until[peer] = now + PEER_TIMEOUT_PAUSE
 
 
 class LoadExchange:
@@ -105,9 +104,8 @@
         self._emit = emit
         self._place = place
         self._trackers = Trackers(settings.me, settings.dispatchers)
-        self._waiting: dict[
-            int, tuple[Job, set[str]]
-        ] = {}  # by request: the job and the workers it waits for
+        # By request: its job, and the ids of the workers whose loads it waits for.
+        self._waiting: dict[int, tuple[Job, set[str]]] = {}
         self._mean_others_share = 0.0  # mean fraction of a worker's slots that other dispatchers use
         self.slots_by_kind: dict[str, float] = {}  # slots of a worker of each kind, estimated from reports
         self._started_at = 0
@@ -132,7 +130,8 @@
     def is_load_known(self, w: WorkerState, max_age: float = FRESH_AGE) -> bool:
         """Whether the load of a worker is known well enough to place a request there.
 
-        It is if it is tracked here, was reported at most `max_age` mean jobs ago, or can't be had at all.
+        A load is known if it is tracked here or was reported at most `max_age` mean service times ago.
+        Without hints and probes every load counts as known, since none can be queried.
         """
         if not (self._settings.peers or self._settings.probes) or self._is_tracked_here(w):
             return True
@@ -141,7 +140,8 @@
     def slots_of_others(self, w: WorkerState) -> float:
         """Estimate the slots that other dispatchers use at a worker.
 
-        Where it isn't tracked here, the last report counts less as it ages, and the mean over workers more.
+        For a worker that is not tracked here, the last report counts less as it ages, and the mean over
+        workers more.
         """
         if self._is_tracked_here(w):
             return self._tracked_slots(w)
@@ -154,7 +154,7 @@
     def jobs_to_save(
         self, w: WorkerState, own: Iterable[tuple[Attempt, Job]]
     ) -> list[tuple[int, int, float]]:
-        """Return the tracked jobs of others and the own open attempts, for the process that follows.
+        """Return the tracked jobs of others and the own open attempts, for the next process.
 
         That process receives no outcome of the own attempts, so each counts for its expected running time.
         """
@@ -242,7 +242,7 @@
     def _on_query_timeout(self, query: tuple[WorkerState, int]) -> None:
         w, peer = query
         if w.queried_peer == peer:
-            self._trackers.record_silence(peer, self._now)
+            self._trackers.record_timeout(peer, self._now)
             w.queried_peer = None
 
     def _on_wait_timeout(self, wait: tuple[Job, set[str]]) -> None:
@@ -299,7 +299,7 @@
     # ---- periodic probes ----
 
     def _probe_next(self, _: object) -> None:
-        """Probe the worker that was probed longest ago: a sign of life, and reports of a kind's slots.
+        """Probe the worker that was probed longest ago, for a sign of life and the slots of its kind.
 
         No decision waits for these probes. All dispatchers together share one budget of them.
         """
--- a/rookwood/policy.py
+++ b/rookwood/policy.py
@@ -29,15 +29,15 @@
 LEARNING_RATE = 0.02  # weight of a response in learned service times
 FAULT_WEIGHT = 0.1  # weight of an outcome in a fault rate
 MAX_FAULT_RATE = 0.25  # fault rate from which on a worker has the least health
-MIN_HEALTH = 0.02
+MIN_HEALTH = 0.02  # above 0, so that a faulty worker still gets a few requests and can show its recovery
 DECAY = 0.8  # part of the fault rates and of the offered and earned worth that a placement step keeps
-NO_WAIT = 0.1  # mean jobs; shorter waits are neglected. Also the price up to which crossing zones is cheap
+NO_WAIT = 0.1  # mean service times; shorter waits are ignored. Also the price up to which crossing is cheap
 MAX_QUERIES = 2  # times that a request has loads queried: for its own zone, then for all zones
 WAIT_SHARE = 0.17  # share of the time a request can still wait that it may be expected to queue at a worker
 SILENCE = SECOND // 4  # without a sign of life for this and SILENT_JOBS, a worker is unresponsive
-SILENT_JOBS = 4.0  # mean jobs
+SILENT_JOBS = 4.0  # in mean service times of a job
 TRUST_PENALTY = 0.2  # factor on the trust in a suspect worker
-MIN_TRUST = 0.02
+MIN_TRUST = 0.02  # above 0 for the same reason as MIN_HEALTH
 COLD_BUDGET_SHARE = 0.5  # part of the rule-4 budget that is used
 GOLDEN_RATIO = 0.618034  # spreads the dispatchers' turns at a cold worker evenly
 RETRY_AFTER = SECOND  # mean time after which a rejected client may come back
@@ -110,7 +110,7 @@
         need = max(req.slots, req.memory or 0.0)
         service = self._prior_service_time(req) * math.exp(self.log_factor[cls.name])
         # A class without a response so far is taken to be no shorter than the mean.
-        slot_time = max(need * service * self.tails[cls.name], self.slot_time * (not self.answers[cls.name]))
+        slot_time = max(need * service * self.tails[cls.name], self.slot_time * (not self.served[cls.name]))
         worth = queue[1] * cls.worth * (service if self.conf.worth_by_work else 1.0)
         job = Job(req, cls, row, queue, need, service, slot_time, worth, self.rng.random())
         # Load shedding: past the class's aim, counted from the first try, a response is worth nothing.
@@ -310,7 +310,7 @@
         return w.credit
 
     def _refresh_candidates(self, _: object) -> None:
-        """Query loads for held requests, and list cold workers with credit: hardly ever a key's own."""
+        """Query loads for held requests, and list cold workers with credit, which are seldom a key's own."""
         self._call_at(self.now + SILENCE, self._refresh_candidates)
         for job in (job for queue in self.held_jobs.values() for job in queue[-HELD_QUERIES:]):
             self.loads.query_load(self._candidates(job))
@@ -422,8 +422,8 @@
         name = job.cls.name
         service = max(1, attempt.run_time(self.now)) / w.slowness
         over = math.log(service / self._prior_service_time(job.request)) - self.log_factor[name]
-        self.answers[name] += 1
-        self.log_factor[name] += max(LEARNING_RATE, 1 / (self.answers[name] + 1)) * over
+        self.served[name] += 1
+        self.log_factor[name] += max(LEARNING_RATE, 1 / (self.served[name] + 1)) * over
         self.tails[name] += LEARNING_RATE * (min(20.0, math.exp(over)) - self.tails[name])
         self.job_time += LEARNING_RATE * (service - self.job_time)
 
@@ -476,7 +476,7 @@
             w.trust = min(1.0, 2 * w.trust)
             w.fault_rate, w.peer_fault_rate = DECAY * w.fault_rate, DECAY * w.peer_fault_rate
         self.offered, self.won = ({n: DECAY * v for n, v in d.items()} for d in (self.offered, self.won))
-        # Where over 3/4 look bad, the fault is likelier here and ejecting does harm. A lost zone is half.
+        # If over 3/4 look bad, the fault is likelier here, so ejecting does harm. A lost zone is only a half.
         bad = sum(self._health(w) < 0.5 for w in self.workers.values())
         self.ejecting = 4 * bad <= 3 * len(self.workers)
         self._send_held_jobs()
--- a/rookwood/state.py
+++ b/rookwood/state.py
@@ -138,7 +138,7 @@
         self.step_at = 0  # time of the last placement step
 
         # Service times are learned as factors of a prior: the request's hint or half of its class's aim.
-        self.answers = dict.fromkeys(self.classes, 0)  # successful attempts by class
+        self.served = dict.fromkeys(self.classes, 0)  # successful attempts by class
         self.log_factor = dict.fromkeys(self.classes, 0.0)  # mean of log(service time / prior)
         self.tails = dict.fromkeys(self.classes, 1.0)  # mean of service time / (prior * exp(log_factor))
         # Mean service time of a job, and mean slot-time: its slots times its service time.
@@ -193,7 +193,7 @@
     "eject": "ejecting",
 }
 STORED_BY_CLASS = {
-    "answers": "answers",
+    "answers": "served",
     "typical": "log_factor",
     "mean": "tails",
     "asked": "offered",
--- a/rookwood/wirehost.py
+++ b/rookwood/wirehost.py
@@ -95,9 +95,9 @@
             return None
         found: dict[str, float] = {}
         for pair in value.split(","):
-            name, colon, figure = pair.partition(":")
+            name, colon, number = pair.partition(":")
             try:
-                found[name] = float(figure)
+                found[name] = float(number)
             except ValueError:
                 self.fail(field, f"not a name:value pair: {pair!r}")
             if not colon or not math.isfinite(found[name]):
@@ -105,6 +105,7 @@
         return found
 
 
+# The fields of each message by its tag: their names in the protocol, and their positions.
 FIELDS = {
     tag: {name: at for at, name in enumerate(names.split())}
     for tag, names in {
@@ -131,8 +132,8 @@
     """Parse the settings of a HELLO line."""
     try:
         return parse_settings(JsonReader(json.loads(line.text("profile-data"))))
-    except InvalidSettingError as fault:
-        line.fail(f"profile-data.{fault.key}", fault.reason)
+    except InvalidSettingError as error:
+        line.fail(f"profile-data.{error.key}", error.reason)
     except json.JSONDecodeError as error:
         line.fail("profile-data", f"not JSON: {error}")
 
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -10,8 +10,8 @@
 from rookwood.interface import Hint, HintKind
 from rookwood.load_exchange import (
     MAX_MISSED_REPLIES,
+    PEER_TIMEOUT_PAUSE,
     QUERY_TIMEOUT,
-    SILENT_PEER_PAUSE,
     TRACKERS_PER_WORKER,
     Trackers,
 )
@@ -42,18 +42,18 @@
     trackers, w = Trackers(199, 200), worker_state(0)
     first, second = trackers.others_of(w)[:2]
     assert trackers.choose_peer(w, 0) == first
-    trackers.record_silence(first, 0)
+    trackers.record_timeout(first, 0)
     assert trackers.choose_peer(w, 1) == second
     trackers.record_reply(first)
     assert trackers.choose_peer(w, 2) == first
-    trackers.record_silence(first, 2)
-    assert trackers.choose_peer(w, 2 + SILENT_PEER_PAUSE) == first
+    trackers.record_timeout(first, 2)
+    assert trackers.choose_peer(w, 2 + PEER_TIMEOUT_PAUSE) == first
 
 
 def test_without_any_replies_only_single_queries_are_sent() -> None:
     trackers = Trackers(199, 200)
     for n in range(MAX_MISSED_REPLIES):
-        trackers.record_silence(n, 0)
+        trackers.record_timeout(n, 0)
     peers = [trackers.choose_peer(worker_state(7), at) for at in range(0, SECOND, 10 * MS)]
     assert 0 < sum(peer is not None for peer in peers) <= 3
 
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("loss_rate", [0.3, 1.0])
 def test_lost_hints_make_few_jobs_wait(loss_rate: float) -> None:
-    """Without hints each dispatcher took workers for idle and used the fastest, and a quarter waited long."""
+    """Without hints each dispatcher took workers for idle and used the fastest; a quarter waited long."""
     group = DispatcherGroup(80, workers=40, loss_rate=loss_rate, probes=True, peers=True)
     group.list_workers()
     group.schedule_load(180, 5 * SECOND)  # 90 of 160 slots
@@ -159,7 +159,7 @@
 
 
 def test_load_is_queried_again_for_the_candidates_of_each_held_request() -> None:
-    """Once only the newest was queried for again, and others were rejected although workers were free."""
+    """With queries for the newest held request only, others were rejected although workers were free."""
     me = next(
         n for n in range(200) if not any(Trackers(n, 200).includes_me(worker_state(w)) for w in range(60))
     )
