--- a/rookwood/net/destinations.py
+++ b/rookwood/net/destinations.py
@@ -23,12 +23,12 @@
 
 CONNECT_TIMEOUT = timedelta(seconds=1)
 FIRST_RESPONSE_TIMEOUT = timedelta(seconds=1)  # the local agent responds at once unless it is down
-SILENCE_TIMEOUT = timedelta(seconds=2.4)  # discovery sends something on a watch every 2 s
+WATCH_IDLE_TIMEOUT = timedelta(seconds=2.4)  # discovery sends something on a watch every 2 s
 RETRY_DELAY = timedelta(milliseconds=80)  # short, since the agent runs on this machine
 SHARED_SERVICE_TIMEOUT = timedelta(seconds=2.1)  # a service shared by all dispatchers gives up after 2 s
-# The platform assumes that a dispatcher knows a change 6 s after its watch became silent, or 6 s after
-# discovery had the change and could be reached. Into these 6 s fit a silence timeout, a delay, a failed call,
-# another delay and a call that is answered at once.
+# The platform assumes that a dispatcher knows a change 6 s after the last data on its watch, or 6 s after
+# discovery had the change and could be reached. Into these 6 s fit an idle timeout, a delay, a failed call,
+# another delay and a call that gets its response at once.
 MAX_RETRY_DELAY = timedelta(milliseconds=700)
 MAX_LINE = 4 * 1024 * 1024
 MAX_TIMESTAMP_MS = 2.0**48  # thousands of years after 1970, yet within the range of `datetime`
@@ -167,7 +167,7 @@
         self._last_call_answered = clock.now()  # time of the response to the last answered call
         self._clock, self._on_update = clock, on_update
         self._discovery, self._started = discovery, False
-        self._needs_full_list = False  # the list in force came from another discovery
+        self._needs_full_list = False  # the list in force came from another discovery service
         self._watches: set[asyncio.Task[None]] = set()  # the current one, and those that are ending
         self._endpoints: dict[str, Endpoint] = {}
         self._unavailable = set[str]()  # draining or removed
@@ -210,7 +210,7 @@
         """Whether requests may be sent to an endpoint now.
 
         There is no grace after a change: the platform may have assumed long ago that this dispatcher knows
-        it, if the agent or the watch was silent or this process has just started.
+        it, if the agent or the watch had sent nothing for a while or this process has just started.
         """
         excluded = uid in self._unavailable or any(check(uid) for check in self.exclusion_checks)
         return uid in self._endpoints and not excluded
@@ -226,7 +226,7 @@
         task.add_done_callback(self._watches.discard)
 
     def switch_discovery(self, discovery: Address) -> None:
-        """Watch another discovery; the list in force stays until that one has sent its own."""
+        """Watch another discovery service; the list in force stays until the new service has sent its own."""
         if discovery == self._discovery:
             return
         self._discovery, self._needs_full_list = discovery, True
@@ -274,7 +274,7 @@
         stream = HttpStream(h11.Connection(h11.CLIENT), reader, writer)
         try:
             if self._needs_full_list:
-                # The new discovery counts its own revisions, so changes since the known one mean nothing.
+                # The new service has its own revisions, so changes since the known one cannot be requested.
                 async with asyncio.timeout(self._first_response_timeout.total_seconds()):
                     await self._send_request(stream, "/api/targets")
                     update = parse_destination_update(
@@ -290,7 +290,7 @@
             self._last_call_answered = self._clock.now()
             rest, object_lines = b"", JsonObjectLines()
             while True:
-                async with asyncio.timeout(SILENCE_TIMEOUT.total_seconds()):
+                async with asyncio.timeout(WATCH_IDLE_TIMEOUT.total_seconds()):
                     event = await stream.next_event()
                 if not isinstance(event, h11.Data):
                     return
--- a/rookwood/net/dispatcher.py
+++ b/rookwood/net/dispatcher.py
@@ -34,11 +34,11 @@
 # After SIGTERM, SIGKILL follows at the earliest after the longest deadline of a job class, of which at most
 # `MAX_COUNTED_DEADLINE` counts, plus `KILL_DELAY`. The margins below count back from that moment.
 MAX_COUNTED_DEADLINE, KILL_DELAY = timedelta(seconds=3), timedelta(milliseconds=700)
-# Requests that came after SIGTERM have their responses by then.
+# Requests that come after SIGTERM have their responses at least this long before SIGKILL.
 LAST_RESPONSE_MARGIN = timedelta(milliseconds=250)
 UP_TO_DATE_TIMEOUT = timedelta(seconds=4)  # a new process must be ready in 6 s, even if discovery is down
 HANDOVER_TIMEOUT = timedelta(seconds=4.5)  # how long a new process waits for the jobs of the previous one
-# Clients' connections are closed from then on, since SIGKILL would cut off jobs that start later.
+# Clients' connections are closed from this long before SIGKILL, which would cut off jobs that start later.
 CLIENT_CLOSE_MARGIN = timedelta(milliseconds=1400)
 BODY_MEMORY_DIVISOR = 8  # request bodies may take an eighth of the memory; each is held about twice
 
@@ -250,12 +250,12 @@
         return readiness_response(self._service)
 
     def _drain(self) -> Response:
-        """Begin to drain."""
+        """Handle a call to /ops/drain/start."""
         self._service.drain()
         return Response(200, f"{self._service.phase.value}\n".encode())
 
     def _resume(self) -> Response:
-        """End a drain."""
+        """Handle a call to /ops/drain/stop."""
         resumed = self._service.resume()
         return Response(200 if resumed else 409, f"{self._service.phase.value}\n".encode())
 
--- a/rookwood/net/endpoints.py
+++ b/rookwood/net/endpoints.py
@@ -28,10 +28,12 @@
 SWEEP_INTERVAL = timedelta(seconds=1)
 IDLE_FRACTION = 0.75  # of a worker's idle timeout; after that, a request could cross with its close
 MAX_LINE = 4 * MAX_BODY
-LAST_BYTE_DELAY = timedelta(milliseconds=5)  # a round trip, in which a dead connection shows
+LAST_BYTE_DELAY = timedelta(
+    milliseconds=5
+)  # a round trip, after which the reset of a dead connection has arrived
 MAX_IDLE_PER_ENDPOINT = 16
-# The shortest idle time that is told apart, and the time constant with which records lose their weight.
-AGE_STEP, HISTORY_DECAY = timedelta(milliseconds=25), timedelta(seconds=20)
+# The step in which idle times are distinguished, and the time constant with which records lose their weight.
+IDLE_TIME_STEP, HISTORY_DECAY = timedelta(milliseconds=25), timedelta(seconds=20)
 # The rate of broken connections above which reuse costs more than new connections, and the number of good
 # uses that is assumed before any are recorded.
 MAX_BREAK_RATE, PRIOR_USES = 0.02, 5.0
@@ -201,14 +203,15 @@
 
     def record_use(self, idle_time: timedelta, broke: bool, now: datetime) -> None:
         """Record a use of a connection that had been idle for so long."""
-        step = int(idle_time / AGE_STEP).bit_length()
+        step = int(idle_time / IDLE_TIME_STEP).bit_length()
         used, broken = self._decayed_counts(step, now)
         self._counts[step] = (used + 1, broken + broke, now)
 
     def is_risky(self, idle_time: timedelta, now: datetime) -> bool:
         """Whether connections break too often after this idle time or after any shorter one."""
         counts = [
-            self._decayed_counts(step, now) for step in range(int(idle_time / AGE_STEP).bit_length() + 1)
+            self._decayed_counts(step, now)
+            for step in range(int(idle_time / IDLE_TIME_STEP).bit_length() + 1)
         ]
         return any(broken > MAX_BREAK_RATE * (used + PRIOR_USES) for used, broken in counts)
 
@@ -348,7 +351,7 @@
         raise ConnectionResetError("the response ended before its last line")
 
     async def probe(self, address: str) -> ProbeResult:
-        """Ask a worker for its load."""
+        """Request a load report from a worker."""
         try:
             async with asyncio.timeout(PROBE_TIMEOUT.total_seconds()):
                 while True:
@@ -463,7 +466,7 @@
     async def _release(self, connection: Connection) -> None:
         """End a lease: return the connection to the pool, after the end of the response, or close it."""
         if not connection.is_response_complete:
-            # What still arrives belongs to an attempt that is over.
+            # Data that still arrives would belong to an attempt that has ended.
             return await self._close(connection)
         if self._read_to_end(connection):
             return await self._return_to_pool(connection)
--- a/rookwood/net/handover.py
+++ b/rookwood/net/handover.py
@@ -123,7 +123,7 @@
         return text
 
     def confirm_takeover(self) -> None:
-        """Tell the previous process that this one serves the listener now."""
+        """Notify the previous process that this one serves the listener now."""
         if self._predecessor:
             with contextlib.suppress(OSError):
                 self._predecessor.send(TAKEN_OVER)
--- a/rookwood/net/inbound.py
+++ b/rookwood/net/inbound.py
@@ -219,7 +219,7 @@
         # An invalid request ends the connection whatever follows on it: the following bytes may belong to it,
         # and a client that sends it again at once should pay for a new connection.
         is_invalid = request is None or 400 <= response.status < 500 or stream.has_overflowed
-        # Requests that the client sent ahead were read, so they are answered before the connection may end.
+        # Requests that the client sent ahead were read, so they get responses before the connection ends.
         close = is_invalid or (
             (self._service.is_closing_clients or len(self._streams) > self.max_connections)
             and stream.is_idle()
--- a/rookwood/net/messages.py
+++ b/rookwood/net/messages.py
@@ -22,7 +22,7 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that is answered with an error without reaching the policy."""
+    """A request that gets an error response without reaching the policy."""
 
     def __init__(self, status: int, reason: str, allow: str | None = None) -> None:
         super().__init__(reason)
--- a/rookwood/net/peers.py
+++ b/rookwood/net/peers.py
@@ -33,9 +33,9 @@
         decisions: PolicyDriver,
         listen: Address | None,
         peers: Sequence[Address],
-        pause: timedelta = BIND_RETRY_DELAY,
+        retry_delay: timedelta = BIND_RETRY_DELAY,
     ) -> None:
-        self._decisions, self._retry_delay = decisions, pause
+        self._decisions, self._retry_delay = decisions, retry_delay
         self._bind_retry: asyncio.Task[None] | None = None
         self._numbers = {(peer.host, peer.port): n for n, peer in enumerate(peers)}
         self._own = (listen.host, listen.port) if listen else None
--- a/rookwood/net/policy_driver.py
+++ b/rookwood/net/policy_driver.py
@@ -93,7 +93,7 @@
 
 Decision = Attempt | RejectDecision | FailDecision | Withdrawn
 
-# After CANCELLED alone, a request may have run and yet its worker loses no trust.
+# CANCELLED alone leaves open whether the request has run, and does not count against the worker.
 POLICY_OUTCOMES = {
     AttemptOutcome.SERVED: api.Outcome.OK,
     AttemptOutcome.ERROR: api.Outcome.FAILED,
@@ -115,7 +115,7 @@
 }
 
 
-# The outcomes after which the request has certainly not run.
+# The outcomes that prove that the request has not run.
 NEVER_RAN = frozenset(own for own, outcome in POLICY_OUTCOMES.items() if outcome in api.NEVER_RAN)
 
 
@@ -162,7 +162,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End the request, and tell the policy of everything that it still counts on."""
+        """End the request, and report its end and that of an open attempt to the policy."""
         self._driver.remove_request(self._number)
         try:
             if not self._is_finished:
@@ -191,11 +191,11 @@
         return True
 
     def report_started(self) -> None:
-        """Tell the policy that the worker has started to run the request."""
+        """Report to the policy that the worker has started to run the request."""
         self._send_progress(started=True)
 
     def report_progress(self) -> None:
-        """Tell the policy that the worker still runs the request."""
+        """Report to the policy that the worker still runs the request."""
         self._send_progress(started=False)
 
     def _send_progress(self, started: bool) -> None:
@@ -204,7 +204,7 @@
             self._driver.handle_event(api.AttemptProgress(self._number, attempt.number, attempt.uid, started))
 
     def end_attempt(self, outcome: AttemptOutcome, load: LoadReport | None = None) -> None:
-        """Tell the policy how the current attempt ended; another decision follows unless it was served."""
+        """Report how the current attempt ended to the policy; unless it was served, a decision follows."""
         assert self._current_attempt
         (attempt, since), self._current_attempt = self._current_attempt, None
         self._is_finished = self._is_finished or outcome is AttemptOutcome.SERVED
--- a/rookwood/net/request.py
+++ b/rookwood/net/request.py
@@ -29,7 +29,7 @@
 log = logging.getLogger(__name__)
 
 LAST_ATTEMPT_MARGIN = timedelta(milliseconds=20)  # attempts end this long before the client gives up
-RESPONSE_MARGIN = timedelta(milliseconds=8)  # the response is sent this long before, whatever the policy does
+RESPONSE_MARGIN = timedelta(milliseconds=8)  # the response is sent this long before the client gives up
 SHUTDOWN_GRACE = timedelta(milliseconds=500)  # requests that come sooner after SIGTERM keep their deadline
 MAX_KNOWN_IDS = 4096  # many times the number of open requests
 
@@ -63,7 +63,7 @@
 
 
 class RequestProgress:
-    """Keeps whether a request may have run so far.
+    """Records whether a request may have run so far.
 
     Extensions override its methods to follow a request, and to stop an attempt before its last byte.
     """
@@ -99,7 +99,7 @@
     """How a request ended that was to be forwarded to another site."""
 
     SERVED = "served"
-    RUN_LOCALLY = "home"  # it is not running, and it has not run unless it may run twice: it may run here
+    RUN_LOCALLY = "home"  # it is not running elsewhere, and if it has run there it may run twice
     FAILED = "failed"
     NOT_SENT = "never left"
 
@@ -132,7 +132,7 @@
     """Makes requests with the same idempotency key run only once, at whichever dispatcher they arrive."""
 
     def applies_to(self, request: InboundRequest) -> bool:
-        """Whether the request has to be guarded."""
+        """Whether the request must be served through `serve_once`."""
         ...
 
     async def serve_once(
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -133,7 +133,7 @@
             taken.bind(("127.0.0.1", 0))
             address, other = Address("127.0.0.1", taken.getsockname()[1]), free_address()
             drivers = [RecordingDriver(), RecordingDriver()]
-            late = Peers(drivers[0], address, [address, other], pause=timedelta(milliseconds=1))
+            late = Peers(drivers[0], address, [address, other], retry_delay=timedelta(milliseconds=1))
             early = Peers(drivers[1], other, [address, other])
             for exchange in (late, early):
                 await exchange.start()
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -390,7 +390,7 @@
             worst = max(
                 worst, first + pacer.delay_after(destinations.SHARED_SERVICE_TIMEOUT, succeeded=False)
             )
-    assert destinations.SILENCE_TIMEOUT + worst + destinations.SHARED_SERVICE_TIMEOUT < TIME_TO_LEARN
+    assert destinations.WATCH_IDLE_TIMEOUT + worst + destinations.SHARED_SERVICE_TIMEOUT < TIME_TO_LEARN
     # After an outage, the call under way when discovery came back fails, and so does the next one.
     for seed in range(2000):
         pacer, span = RetryPacer(True, seed), timedelta()
@@ -472,7 +472,7 @@
 
 
 def test_silent_watch_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(destinations, "SILENCE_TIMEOUT", timedelta(milliseconds=100))
+    monkeypatch.setattr(destinations, "WATCH_IDLE_TIMEOUT", timedelta(milliseconds=100))
 
     async def story() -> None:
         revisions = list[int]()
