--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -13,7 +13,7 @@
 from tests.test_httpclient_requests import request
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Try-Id: try-1\r\nX-Seal: s\r\nContent-Length: 2\r\n"
-ANSWER = HEAD + b"Keep-Alive: timeout=%d\r\n\r\nok"
+RESPONSE = HEAD + b"Keep-Alive: timeout=%d\r\n\r\nok"
 
 
 class KeepAliveWorker:
@@ -33,7 +33,7 @@
         try:
             while True:
                 await reader.readuntil(b"question")
-                writer.write(ANSWER % self.limit)
+                writer.write(RESPONSE % self.limit)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
