--- a/rookwood/net/destinations.py
+++ b/rookwood/net/destinations.py
@@ -164,7 +164,7 @@
             else max(RETRY_DELAY, min(FIRST_RESPONSE_TIMEOUT, grace / 4))
         )
         self._received_at: datetime | None = None  # when discovery last sent something; gives the list's age
-        self._last_call_answered = clock.now()  # time of the response to the last answered call
+        self._last_response_at = clock.now()  # when discovery last responded to the opening of a watch
         self._clock, self._on_update = clock, on_update
         self._discovery, self._started = discovery, False
         self._needs_full_list = False  # the list in force came from another discovery service
@@ -259,7 +259,7 @@
             except Exception:
                 log.exception("an update of the destination list failed")
             succeeded = self._received_at is not before
-            took = self._last_call_answered - started_at if succeeded else self._clock.now() - started_at
+            took = self._last_response_at - started_at if succeeded else self._clock.now() - started_at
             await asyncio.sleep(self._pacer.delay_after(took, succeeded).total_seconds())
 
     def stats_lines(self) -> Iterator[str]:
@@ -287,7 +287,7 @@
                 stream.http.start_next_cycle()
             async with asyncio.timeout(self._first_response_timeout.total_seconds()):
                 await self._send_request(stream, f"/api/targets?follow=1&since={self.revision}")
-            self._last_call_answered = self._clock.now()
+            self._last_response_at = self._clock.now()
             rest, object_lines = b"", JsonObjectLines()
             while True:
                 async with asyncio.timeout(WATCH_IDLE_TIMEOUT.total_seconds()):
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -40,7 +40,8 @@
 from tests.test_stories import play
 
 SECOND = timedelta(seconds=1)
-# The platform assumes that a dispatcher knows a change this long after a silence or an outage.
+# The platform assumes that a dispatcher knows a change this long after the last data on its watch, or after
+# an outage of discovery.
 TIME_TO_LEARN = 6 * SECOND
 
 
@@ -381,7 +382,7 @@
 
 
 def test_silent_watch_and_a_failed_call_together_stay_within_the_time_to_learn_a_change() -> None:
-    """A silence, a delay, a call that fails as late as possible, another delay and an answered call."""
+    """An idle timeout, a delay, a call that fails as late as possible, another delay, a successful call."""
     worst = timedelta()
     for seed in range(2000):
         pacer = RetryPacer(True, seed)
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize(("before", "held"), [(0, False), (20, True)])
 def test_requests_of_impatient_clients_do_not_count_as_retries(before: int, held: bool) -> None:
-    """A request with little time time_left counts as a late retry, but not if all of them have little."""
+    """A request with little time left counts as a late retry, but not if all of them have little."""
     world = World(settings(dispatchers=1))
     world.list_workers(worker(0))
     world.end_attempt(world.send_request("fee", key=1), api.Outcome.OK)
@@ -59,13 +59,13 @@
 
 
 @pytest.mark.parametrize(
-    ("ending", "trusted"),
+    ("outcome", "trusted"),
     [(api.Outcome.CONNECT_FAILED, False), (api.Outcome.TIMED_OUT, False), (api.Outcome.IGNORED, True)],
 )
-def test_worker_that_fails_to_respond_to_a_probe_loses_trust(ending: api.Outcome, trusted: bool) -> None:
+def test_worker_that_fails_to_respond_to_a_probe_loses_trust(outcome: api.Outcome, trusted: bool) -> None:
     world = World(settings(dispatchers=1, probes=True))
     world.list_workers(worker(0), worker(2))
-    world.feed(api.ProbeResult(worker(0).id, ending))
+    world.feed(api.ProbeResult(worker(0).id, outcome))
     assert (world.policy.workers[worker(0).id].trust == 1.0) is trusted
 
 
