--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -353,14 +353,14 @@
         self.assertEqual(self.invariants.counts[Invariant.POSITION_MONOTONIC], 1)
 
     def test_two_primaries_of_one_epoch_are_a_violation(self) -> None:
-        witness = SinglePrimaryCheck(self.invariants)
-        witness.record_claim(3, "10.0.0.1")
-        witness.record_claim(3, "10.0.0.1")
-        witness.record_claim(4, "10.0.0.2")
-        witness.record_claim(3, "10.0.0.1")
+        check = SinglePrimaryCheck(self.invariants)
+        check.record_claim(3, "10.0.0.1")
+        check.record_claim(3, "10.0.0.1")
+        check.record_claim(4, "10.0.0.2")
+        check.record_claim(3, "10.0.0.1")
         self.assertEqual(self.invariants.total, 0, "the old primary does not know of the new one yet")
         with self.assertLogs("rookwood", logging.ERROR):
-            witness.record_claim(4, "10.0.0.3")
+            check.record_claim(4, "10.0.0.3")
         self.assertEqual(self.invariants.counts[Invariant.ONE_PRIMARY_PER_EPOCH], 1)
 
 
