--- a/rookwood/gateway/explore.py
+++ b/rookwood/gateway/explore.py
@@ -1,16 +1,16 @@
-"""Explores the handoff exhaustively: the machines of `handoff`, unchanged, against the worst network.
+"""Model checker of the handoff: explores the unchanged state machines of `handoff` exhaustively.
 
 **The network** is a set of messages that only grows: each may be delivered at any time, any number of times,
-or never. That is loss, doubling, delay and reordering without bound. Either side may die and come back with
-nothing at any point, and time may run out at any point.
+or never. This covers loss, duplication, delay and reordering without bound. Either side may crash and restart
+without its state at any point, and the deadline may pass at any point.
 
-**Jobs meet only in what they share**: the lives of the two processes and the leases. So the reachable states
-are kept by shared state and job rather than as their product (a product of reachable sets contains every
-reachable joint state, so what holds in all of it holds in each). `joint` explores the plain product, to check
-that the two agree.
+**Jobs interact only through shared state**: the incarnations of the two processes and the leases. So the
+reachable states are stored for each shared state and job, rather than as a product of all jobs. The product
+of the reachable sets contains every reachable joint state, so an invariant that holds in all of it holds in
+each. `explore_product` explores the plain product, to check that the two agree.
 
 The checker assumes of leases what `rookwood.gateway.lease` derives from clocks: home declares silence only
-when the away side's lease of that term has run out and its attempts of safe jobs are closed.
+when the away side's lease of that term has expired and its attempts of safe jobs are closed.
 """
 
 from __future__ import annotations
@@ -22,57 +22,61 @@
 from enum import Enum, auto
 
 from rookwood.gateway.handoff import (
-    HEARD_OF,
-    NOWHERE,
-    Away,
+    OUTCOME_EVENTS,
+    VALID,
+    Action,
     AwayEvent,
-    Do,
-    Home,
+    AwayState,
     HomeEvent,
+    HomeState,
+    MessageKind,
     Outcome,
-    Say,
-    Standing,
-    Verdict,
-    away,
-    home,
+    Resolution,
+    Validity,
+    step_away,
+    step_home,
 )
 
-Stepped = tuple[Away | None, tuple[Do | Outcome | Say, ...]]
-AwayStep = Callable[..., Stepped]
-HomeStep = Callable[[Home, HomeEvent], tuple[Home, tuple[Say, ...]]]
+AwayResult = tuple[AwayState | None, tuple[Action | Outcome | MessageKind, ...]]
+AwayStep = Callable[..., AwayResult]
+HomeStep = Callable[[HomeState, HomeEvent], tuple[HomeState, tuple[MessageKind, ...]]]
 
 
 @dataclass(frozen=True, slots=True)
 class Machines:
-    """What is explored; a mutant replaces one of them."""
+    """The state machines to explore; a mutant replaces one of them."""
 
-    home: HomeStep = home
-    away: AwayStep = away
+    step_home: HomeStep = step_home
+    step_away: AwayStep = step_away
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    what: Say | Outcome
-    life: int = 0  # that it is meant for
+    """A message in the network."""
+
+    content: MessageKind | Outcome
+    incarnation: int = 0  # of the away side that it is meant for
     term: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class JobState:
-    """One job on its way, with what only an observer of both sides knows."""
+    """The state of one job at both sides, with facts that only an observer of both knows."""
 
-    home: Home | None
-    away: Away | None = None
-    sent: frozenset[Message] = frozenset()
-    fresh: bool = True
-    out: bool = False  # the away side has an attempt out
-    far_runs: int = 0  # that may have run, at all lives of the away side together
-    finals: int = 0
-    went_home: bool = False
-    home_lost: bool = False  # the home side has died, and the client's connection with it
+    home: HomeState | None
+    away: AwayState | None = None
+    messages: frozenset[Message] = frozenset()
+    is_unexpired: bool = True
+    has_attempt: bool = False  # the away side has an open attempt
+    away_runs: int = 0  # attempts that may have run, in all incarnations of the away side
+    final_responses: int = 0
+    ran_at_home: bool = False
+    home_lost: bool = False  # the home side has crashed, which also closed the client's connection
 
 
 class Lease(Enum):
+    """The lease that the away side holds, by its term."""
+
     NONE = auto()
     FIRST = auto()
     SECOND = auto()
@@ -80,204 +84,234 @@
 
 @dataclass(frozen=True, slots=True)
 class Direction:
-    """What the jobs of one direction share."""
+    """The state that all jobs of one direction share."""
 
     lease: Lease = Lease.FIRST
-    term: int = 1  # the home side's
+    term: int = 1  # as the home side counts
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
-    lives: tuple[int, int] = (0, 0)  # of the two processes
-    ways: tuple[Direction, Direction] = (Direction(), Direction())  # home is process 0, home is process 1
+class SharedState:
+    """The state that all jobs share."""
+
+    incarnations: tuple[int, int] = (0, 0)  # of the two processes
+    directions: tuple[Direction, Direction] = (
+        Direction(),
+        Direction(),
+    )  # with process 0 as home, and with process 1
 
 
 class InvariantError(Exception):
-    """An invariant does not hold; `trace` leads there."""
+    """An invariant is violated; `trace` lists the steps that lead to the violation."""
 
-    def __init__(self, why: str, trace: list[str]) -> None:
-        super().__init__(f"{why} after: {' > '.join(trace)}")
-        self.why, self.trace = why, trace
+    def __init__(self, reason: str, trace: list[str]) -> None:
+        super().__init__(f"{reason} after: {' > '.join(trace)}")
+        self.why, self.trace = reason, trace
 
 
 TERM_OF = {Lease.NONE: 0, Lease.FIRST: 1, Lease.SECOND: 2}
-LOST_AT_HOME = {HomeEvent.RESEND, HomeEvent.RECALL, HomeEvent.CLIENT_GONE, HomeEvent.DEADLINE}
-ANY_TIME = (AwayEvent.LEAVING, AwayEvent.SERVED, AwayEvent.ENDED, AwayEvent.RESEND)
+LOCAL_HOME_EVENTS = {HomeEvent.RESEND, HomeEvent.RECALL, HomeEvent.CLIENT_GONE, HomeEvent.DEADLINE}
+LOCAL_AWAY_EVENTS = (AwayEvent.LAST_BYTE_READY, AwayEvent.SERVED, AwayEvent.ENDED, AwayEvent.RESEND)
 
 
-def fault(job: JobState, safe: bool) -> str | None:
-    """Why this state must not be; None where it is sound."""
-    if job.finals > 1:
-        return "two final answers"
-    if not safe and job.far_runs + job.went_home > 1:
+def find_violation(job: JobState, safe: bool) -> str | None:
+    """Return the violated invariant, or None."""
+    if job.final_responses > 1:
+        return "two final responses"
+    if not safe and job.away_runs + job.ran_at_home > 1:
         return "an unsafe job may have run twice"
-    if job.out and job.went_home:
+    if job.has_attempt and job.ran_at_home:
         return "two attempts at once"
     return None
 
 
 class Explorer:
-    def __init__(self, machines: Machines, safe: bool, way: int) -> None:
-        self._m, self.safe, self.way = machines, safe, way
+    """Generates the successor states of one job."""
+
+    def __init__(self, machines: Machines, safe: bool, home_process: int) -> None:
+        self._machines, self.safe, self.home_process = machines, safe, home_process
 
     @property
     def start(self) -> JobState:
-        return JobState(Home(self.safe))
-
-    # ---- what one job may do by itself ----
-
-    def steps(self, job: JobState, shared: Shared) -> Iterator[tuple[str, JobState]]:
-        life, lease = shared.lives[1 - self.way], shared.ways[self.way].lease
-        if job.home and not job.home.written and not job.home.verdict:
-            written, _ = self._m.home(job.home, HomeEvent.WRITTEN)
-            # A crash or a silence may have come before the first byte: it carries what is in force then.
-            offer = Message(Say.OFFER, 0, 1)
-            if shared.ways[self.way].term == 1:
-                yield "offer leaves", replace(job, home=written, sent=job.sent | {offer})
-        for message in job.sent:
-            if isinstance(message.what, Outcome) or message.what is Say.TAKEN:
+        return JobState(HomeState(self.safe))
+
+    # ---- steps of one job ----
+
+    def steps(self, job: JobState, shared: SharedState) -> Iterator[tuple[str, JobState]]:
+        """Yield every step that changes only this job: its name and the state after it."""
+        away_incarnation, lease = (
+            shared.incarnations[1 - self.home_process],
+            shared.directions[self.home_process].lease,
+        )
+        if job.home and not job.home.written and not job.home.resolution:
+            written, _ = self._machines.step_home(job.home, HomeEvent.WRITTEN)
+            # The offer names incarnation 0 and term 1, so it is sent only before term 1 has ended.
+            offer = Message(MessageKind.OFFER, 0, 1)
+            if shared.directions[self.home_process].term == 1:
+                yield "offer sent", replace(job, home=written, messages=job.messages | {offer})
+        for message in job.messages:
+            if isinstance(message.content, Outcome) or message.content is MessageKind.TAKEN:
                 if job.home:
-                    taken = not isinstance(message.what, Outcome)
-                    event = HomeEvent.TAKEN if taken else HEARD_OF[Outcome(message.what)]
-                    yield f"home hears {message.what.value}", self.home(job, event)
+                    taken = not isinstance(message.content, Outcome)
+                    event = HomeEvent.TAKEN if taken else OUTCOME_EVENTS[Outcome(message.content)]
+                    yield f"home receives {message.content.value}", self.step_home(job, event)
                 continue
-            standing = Standing(
-                message.life == life, job.fresh, lease is not Lease.NONE and message.term == TERM_OF[lease]
+            validity = Validity(
+                message.incarnation == away_incarnation,
+                job.is_unexpired,
+                lease is not Lease.NONE and message.term == TERM_OF[lease],
+            )
+            away_event = AwayEvent(message.content.value)
+            yield (
+                f"away receives {message.content.value}",
+                self.step_away(job, away_event, validity, away_incarnation),
             )
-            told = AwayEvent(message.what.value)
-            yield f"away hears {message.what.value}", self.away(job, told, standing, life)
         if job.home:
-            for event in LOST_AT_HOME:
-                if (
-                    job.home.written or event is not HomeEvent.RESEND
-                ):  # nothing is said again before it was said
-                    yield f"home {event.value}", self.home(job, event)
-            if life:
-                yield "home life gone", self.home(job, HomeEvent.LIFE_GONE)
+            for event in LOCAL_HOME_EVENTS:
+                if job.home.written or event is not HomeEvent.RESEND:  # nothing is resent before it was sent
+                    yield f"home {event.value}", self.step_home(job, event)
+            if away_incarnation:
+                yield "home away incarnation gone", self.step_home(job, HomeEvent.INCARNATION_GONE)
         if job.away:
-            leased = Standing(leased=lease is not Lease.NONE)
-            for here in ANY_TIME:
-                yield f"away {here.value}", self.away(job, here, leased, life)
-            if job.out:
-                yield "away returned", self.away(job, AwayEvent.RETURNED, leased, life)
+            leased = Validity(is_leased=lease is not Lease.NONE)
+            for away_event in LOCAL_AWAY_EVENTS:
+                yield f"away {away_event.value}", self.step_away(job, away_event, leased, away_incarnation)
+            if job.has_attempt:
+                yield (
+                    "away attempt not run",
+                    self.step_away(job, AwayEvent.ATTEMPT_NOT_RUN, leased, away_incarnation),
+                )
             if job.home_lost:
-                yield "away home dead", self.away(job, AwayEvent.HOME_DEAD, leased, life)
-            if not job.fresh:
-                yield "away expired", self.away(job, AwayEvent.EXPIRED, leased, life)
-        if job.fresh:
-            yield "time runs out", replace(job, fresh=False)
-
-    def owed(self, job: JobState) -> bool:
-        """The client waits, and its deadline would bring no answer."""
-        return bool(job.home and not job.home.verdict and not self.home(job, HomeEvent.DEADLINE).finals)
+                yield "away home dead", self.step_away(job, AwayEvent.HOME_DEAD, leased, away_incarnation)
+            if not job.is_unexpired:
+                yield "away expired", self.step_away(job, AwayEvent.EXPIRED, leased, away_incarnation)
+        if job.is_unexpired:
+            yield "job expires", replace(job, is_unexpired=False)
+
+    def lacks_final_response(self, job: JobState) -> bool:
+        """Whether the client waits and would get no response even at its deadline."""
+        return bool(
+            job.home
+            and not job.home.resolution
+            and not self.step_home(job, HomeEvent.DEADLINE).final_responses
+        )
 
-    def home(self, job: JobState, event: HomeEvent) -> JobState:
+    def step_home(self, job: JobState, event: HomeEvent) -> JobState:
+        """The job after an event at its home side."""
         assert job.home
-        after, says = self._m.home(job.home, event)
-        sent = job.sent | {Message(what, 0, 1) for what in says}
-        final = after.verdict is not None and job.home.verdict is None
+        after, messages_sent = self._machines.step_home(job.home, event)
+        sent = job.messages | {Message(kind, 0, 1) for kind in messages_sent}
+        final = after.resolution is not None and job.home.resolution is None
         return replace(
             job,
             home=after,
-            sent=sent,
-            finals=job.finals + final,
-            went_home=job.went_home or after.verdict is Verdict.HOME,
+            messages=sent,
+            final_responses=job.final_responses + final,
+            ran_at_home=job.ran_at_home or after.resolution is Resolution.RUN_AT_HOME,
         )
 
-    def away(self, job: JobState, event: AwayEvent, standing: Standing, life: int) -> JobState:
-        after, acts = self._m.away(job.away, event, standing, self.safe)
-        out, runs = job.out, job.far_runs
-        if event in (AwayEvent.SERVED, AwayEvent.ENDED, AwayEvent.RETURNED) and job.away:
-            runs -= event is AwayEvent.RETURNED
-            out = False
-        if Do.GO in acts:
-            out, runs = True, min(runs + 1, 2)
-        said = {Message(a) for a in acts if isinstance(a, Outcome) or a is Say.TAKEN}
-        if event is AwayEvent.SERVED and not job.out:
+    def step_away(
+        self, job: JobState, event: AwayEvent, validity: Validity, away_incarnation: int
+    ) -> JobState:
+        after, actions = self._machines.step_away(job.away, event, validity, self.safe)
+        has_attempt, away_runs = job.has_attempt, job.away_runs
+        if event in (AwayEvent.SERVED, AwayEvent.ENDED, AwayEvent.ATTEMPT_NOT_RUN) and job.away:
+            away_runs -= event is AwayEvent.ATTEMPT_NOT_RUN
+            has_attempt = False
+        if Action.SEND_LAST_BYTE in actions:
+            has_attempt, away_runs = True, min(away_runs + 1, 2)
+        sent = {Message(a) for a in actions if isinstance(a, Outcome) or a is MessageKind.TAKEN}
+        if event is AwayEvent.SERVED and not job.has_attempt:
             return job  # without an attempt there is no result
-        return replace(job, away=after, out=out, far_runs=runs, sent=job.sent | said)
+        return replace(
+            job, away=after, has_attempt=has_attempt, away_runs=away_runs, messages=job.messages | sent
+        )
 
-    # ---- what happens to all jobs at once ----
+    # ---- steps of all jobs at once ----
 
-    def together(self, job: JobState, what: str, process: int) -> JobState | None:
-        """The job after a shared event; None where it cannot happen in this state."""
-        mine = process == self.way
-        match what:
+    def apply_shared_event(self, job: JobState, event: str, process: int) -> JobState | None:
+        """The job after a shared event; None if the event cannot occur in this state."""
+        is_home_process = process == self.home_process
+        match event:
             case "crash":
-                if mine:
+                if is_home_process:
                     return replace(job, home=None, home_lost=True)
-                return replace(job, away=None, out=False)  # its connections are reset
-            case "lease lost" if mine:
-                return self.away(job, AwayEvent.LEASE_LOST, NOT_LEASED, 0) if job.away else job
-            case "silence" if mine:
-                if self.safe and job.out:
+                return replace(job, away=None, has_attempt=False)  # its connections are reset
+            case "lease lost" if is_home_process:
+                return self.step_away(job, AwayEvent.LEASE_LOST, NOT_LEASED, 0) if job.away else job
+            case "silence" if is_home_process:
+                if self.safe and job.has_attempt:
                     return None
-                return self.home(job, HomeEvent.SILENCE) if job.home else job
+                return self.step_home(job, HomeEvent.SILENCE) if job.home else job
         return job
 
 
-NOT_LEASED = Standing(leased=False)
+NOT_LEASED = Validity(is_leased=False)
 
 
-def shared_steps(shared: Shared) -> Iterator[tuple[str, int, Shared]]:
-    """The event, the process (for leases: the home side) and what is shared after it."""
+def shared_steps(shared: SharedState) -> Iterator[tuple[str, int, SharedState]]:
+    """Yield each shared event, its process (for leases: the home side) and the shared state after it."""
     for process in (0, 1):
-        lives, ways = list(shared.lives), list(shared.ways)
-        if not lives[process]:
-            lives[process] = 1
-            ways[1 - process] = replace(ways[1 - process], lease=Lease.NONE)
-            yield "crash", process, Shared((lives[0], lives[1]), (ways[0], ways[1]))
-        way = shared.ways[process]
-
-        def with_way(new: Direction, process: int = process) -> Shared:
-            ways = [new if n == process else shared.ways[n] for n in (0, 1)]
-            return replace(shared, ways=(ways[0], ways[1]))
-
-        if way.lease is not Lease.NONE:
-            yield "lease lost", process, with_way(replace(way, lease=Lease.NONE))
-        elif way.term == 1:
-            yield "lease held", process, with_way(replace(way, lease=Lease.FIRST))
+        incarnations, directions = list(shared.incarnations), list(shared.directions)
+        if not incarnations[process]:
+            incarnations[process] = 1
+            directions[1 - process] = replace(directions[1 - process], lease=Lease.NONE)
+            yield (
+                "crash",
+                process,
+                SharedState((incarnations[0], incarnations[1]), (directions[0], directions[1])),
+            )
+        direction = shared.directions[process]
+
+        def with_direction(new_direction: Direction, process: int = process) -> SharedState:
+            directions = [new_direction if n == process else shared.directions[n] for n in (0, 1)]
+            return replace(shared, directions=(directions[0], directions[1]))
+
+        if direction.lease is not Lease.NONE:
+            yield "lease lost", process, with_direction(replace(direction, lease=Lease.NONE))
+        elif direction.term == 1:
+            yield "lease held", process, with_direction(replace(direction, lease=Lease.FIRST))
         else:
-            yield "lease held", process, with_way(replace(way, lease=Lease.SECOND))
-        if way.term == 1 and way.lease is Lease.NONE:
-            yield "silence", process, with_way(replace(way, term=2))
+            yield "lease held", process, with_direction(replace(direction, lease=Lease.SECOND))
+        if direction.term == 1 and direction.lease is Lease.NONE:
+            yield "silence", process, with_direction(replace(direction, term=2))
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    verdicts: frozenset[
-        Verdict
-    ]  # that were given somewhere: without all of them the exploration shows little
-    shared: int
-    states: int  # of single jobs, by shared state
-    product: int  # joint states that these stand for
+    """The extent of an exploration without a violation."""
+
+    resolutions: frozenset[Resolution]  # that were reached; if any is missing, the exploration proves little
+    shared_states: int
+    states: int  # of single jobs, counted for each shared state
+    joint_states: int  # of all jobs together, which the single ones represent
     seconds: float
 
 
-Kind = tuple[bool, int]  # safe?, home process
-TWO_EACH_WAY: tuple[Kind, ...] = ((False, 0), (True, 0), (False, 1), (True, 1))
+JobKind = tuple[bool, int]  # safe?, home process
+TWO_EACH_WAY: tuple[JobKind, ...] = ((False, 0), (True, 0), (False, 1), (True, 1))
 
 
 def explore(
     machines: Machines | None = None,
-    kinds: Iterable[Kind] = TWO_EACH_WAY,
+    kinds: Iterable[JobKind] = TWO_EACH_WAY,
     progress: Callable[[int], None] | None = None,
 ) -> Report:
-    """Every state of every job. Raises `BrokenError` with a shortest trace to a state that must not be."""
+    """Explore every state of every job. Raises `InvariantError` with a shortest trace to a violation."""
     began = time.perf_counter()
-    explorers = [Explorer(machines or Machines(), safe, way) for safe, way in kinds]
-    found: dict[tuple[Shared, int, JobState], tuple[tuple[Shared, int, JobState] | None, str]] = {}
-    todo: deque[tuple[Shared, int, JobState]] = deque()
+    explorers = [Explorer(machines or Machines(), safe, home_process) for safe, home_process in kinds]
+    found: dict[tuple[SharedState, int, JobState], tuple[tuple[SharedState, int, JobState] | None, str]] = {}
+    pending: deque[tuple[SharedState, int, JobState]] = deque()
 
     def reach(
-        node: tuple[Shared, int, JobState], before: tuple[Shared, int, JobState] | None, name: str
+        node: tuple[SharedState, int, JobState], before: tuple[SharedState, int, JobState] | None, name: str
     ) -> None:
         if node in found:
             return
         found[node] = (before, name)
         explorer = explorers[node[1]]
-        if why := fault(node[2], explorer.safe) or (
-            "no answer at the deadline" if explorer.owed(node[2]) else None
+        if reason := find_violation(node[2], explorer.safe) or (
+            "no response at the deadline" if explorer.lacks_final_response(node[2]) else None
         ):
             trace, at = list[str](), node
             while True:
@@ -286,107 +320,114 @@
                     break
                 trace.append(step)
                 at = parent
-            raise InvariantError(why, trace[::-1])
-        todo.append(node)
+            raise InvariantError(reason, trace[::-1])
+        pending.append(node)
         if progress and len(found) % 20_000 == 0:
             progress(len(found))
 
-    for n, explorer in enumerate(explorers):
-        reach((Shared(), n, explorer.start), None, "")
-    while todo:
-        node = shared, n, job = todo.popleft()
-        explorer = explorers[n]
-        for name, after in explorer.steps(job, shared):
-            reach((shared, n, after), node, name)
-        for name, process, later in shared_steps(shared):
-            together = explorer.together(job, name, process)
-            if together:
-                reach((later, n, together), node, f"{name} ({process})")
-    by_shared: dict[Shared, list[int]] = {}
-    for shared, n, _ in found:
-        by_shared.setdefault(shared, [0] * len(explorers))[n] += 1
-    product = 0
+    for index, explorer in enumerate(explorers):
+        reach((SharedState(), index, explorer.start), None, "")
+    while pending:
+        node = shared, index, job = pending.popleft()
+        explorer = explorers[index]
+        for name, next_state in explorer.steps(job, shared):
+            reach((shared, index, next_state), node, name)
+        for name, process, next_shared in shared_steps(shared):
+            next_job = explorer.apply_shared_event(job, name, process)
+            if next_job:
+                reach((next_shared, index, next_job), node, f"{name} ({process})")
+    by_shared: dict[SharedState, list[int]] = {}
+    for shared, index, _ in found:
+        by_shared.setdefault(shared, [0] * len(explorers))[index] += 1
+    joint_states = 0
     for counts in by_shared.values():
-        joint_states = 1
+        product = 1
         for count in counts:
-            joint_states *= count
-        product += joint_states
-    verdicts = frozenset(job.home.verdict for _, _, job in found if job.home and job.home.verdict)
-    return Report(verdicts, len(by_shared), len(found), product, time.perf_counter() - began)
-
-
-def joint(kinds: Iterable[Kind], limit: int, machines: Machines | None = None) -> tuple[int, bool]:
-    """The plain product, for as many states as `limit`: how many were seen, and whether that was all."""
-    explorers = [Explorer(machines or Machines(), safe, way) for safe, way in kinds]
-    start = (Shared(), tuple(explorer.start for explorer in explorers))
-    seen, todo = {start}, deque([start])
-    while todo:
-        shared, jobs = todo.popleft()
-        after: list[tuple[Shared, tuple[JobState, ...]]] = []
-        for n, explorer in enumerate(explorers):
-            after += [
-                (shared, (*jobs[:n], job, *jobs[n + 1 :])) for _, job in explorer.steps(jobs[n], shared)
+            product *= count
+        joint_states += product
+    resolutions = frozenset(job.home.resolution for _, _, job in found if job.home and job.home.resolution)
+    return Report(resolutions, len(by_shared), len(found), joint_states, time.perf_counter() - began)
+
+
+def explore_product(
+    kinds: Iterable[JobKind], limit: int, machines: Machines | None = None
+) -> tuple[int, bool]:
+    """Explore up to `limit` states of the plain product; returns how many were seen and if that was all."""
+    explorers = [Explorer(machines or Machines(), safe, home_process) for safe, home_process in kinds]
+    start = (SharedState(), tuple(explorer.start for explorer in explorers))
+    seen, pending = {start}, deque([start])
+    while pending:
+        shared, jobs = pending.popleft()
+        next_states: list[tuple[SharedState, tuple[JobState, ...]]] = []
+        for index, explorer in enumerate(explorers):
+            next_states += [
+                (shared, (*jobs[:index], job, *jobs[index + 1 :]))
+                for _, job in explorer.steps(jobs[index], shared)
             ]
-        for name, process, later in shared_steps(shared):
-            moved = [e.together(job, name, process) for e, job in zip(explorers, jobs, strict=True)]
-            if all(moved):
-                after.append((later, tuple(job for job in moved if job)))
-        for state in after:
+        for name, process, next_shared in shared_steps(shared):
+            next_jobs = [
+                e.apply_shared_event(job, name, process) for e, job in zip(explorers, jobs, strict=True)
+            ]
+            if all(next_jobs):
+                next_states.append((next_shared, tuple(job for job in next_jobs if job)))
+        for state in next_states:
             if state in seen:
                 continue
             for explorer, job in zip(explorers, state[1], strict=True):
-                if why := fault(job, explorer.safe):
-                    raise InvariantError(why, ["joint"])
+                if reason := find_violation(job, explorer.safe):
+                    raise InvariantError(reason, ["product"])
             if len(seen) >= limit:
                 return len(seen), False
             seen.add(state)
-            todo.append(state)
+            pending.append(state)
     return len(seen), True
 
 
-# ---- mutants: each forgets one thing that the protocol stands on, and must be caught ----
+# ---- mutants: each breaks one mechanism of the protocol, and the exploration must find a violation ----
+
 
+def _with_validity(mutate: Callable[[Validity], Validity]) -> Machines:
+    """An away side that judges the validity of messages wrongly."""
 
-def _with(mutate: Callable[[Standing], Standing]) -> Machines:
     def mutant(
-        state: Away | None, event: AwayEvent, standing: Standing = NOWHERE, safe: bool = False
-    ) -> Stepped:
-        return away(state, event, mutate(standing), safe)
+        state: AwayState | None, event: AwayEvent, validity: Validity = VALID, safe: bool = False
+    ) -> AwayResult:
+        return step_away(state, event, mutate(validity), safe)
 
-    return Machines(away=mutant)
+    return Machines(step_away=mutant)
 
 
 def forgets_tombstone(
-    state: Away | None, event: AwayEvent, standing: Standing = NOWHERE, safe: bool = False
-) -> Stepped:
-    """The record of a job that never ran goes as soon as home has said that it knows."""
-    after, acts = away(state, event, standing, safe)
+    state: AwayState | None, event: AwayEvent, validity: Validity = VALID, safe: bool = False
+) -> AwayResult:
+    """Drops the record of a job that never ran as soon as home acknowledges the promise."""
+    after, actions = step_away(state, event, validity, safe)
     forgotten = event is AwayEvent.ACK and after and after.outcome is Outcome.NEVER
-    return None if forgotten else after, acts
+    return None if forgotten else after, actions
 
 
 def promises_after_leaving(
-    state: Away | None, event: AwayEvent, standing: Standing = NOWHERE, safe: bool = False
-) -> Stepped:
-    """A job whose attempt was called off is said never to have run."""
-    after, acts = away(state, event, standing, safe)
+    state: AwayState | None, event: AwayEvent, validity: Validity = VALID, safe: bool = False
+) -> AwayResult:
+    """Promises that a job never ran although its attempt was cancelled after it may have run."""
+    after, actions = step_away(state, event, validity, safe)
     if event is AwayEvent.ENDED and state and state.stopping and after:
         return replace(after, outcome=Outcome.NEVER), (Outcome.NEVER,)
-    return after, acts
+    return after, actions
 
 
-def trusts_silence(state: Home, event: HomeEvent) -> tuple[Home, tuple[Say, ...]]:
-    """An unsafe job comes home after a silence, like a safe one."""
-    if event is HomeEvent.SILENCE and not state.verdict:
-        return replace(state, verdict=Verdict.HOME, asking=Say.ABANDON), ()
-    return home(state, event)
+def trusts_silence(state: HomeState, event: HomeEvent) -> tuple[HomeState, tuple[MessageKind, ...]]:
+    """Runs an unsafe job at home after the lease expired, like a safe one."""
+    if event is HomeEvent.SILENCE and not state.resolution:
+        return replace(state, resolution=Resolution.RUN_AT_HOME, cancel_message=MessageKind.ABANDON), ()
+    return step_home(state, event)
 
 
 MUTANTS = {
-    "forgets tombstone": Machines(away=forgets_tombstone),
-    "promises after leaving": Machines(away=promises_after_leaving),
-    "trusts silence": Machines(home=trusts_silence),
-    "ignores epoch": _with(lambda standing: replace(standing, mine=True)),
-    "ignores expiry": _with(lambda standing: replace(standing, fresh=True)),
-    "ignores lease": _with(lambda standing: replace(standing, leased=True)),
+    "forgets tombstone": Machines(step_away=forgets_tombstone),
+    "promises after leaving": Machines(step_away=promises_after_leaving),
+    "trusts silence": Machines(step_home=trusts_silence),
+    "ignores epoch": _with_validity(lambda validity: replace(validity, is_for_this_incarnation=True)),
+    "ignores expiry": _with_validity(lambda validity: replace(validity, is_unexpired=True)),
+    "ignores lease": _with_validity(lambda validity: replace(validity, is_leased=True)),
 }
--- a/rookwood/gateway/frames.py
+++ b/rookwood/gateway/frames.py
@@ -1,7 +1,7 @@
-"""Messages between gateways: MessagePack arrays in frames of a 4-byte length, each a small frozen value.
+"""Messages between processes: MessagePack arrays, each in a frame with a 4-byte length prefix.
 
-The machines and the router know nothing of these; another codec takes the place of this module. Times are
-integer microseconds on the wire alone: spans, or Unix time where a name ends in `_at`.
+The state machines and the router do not depend on this module, so the encoding can be replaced. Times are
+integer microseconds, and only on the wire: durations, or Unix time where a name ends in `_at`.
 """
 
 from __future__ import annotations
@@ -16,55 +16,57 @@
 
 
 class FrameError(ValueError):
-    """What came is no message of this protocol, or one too large."""
+    """The received bytes are not a message of this protocol, or the frame has an invalid length."""
 
 
 class Hello(Struct, frozen=True, array_like=True, tag="hello"):
-    """The first message of either side."""
+    """The first message that either side sends."""
 
     version: int
     site: str
     name: str
-    life: int  # of this process; another after each start
+    life: int  # incarnation of this process; differs after each start
     now_at: int
 
 
 class Refusal(Struct, frozen=True, array_like=True, tag="refusal"):
-    """Instead of a hello, or after one: this side will not talk. The connection ends."""
+    """Rejects the connection, in place of a hello or after it. The sender closes the connection."""
 
     why: str
 
 
 class Ping(Struct, frozen=True, array_like=True, tag="ping"):
-    """Away asks home for its lease, and says how many slots it lends."""
+    """Away requests its lease from home and reports how many slots it lends."""
 
-    asked: int  # away's own clock; comes back as it is
+    asked: int  # time of the request by away's clock; home returns it unchanged
     credit: float
     rtt: int
 
 
 class Stop(Struct, frozen=True, array_like=True):
-    """An endpoint of the away site that home was told is draining or gone."""
+    """An endpoint of the away site that drains or is gone, as the home site learned."""
 
     uid: str
-    age: int  # since home was told
+    age: int  # time since home learned of it
 
 
 class Pong(Struct, frozen=True, array_like=True, tag="pong"):
-    """Home grants the lease, says what it would hand over, and what it knows of away's endpoints."""
+    """Home grants the lease and reports its demand and what it knows of away's endpoints."""
 
-    asked: int
+    asked: int  # copied from the ping; 0 if this only updates the advice
     term: int
-    want: float  # slots
+    want: float  # slots of the jobs that wait at home
     stops: tuple[Stop, ...] = ()
 
 
 class Offer(Struct, frozen=True, array_like=True, tag="offer"):
+    """Home offers a job to away."""
+
     job: int
-    life: int  # of the away side, that the offer is for
+    life: int  # incarnation of the away side that the offer is for
     term: int
     expires_at: int  # by home's clock
-    left: int
+    left: int  # time until the job's deadline
     job_class: str
     slots: float
     memory: float | None
@@ -82,6 +84,8 @@
 
 
 class Withdraw(Struct, frozen=True, array_like=True, tag="withdraw"):
+    """Home takes an offer back: away must not start the job, and with `abandon` must also stop it."""
+
     job: int
     life: int
     expires_at: int
@@ -90,21 +94,27 @@
 
 
 class Ack(Struct, frozen=True, array_like=True, tag="ack"):
+    """Home has received the outcome of the job."""
+
     job: int
 
 
 class Taken(Struct, frozen=True, array_like=True, tag="taken"):
+    """Away has accepted the offer."""
+
     job: int
 
 
 class Ended(Struct, frozen=True, array_like=True, tag="ended"):
+    """Away reports the outcome of the job."""
+
     job: int
-    outcome: str  # of `handoff.Outcome`
+    outcome: str  # a value of `handoff.Outcome`
     body: bytes = b""
 
 
 class DutyAsk(Struct, frozen=True, array_like=True, tag="duty-ask"):
-    """A member asks for a vote. This and the next kinds are of `rookwood.duties`, on links of its own."""
+    """A member requests a vote. `rookwood.duties` uses this and the following messages, on separate links."""
 
     duty: str
     term: int
@@ -116,17 +126,21 @@
 
 
 class DutyVote(Struct, frozen=True, array_like=True, tag="duty-vote"):
+    """A voter's response to a request for a vote."""
+
     duty: str
     voter: str
     number: int
-    term: int  # of the question, with the next two
+    term: int  # copied from the request, as are the next two fields
     holder: str
     life: int
     yes: bool
-    highest: int  # term that the voter has heard of
+    highest: int  # the highest term that the voter knows of
 
 
 class DutyRelease(Struct, frozen=True, array_like=True, tag="duty-release"):
+    """The holder of a duty gives it up."""
+
     duty: str
     term: int
     holder: str
@@ -135,7 +149,7 @@
 
 
 class Announce(Struct, frozen=True, array_like=True, tag="announce"):
-    """To the relay of the service address: it is here. The first of a token opens the relay for it."""
+    """Tells the relay where the service address is. A token's first announcement opens the relay for it."""
 
     duty: str
     term: int
@@ -147,13 +161,15 @@
 
 
 class Announced(Struct, frozen=True, array_like=True, tag="announced"):
+    """The relay's response to an announcement."""
+
     serial: int
     accepted: bool
-    seen: int  # the highest term that the relay was opened for
+    seen: int  # the highest term for which the relay was opened
 
 
 class MemberNews(Struct, frozen=True, array_like=True):
-    """A word about a member of the site, of `rookwood.members`."""
+    """The state of one member of the site, for `rookwood.members`."""
 
     name: str
     life: int
@@ -164,55 +180,61 @@
 
 
 class MemberProbe(Struct, frozen=True, array_like=True, tag="member-probe"):
+    """Probes a member, with news of others."""
+
     number: int
     about: str
     news: tuple[MemberNews, ...]
 
 
 class MemberAck(Struct, frozen=True, array_like=True, tag="member-ack"):
+    """The response to a probe, with news of others."""
+
     number: int
     about: str
     news: tuple[MemberNews, ...]
 
 
 class SiteAsk(Struct, frozen=True, array_like=True, tag="site-ask"):
-    """How is it with you? The answer was given after the question, whatever the links do meanwhile."""
+    """Requests a dispatcher's state. The number shows that the response was made after this request."""
 
     number: int
 
 
 class SiteTold(Struct, frozen=True, array_like=True, tag="site-told"):
-    """What a dispatcher tells the others of its site, of itself."""
+    """The state that a dispatcher reports to the others of its site."""
 
-    number: int  # of the question; 0: nobody asked
+    number: int  # of the request; 0 if there was none
     life: int
-    ready: bool  # serves, and may vote
-    roll: int  # the latest that it has heard of, by number, starter and the processes that are to end
+    ready: bool  # it serves requests and may vote
+    roll: int  # the latest roll that it knows of: its number, its starter and the processes to be restarted
     starter: str
     lives: tuple[tuple[str, int], ...]
-    list: int  # the number of its list of members
-    floor: int  # it has no vote running for a holder by an older list than this
-    sick: tuple[str, ...]  # endpoints that fail here
-    well: tuple[str, ...]  # and that have served since they did
+    list: int  # the version of its list of members
+    floor: int  # it has no unexpired vote that was given by a list older than this
+    sick: tuple[str, ...]  # endpoints that fail for this dispatcher
+    well: tuple[str, ...]  # endpoints that have served again since they failed
 
 
 class GroupWord(Struct, frozen=True, array_like=True, tag="group-word"):
-    """Of the registers that a site keeps: `rookwood.replicas.wire` reads it."""
+    """A message of the site's replicated registers; `rookwood.replicas.wire` decodes it."""
 
     body: bytes
 
 
 class StoreCall(Struct, frozen=True, array_like=True, tag="store-call"):
-    """A step of the ledger's store, to whoever leads."""
+    """An operation on the ledger's store, sent to the leader."""
 
     number: int
     body: bytes
 
 
 class StoreSaid(Struct, frozen=True, array_like=True, tag="store-said"):
+    """The leader's response to an operation on the store."""
+
     number: int
     body: bytes
-    why: str  # empty: it was taken
+    why: str  # reason of a failure; empty if the operation was accepted
 
 
 FromHome = Hello | Pong | Offer | Withdraw | Ack | Refusal
@@ -226,12 +248,13 @@
 
 
 def encoded(frame: Frame) -> bytes:
+    """Encode a message with its length prefix."""
     data = _encoder.encode(frame)
     return PREFIX.pack(len(data)) + data
 
 
 def decoded(data: bytes) -> Frame:
-    """Of one frame without its length. Raises `FrameError`."""
+    """Decode one frame without its length prefix. Raises `FrameError`."""
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:  # ValueError: text that is not UTF-8
@@ -239,20 +262,21 @@
 
 
 class Splitter:
-    """Bytes in, frames out; keeps at most one frame of `most` bytes."""
+    """Splits received bytes into frames; buffers at most one incomplete frame of up to `max_size` bytes."""
 
-    def __init__(self, most: int) -> None:
-        self._most, self._rest = most, bytearray()
+    def __init__(self, max_size: int) -> None:
+        self._max_size, self._buffer = max_size, bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        self._rest += data
+        """Add received bytes; returns the frames that they complete. Raises `FrameError`."""
+        self._buffer += data
         found = list[Frame]()
-        while len(self._rest) >= PREFIX.size:
-            (length,) = PREFIX.unpack_from(self._rest)
-            if not 1 <= length <= self._most:
-                raise FrameError(f"a frame of {length} bytes; 1 to {self._most} are taken")
-            if len(self._rest) < PREFIX.size + length:
+        while len(self._buffer) >= PREFIX.size:
+            (length,) = PREFIX.unpack_from(self._buffer)
+            if not 1 <= length <= self._max_size:
+                raise FrameError(f"a frame of {length} bytes; 1 to {self._max_size} are allowed")
+            if len(self._buffer) < PREFIX.size + length:
                 break
-            found.append(decoded(bytes(self._rest[PREFIX.size : PREFIX.size + length])))
-            del self._rest[: PREFIX.size + length]
+            found.append(decoded(bytes(self._buffer[PREFIX.size : PREFIX.size + length])))
+            del self._buffer[: PREFIX.size + length]
         return found
--- a/rookwood/gateway/lending.py
+++ b/rookwood/gateway/lending.py
@@ -1,8 +1,10 @@
-"""How many slots a site lends, and how they are dealt out to the homes that ask. No I/O, no clock.
+"""How many slots a site lends, and how they are shared among the homes that request them.
 
-Own traffic goes first: what is lent is what own traffic leaves free, less a reserve, and never over a share
-of the site. It falls at once and rises slowly, so that a lull of a moment draws no crowd of guests. What is
-free goes to the homes in turns.
+The site's own traffic has priority: a site lends what its own traffic leaves free, less a reserve, and never
+more than a configured share of its slots. The number falls at once and rises slowly, so that a short lull
+does not attract a burst of guests. The spare slots go to one home at a time, in turn.
+
+This module uses no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -17,64 +19,72 @@
 from rookwood.net.dispatcher_group import DispatcherGroup
 
 H = TypeVar("H", bound=Hashable)
-LENDING = "lending"  # the duty of the one dispatcher that lends what is spare at a site, where duties are on
-RISE = timedelta(milliseconds=300)  # so long until what is lent has risen by most of a step
-LEAST_WANT = 1.0
-FADE = 0.9  # of what a home has had, from one interval to the next
+LENDING = "lending"  # where duties are enabled, only the dispatcher with this duty lends spare slots
+RISE_TIME = timedelta(milliseconds=300)  # time constant with which the lent slots approach a higher target
+MIN_WANTED_SLOTS = 1.0  # counted as used by the home whose turn it is, even if it wants fewer
+USAGE_DECAY = 0.9  # applied to each home's past usage at each interval
 
 
 @dataclass(frozen=True, slots=True)
-class Home:
-    want: float  # slots that its waiting jobs would take
-    guests: float  # slots that its jobs take here
+class HomeDemand:
+    """What one home uses and wants of the slots here."""
+
+    wanted_slots: float  # that its waiting jobs would take
+    guest_slots: float  # that its jobs take here
 
 
 @dataclass(slots=True)
 class Lender:
-    lend: float  # share of the site's slots, for guests at most
-    reserve: float  # share kept free for own traffic
-    tier: DispatcherGroup  # the dispatchers of this site, among whom its slots are shared
-    lent: float = 0.0  # slots, guests here included
-    _at: datetime | None = None
-
-    def update(self, now: datetime, told: api.SiteLoad, guests: float, speaks: bool = True) -> float:
-        """Slots that this dispatcher lends now in all; `guests` are taken by them already. Who does not
-        speak for the site keeps the guests it has and lends nothing more."""
-        spare = told.slots * (1 - self.reserve) - told.used_slots - told.held_slots * self.tier.count
-        # All that is spare is offered by whoever lends: a part of it would often hold no large job. Where
-        # nobody speaks for the site each dispatcher lends, so two may lend the same slots at once; guests
-        # then find no room, and go back after a short wait.
-        goal = max(0.0, min(self.lend * told.slots, guests + spare)) if speaks else guests
-        age = now - self._at if self._at else RISE
-        self._at = now
-        if goal < self.lent:
-            self.lent = goal
+    """Computes how many slots this dispatcher lends."""
+
+    max_share: float  # the largest share of the site's slots that guests may take
+    reserved_share: float  # the share kept free for the site's own traffic
+    group: DispatcherGroup  # the dispatchers of this site, among whom its slots are shared
+    lent_slots: float = 0.0  # including those that guests take now
+    _updated_at: datetime | None = None
+
+    def update(self, now: datetime, load: api.SiteLoad, guest_slots: float, may_lend: bool = True) -> float:
+        """Return the total of slots that this dispatcher lends now, including the `guest_slots` in use.
+
+        Without `may_lend` the target is the slots that guests already take, so nothing more is lent.
+        """
+        spare = load.slots * (1 - self.reserved_share) - load.used_slots - load.held_slots * self.group.count
+        # Each lender offers all spare slots, because a part of them would often not hold a large job. Where
+        # duties are off every dispatcher lends, so two may lend the same slots at once; guests then find no
+        # free slot and are handed back after a short wait.
+        target = max(0.0, min(self.max_share * load.slots, guest_slots + spare)) if may_lend else guest_slots
+        elapsed = now - self._updated_at if self._updated_at else RISE_TIME
+        self._updated_at = now
+        if target < self.lent_slots:
+            self.lent_slots = target
         else:
-            self.lent += (1 - math.exp(-(age / RISE))) * (goal - self.lent)
-        return self.lent
+            self.lent_slots += (1 - math.exp(-(elapsed / RISE_TIME))) * (target - self.lent_slots)
+        return self.lent_slots
 
 
-class Turns:
-    """Who may use what is spare: one home at a time, for one interval.
+class SpareAllocator:
+    """Gives the spare slots to one home at a time, for one interval.
 
-    Dealt out in parts, what is spare would often hold no large job for anybody. So all of it goes to the home
-    that wants something and has had least, after deficit round robin (Shreedhar and Varghese, SIGCOMM 1995).
-    Where nobody wants anything it goes round all the same: a sudden rise need not wait for a round trip.
+    If they were split, no home's part might hold a large job. So all of them go to the home that wants slots
+    and has used the least, after deficit round robin (Shreedhar and Varghese, SIGCOMM 1995). If no home wants
+    slots they rotate among all homes, so that a sudden rise in demand need not wait for a round trip.
     """
 
     def __init__(self) -> None:
-        self._had: dict[Hashable, float] = {}  # slots lent to a home, summed over intervals, decayed
+        self._usage: dict[Hashable, float] = {}  # slots lent to each home, summed over intervals with decay
 
-    def deal(self, total: float, homes: Mapping[H, Home]) -> dict[H, float]:
-        """Credit of each home: what its guests take here, and in its turn all that is spare as well."""
-        for who in [who for who in self._had if who not in homes]:
-            del self._had[who]
+    def allocate(self, total: float, homes: Mapping[H, HomeDemand]) -> dict[H, float]:
+        """Return each home's credit: the slots its guests take, plus all spare ones if it is its turn."""
+        for key in [key for key in self._usage if key not in homes]:
+            del self._usage[key]
         if not homes:
             return {}
-        spare = max(0.0, total - sum(home.guests for home in homes.values()))
-        wanting = [who for who, home in homes.items() if home.want > 0] or list(homes)
-        turn = min(wanting, key=lambda who: (self._had.get(who, 0.0), str(who)))
-        for who, home in homes.items():
-            used = home.guests + (min(spare, max(LEAST_WANT, home.want)) if who == turn else 0.0)
-            self._had[who] = FADE * self._had.get(who, 0.0) + used
-        return {who: home.guests + (spare if who == turn else 0.0) for who, home in homes.items()}
+        spare = max(0.0, total - sum(home.guest_slots for home in homes.values()))
+        candidates = [key for key, home in homes.items() if home.wanted_slots > 0] or list(homes)
+        next_key = min(candidates, key=lambda key: (self._usage.get(key, 0.0), str(key)))
+        for key, home in homes.items():
+            used = home.guest_slots + (
+                min(spare, max(MIN_WANTED_SLOTS, home.wanted_slots)) if key == next_key else 0.0
+            )
+            self._usage[key] = USAGE_DECAY * self._usage.get(key, 0.0) + used
+        return {key: home.guest_slots + (spare if key == next_key else 0.0) for key, home in homes.items()}
--- a/rookwood/gateway/secure.py
+++ b/rookwood/gateway/secure.py
@@ -1,4 +1,4 @@
-"""TLS 1.3 with certificates on both sides, or plaintext on loopback where the file says so."""
+"""TLS 1.3 with certificates on both sides, or plaintext on loopback if the operator's file says so."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from rookwood.conf.schema import Gateway
 
-SOON = timedelta(days=14)  # an expiry nearer than this is told in the log
+EXPIRY_WARNING = timedelta(days=14)  # a certificate that expires sooner causes a log warning
 
 
 class CertificateError(ValueError):
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Secured:
-    """One set of keys as it was read; a reload makes another, for connections from then on."""
+    """The TLS contexts of one set of keys. A reload creates another, which new connections use."""
 
     server: ssl.SSLContext
     client: ssl.SSLContext
@@ -27,18 +27,20 @@
 
 
 def secured(gateway: Gateway, now: datetime) -> Secured | None:
-    """None: plaintext. Raises `CertificateError`."""
+    """Load the configured keys; None means plaintext. Raises `CertificateError`."""
     if gateway.plaintext:
         return None
-    assert gateway.certificate and gateway.key and gateway.authority  # the file was checked
+    assert (
+        gateway.certificate and gateway.key and gateway.authority
+    )  # validation of the file requires all three
     server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    client.check_hostname = False  # peers are known by the names in the file, wherever they listen
+    client.check_hostname = False  # peers are identified by their names in the file, not by host names
     for context in (server, client):
         context.minimum_version = ssl.TLSVersion.TLSv1_3
         context.verify_mode = ssl.CERT_REQUIRED
-        _use("authority", gateway.authority, lambda c=context: c.load_verify_locations(gateway.authority))
-        _use(
+        _load("authority", gateway.authority, lambda c=context: c.load_verify_locations(gateway.authority))
+        _load(
             "certificate",
             gateway.certificate,
             lambda c=context: c.load_cert_chain(gateway.certificate, gateway.key),
@@ -49,29 +51,29 @@
     return Secured(server, client, expires)
 
 
-def _use(directive: str, place: Path, load) -> None:  # type: ignore[no-untyped-def]
+def _load(directive: str, path: Path, load) -> None:  # type: ignore[no-untyped-def]
     try:
         load()
     except (OSError, ssl.SSLError) as error:
-        raise CertificateError(f"{directive}: {place} cannot be used: {error}") from None
+        raise CertificateError(f"{directive}: {path} cannot be used: {error}") from None
 
 
-def expiry_of(place: Path) -> datetime:
-    """When the first certificate of a PEM file ends."""
+def expiry_of(path: Path) -> datetime:
+    """The expiry time of the first certificate in a PEM file."""
     try:
         from cryptography import x509
 
-        return x509.load_pem_x509_certificate(place.read_bytes()).not_valid_after_utc
+        return x509.load_pem_x509_certificate(path.read_bytes()).not_valid_after_utc
     except (OSError, ValueError) as error:
-        raise CertificateError(f"certificate: {place} cannot be read: {error}") from None
+        raise CertificateError(f"certificate: {path} cannot be read: {error}") from None
 
 
-def name_of(connection: ssl.SSLObject | None) -> str | None:
-    """The common name of the peer's certificate, which the handshake has proved; None on plaintext."""
+def peer_name(connection: ssl.SSLObject | None) -> str | None:
+    """The common name of the peer's verified certificate; None on plaintext."""
     if connection is None:
         return None
-    told: Any = connection.getpeercert() or {}
-    names = [value for part in told.get("subject", ()) for key, value in part if key == "commonName"]
+    certificate: Any = connection.getpeercert() or {}
+    names = [value for part in certificate.get("subject", ()) for key, value in part if key == "commonName"]
     return str(names[0]) if names else ""
 
 
--- a/rookwood/lab/modelcheck.py
+++ b/rookwood/lab/modelcheck.py
@@ -110,15 +110,15 @@
             console.print(f"[red]broken:[/] {broken}")
             return 3
         console.print(
-            f"2 jobs each way: {report.states} states of single jobs in {report.shared} shared ones. "
-            f"They stand for {report.product:.3g} joint states; all sound, in {report.seconds:.1f} s"
+            f"2 jobs each way: {report.states} states of single jobs in {report.shared_states} shared ones. "
+            f"They stand for {report.joint_states:.3g} joint states; all sound, in {report.seconds:.1f} s"
         )
         caught = mutants({name: partial(explore, machines) for name, machines in MUTANTS.items()}, status)
     figures = {
         "states": report.states,
-        "shared_states": report.shared,
-        "joint_states": report.product,
-        "verdicts": sorted(v.value for v in report.verdicts),
+        "shared_states": report.shared_states,
+        "joint_states": report.joint_states,
+        "verdicts": sorted(v.value for v in report.resolutions),
         "seconds": round(report.seconds, 2),
         "mutants": caught,
     }
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -36,7 +36,7 @@
 
     @property
     def figures(self) -> dict[str, float]:
-        lines = (line.partition(":") for line in self.gateway._figures())
+        lines = (line.partition(":") for line in self.gateway._stats_lines())
         return {name.removeprefix("gateway."): float(value.partition("|")[0]) for name, _, value in lines}
 
 
@@ -248,12 +248,12 @@
             near = s.home.stage.discovery
             near.send_update(2, target_entry("s-0", drained.address) | {"az": "far"})
             near.send_update(3, target_entry("s-0", drained.address, "draining") | {"az": "far"})
-            await wait_until(lambda: s.far.gateway._far.since("s-0") is not None)
+            await wait_until(lambda: s.far.gateway._received_advice.stopped_since("s-0") is not None)
             answers = await asyncio.gather(*(s.home.stage.send_request(f"/page?k={n}") for n in range(12)))
             assert {status for status, _, _ in answers} == {200}
             assert (len(drained.paths), len(other.paths)) == (0, 12)
             near.send_update(4, target_entry("s-0", drained.address) | {"az": "far"})
-            await wait_until(lambda: s.far.gateway._far.since("s-0") is None)
+            await wait_until(lambda: s.far.gateway._received_advice.stopped_since("s-0") is None)
             await asyncio.gather(*(s.home.stage.send_request(f"/page?k={n}") for n in range(12)))
             assert drained.paths, "taken back, it is used again"
 
@@ -301,13 +301,13 @@
 @pytest.mark.parametrize(
     ("said", "why"),
     [
-        (b"", "nothing was heard for 1.0 s"),
-        (frames.encoded(frames.Hello(99, "far", "f0", 5, 0)), "speaks version 99"),
+        (b"", "nothing was received for 1.0 s"),
+        (frames.encoded(frames.Hello(99, "far", "f0", 5, 0)), "uses protocol version 99"),
         (frames.encoded(frames.Hello(frames.VERSION, "far", "f7", 5, 0)), "the peer is 'f7' of 'far'"),
-        (frames.encoded(frames.Refusal("go away")), "the peer refuses: go away"),
+        (frames.encoded(frames.Refusal("go away")), "the peer rejected the connection: go away"),
         (b"HTTP/1.1 400 Bad Request\r\n\r\n", "a frame of 1213486160 bytes"),
         (frames.encoded(HELLO) + frames.encoded(frames.Ended(1, "maybe")), "an unknown outcome 'maybe'"),
-        (frames.encoded(HELLO) + frames.encoded(frames.Ack(1)), "is not the peer's to send"),
+        (frames.encoded(HELLO) + frames.encoded(frames.Ack(1)), "the peer may not send the message 'ack'"),
     ],
 )
 def test_unsound_peer_is_named_and_costs_nothing(
@@ -318,7 +318,7 @@
             peer_that(said) as address,
             site(tmp_path, ScriptedWorker(st.serves), peers={"f0": address}, name="n0", lines=PLAIN) as home,
         ):
-            await wait_until(lambda: why in home.gateway._outbound[0]._why)
+            await wait_until(lambda: why in home.gateway._outbound[0]._reason)
             assert (await home.stage.send_request())[0] == 200
 
     play(story())
@@ -327,10 +327,16 @@
 @pytest.mark.parametrize(
     ("hello", "why"),
     [
-        (frames.Hello(99, "near", "n0", 5, 0), "version 99 is not spoken here"),
-        (frames.Hello(frames.VERSION, "near", "n9", 5, 0), "'n9' of site 'near' is not in the file"),
-        (frames.Hello(frames.VERSION, "moon", "n0", 5, 0), "'n0' of site 'moon' is not in the file"),
-        (frames.Ack(1), "a hello comes first"),
+        (frames.Hello(99, "near", "n0", 5, 0), "protocol version 99 is not supported"),
+        (
+            frames.Hello(frames.VERSION, "near", "n9", 5, 0),
+            "'n9' of site 'near' is not allowed by the operator's file",
+        ),
+        (
+            frames.Hello(frames.VERSION, "moon", "n0", 5, 0),
+            "'n0' of site 'moon' is not allowed by the operator's file",
+        ),
+        (frames.Ack(1), "the first message must be a hello"),
     ],
 )
 def test_stranger_gets_a_reason_and_nothing_else(tmp_path: Path, hello: frames.Frame, why: str) -> None:
@@ -370,7 +376,7 @@
                     home.gateway.reload()  # new keys are for new connections; those that stand go on
                     assert (await home.stage.send_request("/unlock?k=8"))[0] == 200
                 else:
-                    await wait_until(lambda: out._why != "")
+                    await wait_until(lambda: out._reason != "")
                     assert out.peer.credit == 0 and far.figures["guests.homes"] == 0
 
     play(story())
@@ -394,12 +400,12 @@
     """The far box is busy with far's own: the guest is not kept waiting behind them, it comes home."""
 
     async def story() -> None:
-        monkeypatch.setattr(guests, "PATIENCE", 0.003)
+        monkeypatch.setattr(guests, "MAX_HOLD_SHARE", 0.003)
         box, near = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
         async with sites(tmp_path, box) as s, st.listening(near) as address:
             monkeypatch.setattr(Lender, "update", lambda *_: 8.0)
             own = [asyncio.create_task(s.far.stage.send_request(f"/unlock?k={n}")) for n in range(8)]
-            await wait_until(lambda: s.far.gateway._core.decisions.site_load().held_slots > 0)
+            await wait_until(lambda: s.far.gateway._context.decisions.site_load().held_slots > 0)
             asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=99"))
             await wait_until(lambda: s.home.figures["far.f0.promised"] == 1)
             s.home.stage.discovery.send_update(2, target_entry("n-1", address))
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -12,8 +12,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from rookwood import interface as api
-from rookwood.gateway.advice import HELD_FOR, TOLD_FOR, Far, Near
-from rookwood.gateway.explore import MUTANTS, InvariantError, explore, joint
+from rookwood.gateway.advice import ADVICE_LIFETIME, ADVICE_REPEAT_PERIOD, OutgoingAdvice, ReceivedAdvice
+from rookwood.gateway.explore import MUTANTS, InvariantError, explore, explore_product
 from rookwood.gateway.frames import (
     Ack,
     Frame,
@@ -26,10 +26,10 @@
     decoded,
     encoded,
 )
-from rookwood.gateway.handoff import Verdict
-from rookwood.gateway.lease import Granted, Held
-from rookwood.gateway.lending import Home, Lender, Turns
-from rookwood.gateway.routing import Peer, Prices, Router, Waiting
+from rookwood.gateway.handoff import Resolution
+from rookwood.gateway.lease import HeldLease, IssuedLease
+from rookwood.gateway.lending import HomeDemand, Lender, SpareAllocator
+from rookwood.gateway.routing import Peer, Prices, Router, WaitingJob
 from rookwood.net.dispatcher_group import DispatcherGroup
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
@@ -41,8 +41,10 @@
 
 def test_no_reachable_state_breaks_a_rule() -> None:
     report = explore()
-    assert report.states > 100_000 and report.product > 10**12
-    assert report.verdicts == frozenset(Verdict), "each end is reached somewhere, or little was explored"
+    assert report.states > 100_000 and report.joint_states > 10**12
+    assert report.resolutions == frozenset(Resolution), (
+        "each end is reached somewhere, or little was explored"
+    )
 
 
 @pytest.mark.parametrize("name", MUTANTS)
@@ -55,9 +57,9 @@
 def test_plain_product_agrees_as_far_as_it_goes() -> None:
     """One job explored by itself and as a product of one: the same number of states."""
     for kind in ((False, 0), (True, 1)):
-        seen, whole = joint((kind,), 200_000)
+        seen, whole = explore_product((kind,), 200_000)
         assert whole and seen == explore(kinds=(kind,)).states
-    assert joint(((False, 0), (True, 1)), 30_000) == (30_000, False)
+    assert explore_product(((False, 0), (True, 1)), 30_000) == (30_000, False)
 
 
 # ---- leases: whatever the delays, home never acts while the lease runs over there ----
@@ -66,7 +68,7 @@
 @given(some.integers(0, 2**32), some.integers(-(10**9), 10**9))
 def test_silence_comes_after_every_lease_has_ended(seed: int, skew: int) -> None:
     rng, length = random.Random(seed), timedelta(seconds=1)
-    granted, held = Granted(length, margin=timedelta(0)), Held(length)
+    granted, held = IssuedLease(length, margin=timedelta(0)), HeldLease(length)
     flying: list[tuple[float, int, datetime]] = []  # when it arrives, term, what was asked
 
     def away(now: float) -> datetime:
@@ -80,11 +82,11 @@
             term = granted.grant(START + timedelta(seconds=now))
             flying += [(now + rng.expovariate(1.5), term, asked)] * rng.choice([0, 1, 1, 2])
         for arrival, term, asked in [f for f in flying if f[0] <= now]:
-            held.granted(term, asked)
+            held.renew(term, asked)
             flying.remove((arrival, term, asked))
-        if granted.silence(START + timedelta(seconds=now)):
+        if granted.expire(START + timedelta(seconds=now)):
             silences += 1
-            assert not held.runs(away(now), granted.term - 1)
+            assert not held.is_valid(away(now), granted.term - 1)
     assert held.term <= granted.term
 
 
@@ -140,12 +142,12 @@
 def router(price: float = 0.13) -> Router:
     made = Router(CLASSES, Prices(price, enter=1.0, leave=0.8), max_jobs=4)
     for name in ("page", "page", "unlock", "unlock", "publish"):
-        made.came(name)
+        made.record_request(name)
     return made
 
 
-def waiting(number: int = 1, name: str = "unlock", slots: float = 1.0, since: datetime = START) -> Waiting:
-    return Waiting(number, name, slots, since, since + timedelta(microseconds=CLASSES[name].give_up))
+def waiting(number: int = 1, name: str = "unlock", slots: float = 1.0, since: datetime = START) -> WaitingJob:
+    return WaitingJob(number, name, slots, since, since + timedelta(microseconds=CLASSES[name].give_up))
 
 
 def ready(credit: float, name: str = "r0") -> Peer:
@@ -162,7 +164,7 @@
         (20.0, waiting(slots=4.0), 0.13, False),  # more than is lent
     ],
 )
-def test_job_crosses_only_where_it_gains(busy: float, job: Waiting, price: float, crosses: bool) -> None:
+def test_job_crosses_only_where_it_gains(busy: float, job: WaitingJob, price: float, crosses: bool) -> None:
     made, peer = router(price), ready(2.0)
     assert bool(made.choose([job], [peer], pressure(busy), START)) is crosses
 
@@ -173,26 +175,26 @@
         for _ in range(20):
             now += 100 * MS
             made.observe(now, pressure(busy))
-        seen.append(made.crossing)
+        seen.append(made.is_forwarding)
     assert seen == [True, True, True, True, True]
     for _ in range(20):
         now += 100 * MS
         made.observe(now, pressure(12.0))
-    assert not made.crossing
+    assert not made.is_forwarding
     waits = []
     for _ in range(8):
-        peer.refused(now)
-        assert peer.away_until and peer.free(now) == 0
-        waits.append(peer.away_until - now)
+        peer.record_rejected(now)
+        assert peer.backoff_until and peer.free_slots(now) == 0
+        waits.append(peer.backoff_until - now)
     assert waits == sorted(waits) and waits[0] == 50 * MS and waits[-1] == timedelta(seconds=2)
-    peer.served()
-    assert peer.free(now) == 100
+    peer.record_served()
+    assert peer.free_slots(now) == 100
 
 
 def test_untrusted_link_gets_no_unsafe_job() -> None:
     made, peer = router(), ready(8.0)
     for _ in range(6):
-        peer.failed()
+        peer.record_failed()
     jobs = [waiting(1, "unlock"), waiting(2, "page")]
     chosen = made.choose(jobs, [peer], pressure(30.0), START)
     assert [job.id for job, _ in chosen] == [2]
@@ -205,14 +207,14 @@
     def start(self, price: float) -> None:
         self.made, self.now, self.number = router(price), START, 0
         self.peers = [ready(0.0, "r0"), ready(0.0, "r1")]
-        self.held: dict[int, Waiting] = {}
-        self.out: list[tuple[Waiting, Peer]] = []
+        self.held: dict[int, WaitingJob] = {}
+        self.out: list[tuple[WaitingJob, Peer]] = []
         self.crossed: set[int] = set()
 
     @rule(job_class=some.sampled_from(sorted(CLASSES)), slots=some.sampled_from([1.0, 2.0, 4.0]))
     def comes(self, job_class: str, slots: float) -> None:
         self.number += 1
-        self.made.came(job_class)
+        self.made.record_request(job_class)
         self.held[self.number] = waiting(self.number, job_class, slots, self.now)
 
     @rule(which=some.integers(0, 1), credit=some.floats(0, 12), ready=some.booleans())
@@ -225,8 +227,8 @@
         held = sum(job.slots for job in self.held.values())
         for job, peer in self.made.choose(self.held.values(), self.peers, pressure(busy, held), self.now):
             assert job.id not in self.crossed and peer.ready
-            peer.took(job.slots)
-            assert peer.out <= peer.credit and peer.jobs <= 4
+            peer.record_sent(job.slots)
+            assert peer.slots_out <= peer.credit and peer.jobs_out <= 4
             self.crossed.add(self.held.pop(job.id).id)
             self.out.append((job, peer))
 
@@ -234,14 +236,14 @@
     @rule(served=some.booleans(), n=some.integers(0, 99))
     def ends(self, served: bool, n: int) -> None:
         job, peer = self.out.pop(n % len(self.out))
-        peer.gave_back(job.slots)
-        peer.served() if served else peer.refused(self.now)
+        peer.record_ended(job.slots)
+        peer.record_served() if served else peer.record_rejected(self.now)
 
     @invariant()
     def counted(self) -> None:
         for peer in getattr(self, "peers", ()):
-            assert peer.jobs == sum(p is peer for _, p in self.out)
-            assert abs(peer.out - sum(job.slots for job, p in self.out if p is peer)) < 1e-6
+            assert peer.jobs_out == sum(p is peer for _, p in self.out)
+            assert abs(peer.slots_out - sum(job.slots for job, p in self.out if p is peer)) < 1e-6
             assert 0 < peer.trust <= 1
 
 
@@ -254,7 +256,7 @@
 
 @given(some.lists(some.tuples(some.floats(0, 30), some.floats(0, 10)), min_size=1, max_size=30))
 def test_lending_keeps_own_traffic_first(steps: list[tuple[float, float]]) -> None:
-    lender, now = Lender(lend=0.5, reserve=0.1, tier=DispatcherGroup(2)), START
+    lender, now = Lender(max_share=0.5, reserved_share=0.1, group=DispatcherGroup(2)), START
     for busy, guests in steps:
         now += 100 * MS
         lent = lender.update(now, pressure(max(busy, guests)), guests)
@@ -272,9 +274,9 @@
 
 
 def test_spare_goes_whole_and_in_turns_to_those_who_want() -> None:
-    turns, had = Turns(), dict.fromkeys("abc", 0)
+    turns, had = SpareAllocator(), dict.fromkeys("abc", 0)
     for _ in range(60):
-        credit = turns.deal(8.0, {"a": Home(20, 1), "b": Home(4, 1), "c": Home(0, 0)})
+        credit = turns.allocate(8.0, {"a": HomeDemand(20, 1), "b": HomeDemand(4, 1), "c": HomeDemand(0, 0)})
         (holder,) = [who for who in credit if credit[who] > 2]
         assert credit[holder] == 7.0  # its one guest and all six that are spare
         had[holder] += 1
@@ -282,16 +284,18 @@
 
 
 def test_advice_stops_an_endpoint_sooner_and_ends_when_taken_back_aged_or_overtaken() -> None:
-    near, far, later = Near(), Far(), START + 300 * MS
-    assert near.told("s-1", True, START) and not near.told("s-1", True, later)
-    stops = near.stops(later)
-    assert stops == [("s-1", 300 * MS)] and near.stops(START + TOLD_FOR) == []
-    assert far.heard("z0", stops, 5 * MS, later, whole=True) == {"s-1"}
-    assert far.since("s-1") == START - 5 * MS  # home learned of it no later than that
-    assert far.heard("z1", [], MS, later, whole=True) == set()  # another home knows nothing of it
-    assert far.heard("z0", [], MS, later, whole=False) == set()  # nor does a job without advice take it back
-    assert not far.started("s-1", START - timedelta(hours=1)) and far.started("s-1", later)
-    far.heard("z0", stops, MS, later, whole=True)
-    assert far.heard("z0", [], MS, later, whole=True) == {"s-1"} and far.since("s-1") is None
-    far.heard("z0", stops, MS, later, whole=True)
-    assert far.aged(later) == set() and far.aged(later + HELD_FOR) == {"s-1"}
+    near, far, later = OutgoingAdvice(), ReceivedAdvice(), START + 300 * MS
+    assert near.record_state("s-1", True, START) and not near.record_state("s-1", True, later)
+    stops = near.recent_stops(later)
+    assert stops == [("s-1", 300 * MS)] and near.recent_stops(START + ADVICE_REPEAT_PERIOD) == []
+    assert far.receive("z0", stops, 5 * MS, later, is_full_list=True) == {"s-1"}
+    assert far.stopped_since("s-1") == START - 5 * MS  # home learned of it no later than that
+    assert far.receive("z1", [], MS, later, is_full_list=True) == set()  # another home knows nothing of it
+    assert (
+        far.receive("z0", [], MS, later, is_full_list=False) == set()
+    )  # nor does a job without advice take it back
+    assert not far.record_start("s-1", START - timedelta(hours=1)) and far.record_start("s-1", later)
+    far.receive("z0", stops, MS, later, is_full_list=True)
+    assert far.receive("z0", [], MS, later, is_full_list=True) == {"s-1"} and far.stopped_since("s-1") is None
+    far.receive("z0", stops, MS, later, is_full_list=True)
+    assert far.expire(later) == set() and far.expire(later + ADVICE_LIFETIME) == {"s-1"}
