--- a/rookwood/gateway/advice.py
+++ b/rookwood/gateway/advice.py
@@ -90,10 +90,10 @@
 
     def expire(self, now: datetime) -> set[str]:
         """Drop advice that has not been repeated for too long; returns its endpoints."""
-        known = {uid for uid, stop in self._stops.items() if now >= stop.valid_until}
-        for uid in known:
+        expired = {uid for uid, stop in self._stops.items() if now >= stop.valid_until}
+        for uid in expired:
             del self._stops[uid]
-        return known
+        return expired
 
     def record_start(self, uid: str, at: datetime | None) -> bool:
         """Record a start that this site's discovery reports; True if it ends the advice, being later."""
--- a/rookwood/gateway/explore.py
+++ b/rookwood/gateway/explore.py
@@ -171,11 +171,11 @@
                 if job.home.written or event is not HomeEvent.RESEND:  # nothing is resent before it was sent
                     yield f"home {event.value}", self.step_home(job, event)
             if away_incarnation:
-                yield "home away incarnation gone", self.step_home(job, HomeEvent.INCARNATION_GONE)
+                yield "home learns of away restart", self.step_home(job, HomeEvent.INCARNATION_GONE)
         if job.away:
             leased = Validity(is_leased=lease is not Lease.NONE)
-            for away_event in LOCAL_AWAY_EVENTS:
-                yield f"away {away_event.value}", self.step_away(job, away_event, leased, away_incarnation)
+            for local_event in LOCAL_AWAY_EVENTS:
+                yield f"away {local_event.value}", self.step_away(job, local_event, leased, away_incarnation)
             if job.has_attempt:
                 yield (
                     "away attempt not run",
@@ -213,6 +213,7 @@
     def step_away(
         self, job: JobState, event: AwayEvent, validity: Validity, away_incarnation: int
     ) -> JobState:
+        """The job after an event at its away side."""
         after, actions = self._machines.step_away(job.away, event, validity, self.safe)
         has_attempt, away_runs = job.has_attempt, job.away_runs
         if event in (AwayEvent.SERVED, AwayEvent.ENDED, AwayEvent.ATTEMPT_NOT_RUN) and job.away:
@@ -406,10 +407,10 @@
     return None if forgotten else after, actions
 
 
-def promises_after_leaving(
+def promises_after_last_byte(
     state: AwayState | None, event: AwayEvent, validity: Validity = VALID, safe: bool = False
 ) -> AwayResult:
-    """Promises that a job never ran although its attempt was cancelled after it may have run."""
+    """Promises that a cancelled job never ran, although its last byte may have been sent."""
     after, actions = step_away(state, event, validity, safe)
     if event is AwayEvent.ENDED and state and state.stopping and after:
         return replace(after, outcome=Outcome.NEVER), (Outcome.NEVER,)
@@ -425,7 +426,7 @@
 
 MUTANTS = {
     "forgets tombstone": Machines(step_away=forgets_tombstone),
-    "promises after leaving": Machines(step_away=promises_after_leaving),
+    "promises after last byte": Machines(step_away=promises_after_last_byte),
     "trusts silence": Machines(step_home=trusts_silence),
     "ignores epoch": _with_validity(lambda validity: replace(validity, is_for_this_incarnation=True)),
     "ignores expiry": _with_validity(lambda validity: replace(validity, is_unexpired=True)),
--- a/rookwood/gateway/frames.py
+++ b/rookwood/gateway/frames.py
@@ -66,7 +66,7 @@
     life: int  # incarnation of the away side that the offer is for
     term: int
     expires_at: int  # by home's clock
-    left: int  # time until the job's deadline
+    left: int  # time that remains for the job at the away side, less the transit
     job_class: str
     slots: float
     memory: float | None
--- a/rookwood/gateway/guests.py
+++ b/rookwood/gateway/guests.py
@@ -50,10 +50,10 @@
 
 log = structlog.stdlib.get_logger(__name__)
 
-# A guest waits for a slot for at most this part of its class's aim; then home may still serve it in time.
+# A guest waits for a slot for at most this part of its class's aim, then goes back: home may still serve it.
 MAX_HOLD_SHARE = 0.3
 MAX_CHANNELS = 64
-# Job records kept for each home, as a multiple of `max_jobs`. An offer needs a record, so more are dropped.
+# Job records kept for each home, as a multiple of `max_jobs`. An offer needs a record, so others are dropped.
 RECORDS_PER_JOB = 32
 RESEND, MAX_RESEND_DELAY = timedelta(milliseconds=40), timedelta(seconds=1)
 
@@ -84,10 +84,10 @@
     lease: HeldLease
     jobs: dict[int, GuestJob] = field(default_factory=dict)
     channel: Channel | None = None
-    wanted_slots: float = 0.0
-    credit: float = 0.0
+    wanted_slots: float = 0.0  # slots of the jobs that wait at home
+    credit: float = 0.0  # slots lent to this home
     rtt: timedelta = timedelta(0)
-    had_lease: bool = False
+    had_lease: bool = False  # at the last tick
     is_superseded: bool = False  # another incarnation has connected, and this one is disconnected
 
     @property
@@ -97,6 +97,7 @@
 
     @property
     def slots(self) -> float:
+        """Slots that the active jobs take."""
         return sum(guest.slots for guest in self.active_jobs)
 
 
@@ -154,10 +155,12 @@
 
     @property
     def slots(self) -> float:
+        """Slots that all guests take."""
         return sum(home.slots for home in self._homes.values())
 
     @property
     def current(self) -> int:
+        """The number of guests that have not ended."""
         return sum(len(home.active_jobs) for home in self._homes.values())
 
     @property
@@ -168,6 +171,7 @@
 
     @property
     def homes(self) -> int:
+        """The number of connected homes."""
         return sum(home.channel is not None for home in self._homes.values())
 
     def allocate(self, total: float) -> None:
--- a/rookwood/gateway/home.py
+++ b/rookwood/gateway/home.py
@@ -125,7 +125,7 @@
         self._jobs: dict[int, ForwardedJob] = {}
         self._numbers = itertools.count(1)
         self._channel: Channel | None = None
-        self._reason = ""
+        self._reason = ""  # why the link is down; logged only when it changes
 
     @property
     def unresolved_jobs(self) -> int:
@@ -326,14 +326,14 @@
         match kind:
             case MessageKind.OFFER:
                 job.state, _ = step_home(job.state, HomeEvent.WRITTEN)
-                channel.send(self._offer(job, expires_at, now))
+                channel.send(self._offer_message(job, expires_at, now))
             case MessageKind.WITHDRAW | MessageKind.ABANDON:
                 abandon = kind is MessageKind.ABANDON
                 channel.send(Withdraw(job.number, job.incarnation, expires_at, job.state.safe, abandon))
             case MessageKind.ACK:
                 channel.send(Ack(job.number))
 
-    def _offer(self, job: ForwardedJob, expires_at: int, now: datetime) -> Offer:
+    def _offer_message(self, job: ForwardedJob, expires_at: int, now: datetime) -> Offer:
         request, out = job.request, job.request.worker_request
         return Offer(
             job=job.number,
--- a/rookwood/gateway/routing.py
+++ b/rookwood/gateway/routing.py
@@ -73,12 +73,15 @@
         return max(0.0, self.credit - self.slots_out)
 
     def record_sent(self, slots: float) -> None:
+        """A job was offered to the peer."""
         self.slots_out, self.jobs_out = self.slots_out + slots, self.jobs_out + 1
 
     def record_ended(self, slots: float) -> None:
+        """A job at the peer was resolved."""
         self.slots_out, self.jobs_out = max(0.0, self.slots_out - slots), self.jobs_out - 1
 
     def record_served(self) -> None:
+        """The peer served a job: end its backoff and restore some trust."""
         self._rejections, self.backoff_until = 0, None
         self.trust += TRUST_RECOVERY * (1 - self.trust)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,6 +1,7 @@
-"""The gateway on loopback sockets: two sites in one process, a bad link between them, one story a failure.
+"""The gateway on loopback sockets: two sites in one process, connected by a link that can lose frames.
 
-Home has no endpoint of its own unless a story gives it one: whatever its clients ask for waits and may cross.
+The home site (named "near") has no worker unless a test starts one, so its requests wait and may be forwarded
+to the away site (named "far").
 """
 
 from __future__ import annotations
@@ -26,57 +27,63 @@
 from tests.stage import LIMIT, DispatcherFixture, ScriptedWorker, start_dispatcher, target_entry, wait_until
 from tests.test_stories import play
 
-CLOSED = "127.0.0.1:9"  # nobody listens there
+CLOSED = "127.0.0.1:9"  # no process listens on this port
 
 
 @dataclass
 class Site:
+    """One dispatcher with its gateway."""
+
     stage: DispatcherFixture
     gateway: Gateway
 
     @property
-    def figures(self) -> dict[str, float]:
+    def stats(self) -> dict[str, float]:
+        """The gateway's stats by name."""
         lines = (line.partition(":") for line in self.gateway._stats_lines())
         return {name.removeprefix("gateway."): float(value.partition("|")[0]) for name, _, value in lines}
 
 
 @dataclass
 class Sites:
+    """Two linked sites and the faults of the link between them."""
+
     home: Site
-    far: Site
+    away: Site
     weather: Weather
 
     async def linked(self) -> Sites:
+        """Wait until the away site lends slots."""
         await wait_until(lambda: self.home.gateway._outbound[0].peer.credit > 0)
         return self
 
 
-def operators_file(folder: Path, site: str, name: str, peers: dict[str, str], *lines: str) -> Path:
-    """`peers`: name -> address, all of the one other site."""
+def write_operator_file(folder: Path, site: str, name: str, peers: dict[str, str], *lines: str) -> Path:
+    """Write an operator's file. `peers` maps the names of the other site's gateways to addresses."""
     folder.mkdir(parents=True, exist_ok=True)
-    own = [f"site {site}", "gateway {", "listen 127.0.0.1:0", f"name {name}", *lines, "}"]
+    local_lines = [f"site {site}", "gateway {", "listen 127.0.0.1:0", f"name {name}", *lines, "}"]
     other = "far" if site == "near" else "near"
-    theirs = [f"site {other} {{", *(f"peer {peer} {address}" for peer, address in peers.items()), "}"]
-    place = folder / "rookwood.conf"
-    place.write_text("\n".join(own + theirs) + "\n")
-    return place
+    peer_lines = [f"site {other} {{", *(f"peer {peer} {address}" for peer, address in peers.items()), "}"]
+    config_path = folder / "rookwood.conf"
+    config_path.write_text("\n".join(local_lines + peer_lines) + "\n")
+    return config_path
 
 
 @contextlib.asynccontextmanager
 async def site(
     folder: Path, *endpoints: ScriptedWorker, peers: dict[str, str], name: str, lines: tuple[str, ...]
 ) -> AsyncIterator[Site]:
-    where = "near" if name.startswith("n") else "far"
-    place = operators_file(folder, where, name, peers, *lines)
-    operator = load(place).operator
-    made: list[Gateway] = []
+    site_name = "near" if name.startswith("n") else "far"
+    config_path = write_operator_file(folder, site_name, name, peers, *lines)
+    operator = load(config_path).operator
+    gateways: list[Gateway] = []
 
-    def front(core: Any) -> Gateway:
-        made.append(front_of(operator, place)(core))
-        return made[0]
+    def make_gateway(context: Any) -> Gateway:
+        gateways.append(front_of(operator, config_path)(context))
+        return gateways[0]
 
-    async with start_dispatcher(folder, *endpoints, name=name, extensions=(front,)) as s:
-        yield Site(s, made[0])
+    async with start_dispatcher(folder, *endpoints, name=name, extensions=(make_gateway,)) as stage:
+        yield Site(stage, gateways[0])
 
 
 PLAIN = ("plaintext yes",)
@@ -90,199 +97,220 @@
     weather: Weather | None = None,
     lines: tuple[str, ...] = PLAIN,
 ) -> AsyncIterator[Sites]:
-    """`endpoints` are the far site's."""
+    """Start both sites and wait until they are linked; `endpoints` are the workers of the away site."""
     weather = weather or Weather()
-    async with site(folder / "far", *endpoints, peers={"n0": CLOSED}, name="f0", lines=lines) as far:
-        relay = Relay("127.0.0.1", far.gateway.port, weather, seed=1)
+    async with site(folder / "far", *endpoints, peers={"n0": CLOSED}, name="f0", lines=lines) as away:
+        relay = Relay("127.0.0.1", away.gateway.port, weather, seed=1)
         await relay.server.start()
         try:
             peers = {"f0": f"127.0.0.1:{relay.server.port}"}
-            async with site(folder / "near", *home, peers=peers, name="n0", lines=lines) as near:
-                yield await Sites(near, far, weather).linked()
+            async with site(folder / "near", *home, peers=peers, name="n0", lines=lines) as home_site:
+                yield await Sites(home_site, away, weather).linked()
         finally:
             relay.server.close()
 
 
-# ---- the ordinary way ----
+# ---- normal operation ----
 
 
 @pytest.mark.parametrize("weather", [Weather(), Weather(loss=0.2, delay=0.002, jitter=0.004, double=0.2)])
 @pytest.mark.parametrize("path", ["/page?k=7", "/unlock?k=7"])
-def test_job_that_waits_crosses_and_comes_back(tmp_path: Path, path: str, weather: Weather) -> None:
-    async def story() -> None:
-        box = ScriptedWorker(st.serves)
-        async with sites(tmp_path, box, weather=weather) as s:
-            more = b"Idempotency-Key: a\r\nIdempotency-Key: \xff\r\n"
-            answers = await asyncio.gather(*(s.home.stage.send_request(path, more=more) for _ in range(8)))
-            found = [(status, body) for status, _, body in answers]
-            # Over a link that loses frames an offer may be taken back unrun; it crosses once, and is refused.
-            lost = found.count((503, b"refused\n")) if weather.loss else 0
-            assert found.count((200, b"page")) == 8 - lost == len(box.paths) and lost < 8
-            assert {headers["idempotency-key"] for headers in box.headers} == {"a|\xff"}
-            assert len({headers["request-id"] for headers in box.headers}) == len(box.paths) == 8 - lost
-            assert s.home.figures["far.f0.brought"] == 8 - lost and s.home.figures["far.f0.out"] == 0
-            assert s.far.figures["guests.served"] == 8 - lost
-            await wait_until(lambda: not s.home.gateway._outbound[0]._jobs)  # and nothing is kept
-
-    play(story())
-
-
-def test_job_that_home_can_place_stays(tmp_path: Path) -> None:
-    async def story() -> None:
-        near, far = ScriptedWorker(st.serves), ScriptedWorker(st.serves)
-        async with sites(tmp_path, far, home=(near,)) as s:
+def test_waiting_job_is_forwarded_and_its_result_returned(
+    tmp_path: Path, path: str, weather: Weather
+) -> None:
+    async def scenario() -> None:
+        worker = ScriptedWorker(st.serves)
+        async with sites(tmp_path, worker, weather=weather) as pair:
+            extra_headers = b"Idempotency-Key: a\r\nIdempotency-Key: \xff\r\n"
+            responses = await asyncio.gather(
+                *(pair.home.stage.send_request(path, more=extra_headers) for _ in range(8))
+            )
+            results = [(status, body) for status, _, body in responses]
+            # If the link loses frames, home may take an offer back. A job is forwarded once, so it gets 503.
+            rejected = results.count((503, b"refused\n")) if weather.loss else 0
+            assert results.count((200, b"page")) == 8 - rejected == len(worker.paths) and rejected < 8
+            assert {headers["idempotency-key"] for headers in worker.headers} == {"a|\xff"}
+            assert (
+                len({headers["request-id"] for headers in worker.headers})
+                == len(worker.paths)
+                == 8 - rejected
+            )
+            assert pair.home.stats["far.f0.brought"] == 8 - rejected and pair.home.stats["far.f0.out"] == 0
+            assert pair.away.stats["guests.served"] == 8 - rejected
+            await wait_until(lambda: not pair.home.gateway._outbound[0]._jobs)  # no record is left
+
+    play(scenario())
+
+
+def test_job_that_home_can_place_is_not_forwarded(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        home_worker, away_worker = ScriptedWorker(st.serves), ScriptedWorker(st.serves)
+        async with sites(tmp_path, away_worker, home=(home_worker,)) as pair:
             for _ in range(5):
-                assert (await s.home.stage.send_request())[0] == 200
-            assert (len(near.paths), len(far.paths)) == (5, 0)
+                assert (await pair.home.stage.send_request())[0] == 200
+            assert (len(home_worker.paths), len(away_worker.paths)) == (5, 0)
 
-    play(story())
+    play(scenario())
 
 
-def test_guest_goes_no_further(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The far site has nothing free and a link of its own back: the job comes home, it does not travel on."""
+def test_guest_is_not_forwarded_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The away site has no worker and a peer of its own: it hands the job back and does not forward it."""
 
-    async def story() -> None:
-        # As a site that has just lost its endpoints would say: without any it lends nothing.
+    async def scenario() -> None:
+        # Like a site that has just lost its workers; one without workers would lend nothing.
         monkeypatch.setattr(Lender, "update", lambda *_: 8.0)
-        async with sites(tmp_path) as s, st.listening(box := ScriptedWorker(st.serves)) as address:
-            asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=7"))
-            await wait_until(lambda: s.home.figures["far.f0.promised"] >= 1)
-            assert s.far.figures["guests.promised_back"] >= 1
-            assert all(outbound.counts["lent"] == 0 for outbound in s.far.gateway._outbound)
-            s.home.stage.discovery.send_update(2, target_entry("n-1", address))
-            assert (await asking)[0] == 200 and len(box.paths) == 1
+        async with sites(tmp_path) as pair, st.listening(worker := ScriptedWorker(st.serves)) as address:
+            request = asyncio.create_task(pair.home.stage.send_request("/unlock?k=7"))
+            await wait_until(lambda: pair.home.stats["far.f0.promised"] >= 1)
+            assert pair.away.stats["guests.promised_back"] >= 1
+            assert all(outbound.counts["lent"] == 0 for outbound in pair.away.gateway._outbound)
+            pair.home.stage.discovery.send_update(2, target_entry("n-1", address))
+            assert (await request)[0] == 200 and len(worker.paths) == 1
 
-    play(story())
+    play(scenario())
 
 
-# ---- links that break ----
+# ---- partitions and restarts ----
 
 
 @pytest.mark.parametrize("path", ["/page?k=7", "/unlock?k=7"])
-def test_cut_link_brings_a_safe_job_home_and_runs_no_unsafe_one_twice(tmp_path: Path, path: str) -> None:
-    async def story() -> None:
-        far, near = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
-        async with sites(tmp_path, far, lines=(*PLAIN, "lease 400ms")) as s:
-            asking = asyncio.create_task(s.home.stage.send_request(path, timeout=5.0))
-            await wait_until(lambda: len(far.paths) == 1)
-            s.weather.cut = True
-            async with st.listening(near) as address:
-                s.home.stage.discovery.send_update(2, target_entry("n-1", address))
-                status, _, body = await asking
+def test_partition_returns_a_safe_job_and_never_runs_an_unsafe_one_twice(tmp_path: Path, path: str) -> None:
+    async def scenario() -> None:
+        away_worker, home_worker = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
+        async with sites(tmp_path, away_worker, lines=(*PLAIN, "lease 400ms")) as pair:
+            request = asyncio.create_task(pair.home.stage.send_request(path, timeout=5.0))
+            await wait_until(lambda: len(away_worker.paths) == 1)
+            pair.weather.cut = True
+            async with st.listening(home_worker) as address:
+                pair.home.stage.discovery.send_update(2, target_entry("n-1", address))
+                status, _, body = await request
             if path.startswith("/page"):
                 assert (status, body) == (200, b"page")
-                assert far.closed.is_set(), "the far attempt was closed before the one at home began"
+                assert away_worker.closed.is_set(), (
+                    "the attempt at the away site was closed before the one at home began"
+                )
             else:
-                assert status == 504 and near.paths == []
-
-    play(story())
-
-
-def test_healed_link_brings_the_result_of_an_unsafe_job(tmp_path: Path) -> None:
-    async def story() -> None:
-        box = ScriptedWorker(st.never_responds)
-        async with sites(tmp_path, box, lines=(*PLAIN, "lease 300ms", "reconnect 20ms")) as s:
-            asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=7"))
-            await wait_until(lambda: len(box.paths) == 1)
-            s.weather.cut = True
-            await wait_until(lambda: s.home.figures["far.f0.up"] == 0)
-            box.resume.set()
-            await wait_until(lambda: s.far.figures["guests.served"] == 1)
-            s.weather.cut = False
-            assert (await asking)[::2] == (200, b"late") and len(box.paths) == 1
-
-    play(story())
-
-
-def test_client_that_leaves_frees_the_far_slot(tmp_path: Path) -> None:
-    async def story() -> None:
-        box = ScriptedWorker(st.never_responds)
-        async with sites(tmp_path, box) as s:
-            streams = await s.home.stage.connect()
-            streams[1].write(s.home.stage.request("/unlock?k=7"))
-            await wait_until(lambda: len(box.paths) == 1)
+                assert status == 504 and home_worker.paths == []
+
+    play(scenario())
+
+
+def test_result_of_an_unsafe_job_arrives_after_the_partition_ends(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        worker = ScriptedWorker(st.never_responds)
+        async with sites(tmp_path, worker, lines=(*PLAIN, "lease 300ms", "reconnect 20ms")) as pair:
+            request = asyncio.create_task(pair.home.stage.send_request("/unlock?k=7"))
+            await wait_until(lambda: len(worker.paths) == 1)
+            pair.weather.cut = True
+            await wait_until(lambda: pair.home.stats["far.f0.up"] == 0)
+            worker.resume.set()
+            await wait_until(lambda: pair.away.stats["guests.served"] == 1)
+            pair.weather.cut = False
+            assert (await request)[::2] == (200, b"late") and len(worker.paths) == 1
+
+    play(scenario())
+
+
+def test_disconnected_client_frees_the_slot_at_the_away_site(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        worker = ScriptedWorker(st.never_responds)
+        async with sites(tmp_path, worker) as pair:
+            streams = await pair.home.stage.connect()
+            streams[1].write(pair.home.stage.request("/unlock?k=7"))
+            await wait_until(lambda: len(worker.paths) == 1)
             streams[1].close()
-            await asyncio.wait_for(box.closed.wait(), LIMIT)
-            await wait_until(lambda: s.far.figures["guests.current"] == 0)
+            await asyncio.wait_for(worker.closed.wait(), LIMIT)
+            await wait_until(lambda: pair.away.stats["guests.current"] == 0)
 
-    play(story())
+    play(scenario())
 
 
 @pytest.mark.parametrize(("path", "status"), [("/page?k=7", 200), ("/unlock?k=7", 502)])
-def test_far_side_dies_and_another_life_comes(tmp_path: Path, path: str, status: int) -> None:
-    """What was offered to the former life is not run by the new one. An unsafe job fails at once: no promise
-    can come any more. A safe one comes home once the former life's lease has run out."""
-
-    async def story() -> None:
-        box, near = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
-        fast = (*PLAIN, "lease 400ms", "reconnect 20ms")
-        async with site(tmp_path / "far", box, peers={"n0": CLOSED}, name="f0", lines=fast) as far:
-            port = far.gateway.port
+def test_restart_of_the_away_side_during_a_job(tmp_path: Path, path: str, status: int) -> None:
+    """The new incarnation does not run jobs that were offered to the old one.
+
+    An unsafe job fails at once, because no promise can arrive any more. A safe job runs at home once the old
+    incarnation's lease has expired.
+    """
+
+    async def scenario() -> None:
+        worker, home_worker = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
+        config_lines = (*PLAIN, "lease 400ms", "reconnect 20ms")
+        async with site(
+            tmp_path / "far", worker, peers={"n0": CLOSED}, name="f0", lines=config_lines
+        ) as away:
+            port = away.gateway.port
             peers = {"f0": f"127.0.0.1:{port}"}
             async with (
-                site(tmp_path / "near", peers=peers, name="n0", lines=fast) as home,
-                st.listening(near) as at,
+                site(tmp_path / "near", peers=peers, name="n0", lines=config_lines) as home,
+                st.listening(home_worker) as address,
             ):
                 await wait_until(lambda: home.gateway._outbound[0].peer.credit > 0)
-                asking = asyncio.create_task(home.stage.send_request(path, timeout=6.0))
-                await wait_until(lambda: len(box.paths) == 1)
-                await far.stage.dispatcher.close()
-                place = operators_file(tmp_path / "again", "far", "f0", {"n0": CLOSED}, *fast)
-                place.write_text(place.read_text().replace("127.0.0.1:0", f"127.0.0.1:{port}"))
-                home.stage.discovery.send_update(2, target_entry("n-1", at))
-                again = front_of(load(place).operator, place)
-                async with start_dispatcher(tmp_path / "again", name="f0", extensions=(again,)):
-                    assert (await asking)[0] == status
-                assert (len(box.paths), len(near.paths)) == (1, 1 if status == 200 else 0)
-
-    play(story())
+                request = asyncio.create_task(home.stage.send_request(path, timeout=6.0))
+                await wait_until(lambda: len(worker.paths) == 1)
+                await away.stage.dispatcher.close()
+                config_path = write_operator_file(
+                    tmp_path / "again", "far", "f0", {"n0": CLOSED}, *config_lines
+                )
+                config_path.write_text(config_path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{port}"))
+                home.stage.discovery.send_update(2, target_entry("n-1", address))
+                restarted_gateway = front_of(load(config_path).operator, config_path)
+                async with start_dispatcher(tmp_path / "again", name="f0", extensions=(restarted_gateway,)):
+                    assert (await request)[0] == status
+                assert (len(worker.paths), len(home_worker.paths)) == (1, 1 if status == 200 else 0)
+
+    play(scenario())
 
 
 # ---- drains ----
 
 
-def test_far_box_that_drains_gets_nothing_though_its_own_site_has_not_heard(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_draining_worker_gets_no_job_before_its_own_site_learns_of_the_drain(tmp_path: Path) -> None:
+    async def scenario() -> None:
         drained, other = ScriptedWorker(st.serves), ScriptedWorker(st.serves)
-        async with sites(tmp_path, drained, other) as s:
-            near = s.home.stage.discovery
-            near.send_update(2, target_entry("s-0", drained.address) | {"az": "far"})
-            near.send_update(3, target_entry("s-0", drained.address, "draining") | {"az": "far"})
-            await wait_until(lambda: s.far.gateway._received_advice.stopped_since("s-0") is not None)
-            answers = await asyncio.gather(*(s.home.stage.send_request(f"/page?k={n}") for n in range(12)))
-            assert {status for status, _, _ in answers} == {200}
+        async with sites(tmp_path, drained, other) as pair:
+            discovery = pair.home.stage.discovery
+            discovery.send_update(2, target_entry("s-0", drained.address) | {"az": "far"})
+            discovery.send_update(3, target_entry("s-0", drained.address, "draining") | {"az": "far"})
+            await wait_until(lambda: pair.away.gateway._received_advice.stopped_since("s-0") is not None)
+            responses = await asyncio.gather(
+                *(pair.home.stage.send_request(f"/page?k={n}") for n in range(12))
+            )
+            assert {status for status, _, _ in responses} == {200}
             assert (len(drained.paths), len(other.paths)) == (0, 12)
-            near.send_update(4, target_entry("s-0", drained.address) | {"az": "far"})
-            await wait_until(lambda: s.far.gateway._received_advice.stopped_since("s-0") is None)
-            await asyncio.gather(*(s.home.stage.send_request(f"/page?k={n}") for n in range(12)))
-            assert drained.paths, "taken back, it is used again"
+            discovery.send_update(4, target_entry("s-0", drained.address) | {"az": "far"})
+            await wait_until(lambda: pair.away.gateway._received_advice.stopped_since("s-0") is None)
+            await asyncio.gather(*(pair.home.stage.send_request(f"/page?k={n}") for n in range(12)))
+            assert drained.paths, "once the advice is withdrawn, the worker is used again"
 
-    play(story())
+    play(scenario())
 
 
-def test_draining_gateway_lends_nothing_and_ends_what_it_has(tmp_path: Path) -> None:
-    async def story() -> None:
-        box = ScriptedWorker(st.never_responds)
-        async with sites(tmp_path, box) as s:
-            asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=7"))
-            await wait_until(lambda: len(box.paths) == 1)
-            s.far.stage.dispatcher.begin_shutdown()
-            await wait_until(lambda: s.home.gateway._outbound[0].peer.credit == 0)
-            leaving = asyncio.create_task(s.far.stage.dispatcher.wait_drained())
-            box.resume.set()
-            assert (await asking)[0] == 200
-            await asyncio.wait_for(leaving, LIMIT)
+def test_draining_gateway_lends_nothing_and_finishes_its_guests(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        worker = ScriptedWorker(st.never_responds)
+        async with sites(tmp_path, worker) as pair:
+            request = asyncio.create_task(pair.home.stage.send_request("/unlock?k=7"))
+            await wait_until(lambda: len(worker.paths) == 1)
+            pair.away.stage.dispatcher.begin_shutdown()
+            await wait_until(lambda: pair.home.gateway._outbound[0].peer.credit == 0)
+            drain = asyncio.create_task(pair.away.stage.dispatcher.wait_drained())
+            worker.resume.set()
+            assert (await request)[0] == 200
+            await asyncio.wait_for(drain, LIMIT)
 
-    play(story())
+    play(scenario())
 
 
-# ---- peers that are not what they should be ----
+# ---- invalid peers ----
 
 
 @contextlib.asynccontextmanager
-async def peer_that(said: bytes) -> AsyncIterator[str]:
+async def peer_sending(data: bytes) -> AsyncIterator[str]:
+    """The address of a peer that sends these bytes and nothing else."""
+
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(said)
+        writer.write(data)
         with contextlib.suppress(OSError):
             while await reader.read(4096):
                 pass
@@ -299,7 +327,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "why"),
+    ("data", "reason"),
     [
         (b"", "nothing was received for 1.0 s"),
         (frames.encoded(frames.Hello(99, "far", "f0", 5, 0)), "uses protocol version 99"),
@@ -310,22 +338,22 @@
         (frames.encoded(HELLO) + frames.encoded(frames.Ack(1)), "the peer may not send the message 'ack'"),
     ],
 )
-def test_unsound_peer_is_named_and_costs_nothing(
-    tmp_path: Path, said: bytes, why: str, caplog: pytest.LogCaptureFixture
+def test_invalid_peer_is_reported_and_local_requests_succeed(
+    tmp_path: Path, data: bytes, reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with (
-            peer_that(said) as address,
+            peer_sending(data) as address,
             site(tmp_path, ScriptedWorker(st.serves), peers={"f0": address}, name="n0", lines=PLAIN) as home,
         ):
-            await wait_until(lambda: why in home.gateway._outbound[0]._reason)
+            await wait_until(lambda: reason in home.gateway._outbound[0]._reason)
             assert (await home.stage.send_request())[0] == 200
 
-    play(story())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
-    ("hello", "why"),
+    ("hello", "reason"),
     [
         (frames.Hello(99, "near", "n0", 5, 0), "protocol version 99 is not supported"),
         (
@@ -339,78 +367,82 @@
         (frames.Ack(1), "the first message must be a hello"),
     ],
 )
-def test_stranger_gets_a_reason_and_nothing_else(tmp_path: Path, hello: frames.Frame, why: str) -> None:
-    async def story() -> None:
-        async with site(tmp_path, peers={"n0": CLOSED}, name="f0", lines=PLAIN) as far:
-            reader, writer = await asyncio.open_connection("127.0.0.1", far.gateway.port)
+def test_unknown_home_gets_only_a_refusal_with_a_reason(
+    tmp_path: Path, hello: frames.Frame, reason: str
+) -> None:
+    async def scenario() -> None:
+        async with site(tmp_path, peers={"n0": CLOSED}, name="f0", lines=PLAIN) as away:
+            reader, writer = await asyncio.open_connection("127.0.0.1", away.gateway.port)
             writer.write(frames.encoded(hello))
             (refusal,) = frames.Splitter(4096).feed(await asyncio.wait_for(reader.read(), LIMIT))
-            assert isinstance(refusal, frames.Refusal) and why in refusal.why
+            assert isinstance(refusal, frames.Refusal) and reason in refusal.why
             writer.close()
 
-    play(story())
+    play(scenario())
 
 
-@pytest.mark.parametrize("wrong", [None, "name", "authority", "expired"])
-def test_certificates_on_both_sides(tmp_path: Path, wrong: str | None) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("fault", [None, "name", "authority", "expired"])
+def test_certificates_on_both_sides(tmp_path: Path, fault: str | None) -> None:
+    async def scenario() -> None:
         authority, other = Authority(tmp_path), Authority(tmp_path, "another authority")
         far_keys = tuple(authority.issue("f0"))
-        if wrong == "expired":
+        if fault == "expired":
             keys = tuple(authority.issue("n0", lasts=timedelta(minutes=-1)))
-            place = operators_file(tmp_path / "near", "near", "n0", {"f0": CLOSED}, *keys)
+            config_path = write_operator_file(tmp_path / "near", "near", "n0", {"f0": CLOSED}, *keys)
             with pytest.raises(InvalidSettingError, match=r"certificate: .*n0\.pem expired at"):
-                front_of(load(place).operator, place)
+                front_of(load(config_path).operator, config_path)
             return
-        signs = other if wrong == "authority" else authority
-        near_keys = tuple(signs.issue("n7" if wrong == "name" else "n0"))
-        if wrong == "name":
+        signer = other if fault == "authority" else authority
+        near_keys = tuple(signer.issue("n7" if fault == "name" else "n0"))
+        if fault == "name":
             near_keys = tuple(line.replace("n0.", "n7.") for line in near_keys)
-        box = ScriptedWorker(st.serves)
-        async with site(tmp_path / "far", box, peers={"n0": CLOSED}, name="f0", lines=far_keys) as far:
-            peers = {"f0": f"127.0.0.1:{far.gateway.port}"}
+        worker = ScriptedWorker(st.serves)
+        async with site(tmp_path / "far", worker, peers={"n0": CLOSED}, name="f0", lines=far_keys) as away:
+            peers = {"f0": f"127.0.0.1:{away.gateway.port}"}
             async with site(tmp_path / "near", peers=peers, name="n0", lines=near_keys) as home:
-                out = home.gateway._outbound[0]
-                if wrong is None:
-                    assert (await home.stage.send_request("/unlock?k=7"))[0] == 200 and out.state == "up"
-                    home.gateway.reload()  # new keys are for new connections; those that stand go on
+                outbound = home.gateway._outbound[0]
+                if fault is None:
+                    assert (await home.stage.send_request("/unlock?k=7"))[0] == 200 and outbound.state == "up"
+                    home.gateway.reload()  # new connections use the new keys; open ones continue
                     assert (await home.stage.send_request("/unlock?k=8"))[0] == 200
                 else:
-                    await wait_until(lambda: out._reason != "")
-                    assert out.peer.credit == 0 and far.figures["guests.homes"] == 0
+                    await wait_until(lambda: outbound._reason != "")
+                    assert outbound.peer.credit == 0 and away.stats["guests.homes"] == 0
 
-    play(story())
+    play(scenario())
 
 
-def test_home_that_sends_nonsense_is_cut_and_others_are_served(tmp_path: Path) -> None:
-    async def story() -> None:
-        box = ScriptedWorker(st.serves)
-        async with sites(tmp_path, box) as s:
+def test_home_that_sends_invalid_frames_is_disconnected_and_others_are_served(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        worker = ScriptedWorker(st.serves)
+        async with sites(tmp_path, worker) as pair:
             for data in (b"\xff" * 64, frames.PREFIX.pack(3) + b"\x93\x01\x02", frames.PREFIX.pack(0)):
-                reader, writer = await asyncio.open_connection("127.0.0.1", s.far.gateway.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", pair.away.gateway.port)
                 writer.write(frames.encoded(frames.Hello(frames.VERSION, "near", "n0", 77, 0)) + data)
                 await asyncio.wait_for(reader.read(), LIMIT)
                 writer.close()
-            assert (await s.home.stage.send_request())[0] == 200
+            assert (await pair.home.stage.send_request())[0] == 200
 
-    play(story())
+    play(scenario())
 
 
-def test_guest_that_is_held_goes_back_soon(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The far box is busy with far's own: the guest is not kept waiting behind them, it comes home."""
+def test_guest_is_handed_back_after_the_hold_limit(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The away site's worker is busy with local jobs, so the guest is handed back instead of waiting."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(guests, "MAX_HOLD_SHARE", 0.003)
-        box, near = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
-        async with sites(tmp_path, box) as s, st.listening(near) as address:
+        worker, home_worker = ScriptedWorker(st.never_responds), ScriptedWorker(st.serves)
+        async with sites(tmp_path, worker) as pair, st.listening(home_worker) as address:
             monkeypatch.setattr(Lender, "update", lambda *_: 8.0)
-            own = [asyncio.create_task(s.far.stage.send_request(f"/unlock?k={n}")) for n in range(8)]
-            await wait_until(lambda: s.far.gateway._context.decisions.site_load().held_slots > 0)
-            asking = asyncio.create_task(s.home.stage.send_request("/unlock?k=99"))
-            await wait_until(lambda: s.home.figures["far.f0.promised"] == 1)
-            s.home.stage.discovery.send_update(2, target_entry("n-1", address))
-            assert (await asking)[0] == 200 and near.paths == ["/unlock?k=99"]
-            box.resume.set()
-            await asyncio.gather(*own)
-
-    play(story())
+            local_requests = [
+                asyncio.create_task(pair.away.stage.send_request(f"/unlock?k={n}")) for n in range(8)
+            ]
+            await wait_until(lambda: pair.away.gateway._context.decisions.site_load().held_slots > 0)
+            request = asyncio.create_task(pair.home.stage.send_request("/unlock?k=99"))
+            await wait_until(lambda: pair.home.stats["far.f0.promised"] == 1)
+            pair.home.stage.discovery.send_update(2, target_entry("n-1", address))
+            assert (await request)[0] == 200 and home_worker.paths == ["/unlock?k=99"]
+            worker.resume.set()
+            await asyncio.gather(*local_requests)
+
+    play(scenario())
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -1,4 +1,4 @@
-"""The handoff explored exhaustively, its mutants, and the pure parts: leases, routes, lending, advice."""
+"""Exploration of the handoff and its mutants, and tests of leases, frames, routing, lending and advice."""
 
 from __future__ import annotations
 
@@ -7,8 +7,7 @@
 from datetime import UTC, datetime, timedelta
 
 import pytest
-from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import given, settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from rookwood import interface as api
@@ -36,58 +35,58 @@
 MS = timedelta(milliseconds=1)
 
 
-# ---- the two machines ----
+# ---- the two state machines ----
 
 
-def test_no_reachable_state_breaks_a_rule() -> None:
+def test_no_reachable_state_violates_an_invariant() -> None:
     report = explore()
     assert report.states > 100_000 and report.joint_states > 10**12
     assert report.resolutions == frozenset(Resolution), (
-        "each end is reached somewhere, or little was explored"
+        "every resolution is reached, or too little was explored"
     )
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_broken_variant_is_caught(name: str) -> None:
-    with pytest.raises(InvariantError) as caught:
+def test_exploration_finds_a_violation_in_each_mutant(name: str) -> None:
+    with pytest.raises(InvariantError) as raised:
         explore(MUTANTS[name])
-    assert len(caught.value.trace) >= 4  # by a story of several steps, not by a slip of the model
+    assert len(raised.value.trace) >= 4  # several steps: a flaw of the protocol rather than of the model
 
 
-def test_plain_product_agrees_as_far_as_it_goes() -> None:
-    """One job explored by itself and as a product of one: the same number of states."""
+def test_plain_product_has_as_many_states_as_the_exploration_of_one_job() -> None:
+    """Explored by itself and as a product of one job, a job has the same number of states."""
     for kind in ((False, 0), (True, 1)):
-        seen, whole = explore_product((kind,), 200_000)
-        assert whole and seen == explore(kinds=(kind,)).states
+        state_count, is_complete = explore_product((kind,), 200_000)
+        assert is_complete and state_count == explore(kinds=(kind,)).states
     assert explore_product(((False, 0), (True, 1)), 30_000) == (30_000, False)
 
 
-# ---- leases: whatever the delays, home never acts while the lease runs over there ----
+# ---- leases: whatever the delays, home never declares silence while away holds a valid lease ----
 
 
-@given(some.integers(0, 2**32), some.integers(-(10**9), 10**9))
-def test_silence_comes_after_every_lease_has_ended(seed: int, skew: int) -> None:
+@given(strategies.integers(0, 2**32), strategies.integers(-(10**9), 10**9))
+def test_home_declares_silence_only_after_every_lease_has_expired(seed: int, skew: int) -> None:
     rng, length = random.Random(seed), timedelta(seconds=1)
-    granted, held = IssuedLease(length, margin=timedelta(0)), HeldLease(length)
-    flying: list[tuple[float, int, datetime]] = []  # when it arrives, term, what was asked
+    issued, held = IssuedLease(length, margin=timedelta(0)), HeldLease(length)
+    pending_grants: list[tuple[float, int, datetime]] = []  # arrival time, term, time of the request
 
-    def away(now: float) -> datetime:
+    def away_time(now: float) -> datetime:
         return START + timedelta(seconds=now, microseconds=skew)
 
     silences = 0
     for step in range(600):
         now = step * 0.02
-        if rng.random() < 0.1:  # a ping gets through and is answered; the answer may take long
-            asked = away(now - rng.random() * 0.5)
-            term = granted.grant(START + timedelta(seconds=now))
-            flying += [(now + rng.expovariate(1.5), term, asked)] * rng.choice([0, 1, 1, 2])
-        for arrival, term, asked in [f for f in flying if f[0] <= now]:
-            held.renew(term, asked)
-            flying.remove((arrival, term, asked))
-        if granted.expire(START + timedelta(seconds=now)):
+        if rng.random() < 0.1:  # a ping arrives; the grant may be lost, duplicated or late
+            requested_at = away_time(now - rng.random() * 0.5)
+            term = issued.grant(START + timedelta(seconds=now))
+            pending_grants += [(now + rng.expovariate(1.5), term, requested_at)] * rng.choice([0, 1, 1, 2])
+        for arrival, term, requested_at in [f for f in pending_grants if f[0] <= now]:
+            held.renew(term, requested_at)
+            pending_grants.remove((arrival, term, requested_at))
+        if issued.expire(START + timedelta(seconds=now)):
             silences += 1
-            assert not held.is_valid(away(now), granted.term - 1)
-    assert held.term <= granted.term
+            assert not held.is_valid(away_time(now), issued.term - 1)
+    assert held.term <= issued.term
 
 
 # ---- frames ----
@@ -102,22 +101,24 @@
 ]
 
 
-@given(some.randoms(use_true_random=False))
-def test_frames_come_whole_from_any_pieces(rng: random.Random) -> None:
-    data, splitter, found = b"".join(map(encoded, FRAMES)), Splitter(4096), []
+@given(strategies.randoms(use_true_random=False))
+def test_frames_are_decoded_from_any_pieces(rng: random.Random) -> None:
+    data, splitter, decoded_frames = b"".join(map(encoded, FRAMES)), Splitter(4096), []
     while data:
-        cut = rng.randint(1, 9)
-        found += splitter.feed(data[:cut])
-        data = data[cut:]
-    assert found == FRAMES
+        size = rng.randint(1, 9)
+        decoded_frames += splitter.feed(data[:size])
+        data = data[size:]
+    assert decoded_frames == FRAMES
 
 
-@given(some.binary(max_size=80) | some.sampled_from(FRAMES).map(lambda f: encoded(f)[4:]).flatmap(
-    lambda data: some.tuples(some.integers(0, len(data) - 1), some.binary(min_size=1, max_size=2)).map(
+@given(strategies.binary(max_size=80) | strategies.sampled_from(FRAMES).map(lambda f: encoded(f)[4:]).flatmap(
+    lambda data: strategies.tuples(
+        strategies.integers(0, len(data) - 1), strategies.binary(min_size=1, max_size=2)
+    ).map(
         lambda edit: data[: edit[0]] + edit[1] + data[edit[0] + 1 :]
     )
 ))  # fmt: skip
-def test_any_bytes_are_a_frame_or_an_error(data: bytes) -> None:
+def test_any_bytes_decode_to_a_frame_or_raise_a_frame_error(data: bytes) -> None:
     with contextlib.suppress(FrameError):
         decoded(data)
     splitter = Splitter(64)
@@ -135,167 +136,183 @@
 SERVICE = {"page": 0.45, "unlock": 0.9, "publish": 1.8}
 
 
-def pressure(busy: float, held: float = 0.0, slots: float = 16.0) -> api.SiteLoad:
-    return api.SiteLoad(slots, busy, held, SERVICE)
+def site_load(used: float, held: float = 0.0, slots: float = 16.0) -> api.SiteLoad:
+    return api.SiteLoad(slots, used, held, SERVICE)
 
 
-def router(price: float = 0.13) -> Router:
-    made = Router(CLASSES, Prices(price, enter=1.0, leave=0.8), max_jobs=4)
+def make_router(price: float = 0.13) -> Router:
+    router = Router(CLASSES, Prices(price, enter=1.0, leave=0.8), max_jobs=4)
     for name in ("page", "page", "unlock", "unlock", "publish"):
-        made.record_request(name)
-    return made
+        router.record_request(name)
+    return router
 
 
-def waiting(number: int = 1, name: str = "unlock", slots: float = 1.0, since: datetime = START) -> WaitingJob:
+def waiting_job(
+    number: int = 1, name: str = "unlock", slots: float = 1.0, since: datetime = START
+) -> WaitingJob:
     return WaitingJob(number, name, slots, since, since + timedelta(microseconds=CLASSES[name].give_up))
 
 
-def ready(credit: float, name: str = "r0") -> Peer:
+def ready_peer(credit: float, name: str = "r0") -> Peer:
     return Peer("rijeka", name, ready=True, credit=credit)
 
 
 @pytest.mark.parametrize(
-    ("busy", "job", "price", "crosses"),
+    ("used", "job", "price", "is_forwarded"),
     [
-        (8.0, waiting(), 0.13, False),  # home has room
-        (20.0, waiting(), 0.13, True),
-        (20.0, waiting(), 5.0, False),  # too dear
-        (20.0, waiting(since=START - timedelta(seconds=5)), 0.13, False),  # too late to be in time anywhere
-        (20.0, waiting(slots=4.0), 0.13, False),  # more than is lent
+        (8.0, waiting_job(), 0.13, False),  # home has room
+        (20.0, waiting_job(), 0.13, True),
+        (20.0, waiting_job(), 5.0, False),  # price too high
+        (20.0, waiting_job(since=START - timedelta(seconds=5)), 0.13, False),  # would be late at any site
+        (20.0, waiting_job(slots=4.0), 0.13, False),  # more than is lent
     ],
 )
-def test_job_crosses_only_where_it_gains(busy: float, job: WaitingJob, price: float, crosses: bool) -> None:
-    made, peer = router(price), ready(2.0)
-    assert bool(made.choose([job], [peer], pressure(busy), START)) is crosses
+def test_job_is_forwarded_only_if_the_gain_is_positive(
+    used: float, job: WaitingJob, price: float, is_forwarded: bool
+) -> None:
+    router, peer = make_router(price), ready_peer(2.0)
+    assert bool(router.choose([job], [peer], site_load(used), START)) is is_forwarded
 
 
-def test_crossing_has_hysteresis_and_a_peer_that_refuses_is_left_alone_for_longer_each_time() -> None:
-    made, peer, now, seen = router(), ready(100.0), START, []
-    for busy in (18.0, 15.0, 13.0, 15.0, 18.0):  # of 16 slots; begins over 16, ends under 12.8
+def test_forwarding_has_hysteresis_and_a_rejecting_peer_backs_off_longer_each_time() -> None:
+    router, peer, now, forwarding_states = make_router(), ready_peer(100.0), START, []
+    for used in (18.0, 15.0, 13.0, 15.0, 18.0):  # of 16 slots; forwarding begins at 16 and ends below 12.8
         for _ in range(20):
             now += 100 * MS
-            made.observe(now, pressure(busy))
-        seen.append(made.is_forwarding)
-    assert seen == [True, True, True, True, True]
+            router.observe(now, site_load(used))
+        forwarding_states.append(router.is_forwarding)
+    assert forwarding_states == [True, True, True, True, True]
     for _ in range(20):
         now += 100 * MS
-        made.observe(now, pressure(12.0))
-    assert not made.is_forwarding
-    waits = []
+        router.observe(now, site_load(12.0))
+    assert not router.is_forwarding
+    delays = []
     for _ in range(8):
         peer.record_rejected(now)
         assert peer.backoff_until and peer.free_slots(now) == 0
-        waits.append(peer.backoff_until - now)
-    assert waits == sorted(waits) and waits[0] == 50 * MS and waits[-1] == timedelta(seconds=2)
+        delays.append(peer.backoff_until - now)
+    assert delays == sorted(delays) and delays[0] == 50 * MS and delays[-1] == timedelta(seconds=2)
     peer.record_served()
     assert peer.free_slots(now) == 100
 
 
-def test_untrusted_link_gets_no_unsafe_job() -> None:
-    made, peer = router(), ready(8.0)
+def test_untrusted_peer_gets_no_unsafe_job() -> None:
+    router, peer = make_router(), ready_peer(8.0)
     for _ in range(6):
         peer.record_failed()
-    jobs = [waiting(1, "unlock"), waiting(2, "page")]
-    chosen = made.choose(jobs, [peer], pressure(30.0), START)
+    jobs = [waiting_job(1, "unlock"), waiting_job(2, "page")]
+    chosen = router.choose(jobs, [peer], site_load(30.0), START)
     assert [job.id for job, _ in chosen] == [2]
 
 
-class Routes(RuleBasedStateMachine):
-    """However jobs come, peers lend and time goes: none gets more than it lends, none crosses twice."""
+class RoutingMachine(RuleBasedStateMachine):
+    """With any arrivals, credits and times, no peer gets more than it lends and no job is forwarded twice."""
 
-    @initialize(price=some.floats(0, 1))
+    @initialize(price=strategies.floats(0, 1))
     def start(self, price: float) -> None:
-        self.made, self.now, self.number = router(price), START, 0
-        self.peers = [ready(0.0, "r0"), ready(0.0, "r1")]
-        self.held: dict[int, WaitingJob] = {}
-        self.out: list[tuple[WaitingJob, Peer]] = []
-        self.crossed: set[int] = set()
-
-    @rule(job_class=some.sampled_from(sorted(CLASSES)), slots=some.sampled_from([1.0, 2.0, 4.0]))
-    def comes(self, job_class: str, slots: float) -> None:
+        self.router, self.now, self.number = make_router(price), START, 0
+        self.peers = [ready_peer(0.0, "r0"), ready_peer(0.0, "r1")]
+        self.waiting: dict[int, WaitingJob] = {}
+        self.forwarded: list[tuple[WaitingJob, Peer]] = []
+        self.forwarded_ids: set[int] = set()
+
+    @rule(job_class=strategies.sampled_from(sorted(CLASSES)), slots=strategies.sampled_from([1.0, 2.0, 4.0]))
+    def request_arrives(self, job_class: str, slots: float) -> None:
         self.number += 1
-        self.made.record_request(job_class)
-        self.held[self.number] = waiting(self.number, job_class, slots, self.now)
+        self.router.record_request(job_class)
+        self.waiting[self.number] = waiting_job(self.number, job_class, slots, self.now)
 
-    @rule(which=some.integers(0, 1), credit=some.floats(0, 12), ready=some.booleans())
-    def lends(self, which: int, credit: float, ready: bool) -> None:
+    @rule(which=strategies.integers(0, 1), credit=strategies.floats(0, 12), ready=strategies.booleans())
+    def peer_changes_credit(self, which: int, credit: float, ready: bool) -> None:
         self.peers[which].credit, self.peers[which].ready = credit, ready
 
-    @rule(busy=some.floats(0, 40), step=some.integers(1, 400))
-    def matches(self, busy: float, step: int) -> None:
+    @rule(used=strategies.floats(0, 40), step=strategies.integers(1, 400))
+    def router_chooses(self, used: float, step: int) -> None:
         self.now += step * MS
-        held = sum(job.slots for job in self.held.values())
-        for job, peer in self.made.choose(self.held.values(), self.peers, pressure(busy, held), self.now):
-            assert job.id not in self.crossed and peer.ready
+        held = sum(job.slots for job in self.waiting.values())
+        for job, peer in self.router.choose(
+            self.waiting.values(), self.peers, site_load(used, held), self.now
+        ):
+            assert job.id not in self.forwarded_ids and peer.ready
             peer.record_sent(job.slots)
             assert peer.slots_out <= peer.credit and peer.jobs_out <= 4
-            self.crossed.add(self.held.pop(job.id).id)
-            self.out.append((job, peer))
+            self.forwarded_ids.add(self.waiting.pop(job.id).id)
+            self.forwarded.append((job, peer))
 
-    @precondition(lambda self: self.out)
-    @rule(served=some.booleans(), n=some.integers(0, 99))
-    def ends(self, served: bool, n: int) -> None:
-        job, peer = self.out.pop(n % len(self.out))
+    @precondition(lambda self: self.forwarded)
+    @rule(served=strategies.booleans(), n=strategies.integers(0, 99))
+    def job_ends(self, served: bool, n: int) -> None:
+        job, peer = self.forwarded.pop(n % len(self.forwarded))
         peer.record_ended(job.slots)
         peer.record_served() if served else peer.record_rejected(self.now)
 
     @invariant()
-    def counted(self) -> None:
+    def counts_are_consistent(self) -> None:
         for peer in getattr(self, "peers", ()):
-            assert peer.jobs_out == sum(p is peer for _, p in self.out)
-            assert abs(peer.slots_out - sum(job.slots for job, p in self.out if p is peer)) < 1e-6
+            assert peer.jobs_out == sum(p is peer for _, p in self.forwarded)
+            assert abs(peer.slots_out - sum(job.slots for job, p in self.forwarded if p is peer)) < 1e-6
             assert 0 < peer.trust <= 1
 
 
-TestRoutes = Routes.TestCase
-TestRoutes.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestRouting = RoutingMachine.TestCase
+TestRouting.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
 # ---- lending and advice ----
 
 
-@given(some.lists(some.tuples(some.floats(0, 30), some.floats(0, 10)), min_size=1, max_size=30))
-def test_lending_keeps_own_traffic_first(steps: list[tuple[float, float]]) -> None:
+@given(
+    strategies.lists(
+        strategies.tuples(strategies.floats(0, 30), strategies.floats(0, 10)), min_size=1, max_size=30
+    )
+)
+def test_lending_gives_priority_to_own_traffic(steps: list[tuple[float, float]]) -> None:
     lender, now = Lender(max_share=0.5, reserved_share=0.1, group=DispatcherGroup(2)), START
-    for busy, guests in steps:
+    for used, guest_slots in steps:
         now += 100 * MS
-        lent = lender.update(now, pressure(max(busy, guests)), guests)
+        lent = lender.update(now, site_load(max(used, guest_slots)), guest_slots)
         assert 0 <= lent <= 0.5 * 16
-        if max(busy, guests) >= 16:
-            assert lent <= guests  # no more are let in
+        if max(used, guest_slots) >= 16:
+            assert lent <= guest_slots  # no further guests
 
 
 def test_lending_falls_at_once_and_rises_slowly() -> None:
     lender = Lender(0.5, 0.1, DispatcherGroup(1))
-    full = lender.update(START, pressure(0.0), 0.0)
-    low = lender.update(START + 10 * MS, pressure(13.0), 0.0)
-    again = lender.update(START + 20 * MS, pressure(0.0), 0.0)
+    full = lender.update(START, site_load(0.0), 0.0)
+    low = lender.update(START + 10 * MS, site_load(13.0), 0.0)
+    again = lender.update(START + 20 * MS, site_load(0.0), 0.0)
     assert low < 2 < full and again < low + 0.05 * full
 
 
-def test_spare_goes_whole_and_in_turns_to_those_who_want() -> None:
-    turns, had = SpareAllocator(), dict.fromkeys("abc", 0)
+def test_all_spare_slots_go_in_turn_to_the_homes_that_want_them() -> None:
+    allocator, turn_counts = SpareAllocator(), dict.fromkeys("abc", 0)
     for _ in range(60):
-        credit = turns.allocate(8.0, {"a": HomeDemand(20, 1), "b": HomeDemand(4, 1), "c": HomeDemand(0, 0)})
-        (holder,) = [who for who in credit if credit[who] > 2]
-        assert credit[holder] == 7.0  # its one guest and all six that are spare
-        had[holder] += 1
-    assert had["c"] == 0 and min(had["a"], had["b"]) > 15
-
-
-def test_advice_stops_an_endpoint_sooner_and_ends_when_taken_back_aged_or_overtaken() -> None:
-    near, far, later = OutgoingAdvice(), ReceivedAdvice(), START + 300 * MS
-    assert near.record_state("s-1", True, START) and not near.record_state("s-1", True, later)
-    stops = near.recent_stops(later)
-    assert stops == [("s-1", 300 * MS)] and near.recent_stops(START + ADVICE_REPEAT_PERIOD) == []
-    assert far.receive("z0", stops, 5 * MS, later, is_full_list=True) == {"s-1"}
-    assert far.stopped_since("s-1") == START - 5 * MS  # home learned of it no later than that
-    assert far.receive("z1", [], MS, later, is_full_list=True) == set()  # another home knows nothing of it
+        credit = allocator.allocate(
+            8.0, {"a": HomeDemand(20, 1), "b": HomeDemand(4, 1), "c": HomeDemand(0, 0)}
+        )
+        (holder,) = [home for home in credit if credit[home] > 2]
+        assert credit[holder] == 7.0  # its one guest and all six spare slots
+        turn_counts[holder] += 1
+    assert turn_counts["c"] == 0 and min(turn_counts["a"], turn_counts["b"]) > 15
+
+
+def test_advice_ends_when_withdrawn_expired_or_followed_by_a_later_start() -> None:
+    outgoing, received, later = OutgoingAdvice(), ReceivedAdvice(), START + 300 * MS
+    assert outgoing.record_state("s-1", True, START) and not outgoing.record_state("s-1", True, later)
+    stops = outgoing.recent_stops(later)
+    assert stops == [("s-1", 300 * MS)] and outgoing.recent_stops(START + ADVICE_REPEAT_PERIOD) == []
+    assert received.receive("z0", stops, 5 * MS, later, is_full_list=True) == {"s-1"}
+    assert received.stopped_since("s-1") == START - 5 * MS  # home learned of it no later than that
+    # Neither a list of another home nor an offer without advice withdraws it.
+    assert received.receive("z1", [], MS, later, is_full_list=True) == set()
+    assert received.receive("z0", [], MS, later, is_full_list=False) == set()
+    assert not received.record_start("s-1", START - timedelta(hours=1)) and received.record_start(
+        "s-1", later
+    )
+    received.receive("z0", stops, MS, later, is_full_list=True)
     assert (
-        far.receive("z0", [], MS, later, is_full_list=False) == set()
-    )  # nor does a job without advice take it back
-    assert not far.record_start("s-1", START - timedelta(hours=1)) and far.record_start("s-1", later)
-    far.receive("z0", stops, MS, later, is_full_list=True)
-    assert far.receive("z0", [], MS, later, is_full_list=True) == {"s-1"} and far.stopped_since("s-1") is None
-    far.receive("z0", stops, MS, later, is_full_list=True)
-    assert far.expire(later) == set() and far.expire(later + ADVICE_LIFETIME) == {"s-1"}
+        received.receive("z0", [], MS, later, is_full_list=True) == {"s-1"}
+        and received.stopped_since("s-1") is None
+    )
+    received.receive("z0", stops, MS, later, is_full_list=True)
+    assert received.expire(later) == set() and received.expire(later + ADVICE_LIFETIME) == {"s-1"}
