--- a/rookwood/duties/address.py
+++ b/rookwood/duties/address.py
@@ -100,7 +100,7 @@
         while isinstance(response, Announced) and response.serial < self._serial:
             response = await channel.receive(self._timeout)
         if not isinstance(response, Announced):
-            raise LinkError(f"expected Announced, got {type(response).__name__}")
+            raise LinkError("expected an announcement's response, got another frame")
         self.counts["accepted" if response.accepted else "refused"] += 1
         if response.accepted:
             self._opened_token = token
--- a/rookwood/duties/explore.py
+++ b/rookwood/duties/explore.py
@@ -237,10 +237,10 @@
             )
             if vote:
                 fresh = self._implementation.count_vote(fresh, vote, self._implementation.rule_of(n))
-            after = self._with_node(state, n, replace(node, claim=fresh, voter=voter), request)
+            requested = self._with_node(state, n, replace(node, claim=fresh, voter=voter), request)
             yield (
                 f"{name} requests {request.token.term}",
-                self._prune(replace(after, requests=state.requests + 1)),
+                self._prune(replace(requested, requests=state.requests + 1)),
             )
         if not (claim.holds(now) and claim.token):
             return
--- a/rookwood/duties/links.py
+++ b/rookwood/duties/links.py
@@ -148,7 +148,7 @@
                 log.info("link to member established", member=name)
                 async for frame in channel.frames(self._timeout):
                     if not isinstance(frame, Pong):
-                        raise LinkError(f"expected Pong, got {type(frame).__name__}")
+                        raise LinkError("expected a pong, got another frame")
             except (LinkError, OSError, ssl.SSLError) as error:
                 is_unreachable = isinstance(error, GoneError)
                 if is_unreachable:
@@ -179,7 +179,7 @@
         try:
             hello = await channel.receive(self._timeout)
             if not isinstance(hello, Hello) or hello.version != VERSION:
-                raise LinkError(f"expected a hello of version {VERSION}")
+                raise LinkError(f"a hello of version {VERSION} was expected")
             if hello.site != self._me.site or hello.name not in self._members:
                 raise LinkError(f"{hello.name!r} of site {hello.site!r} is not a member here")
             if channel.name not in (None, hello.name):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -62,9 +62,9 @@
     """Members whose clocks differ in speed, one receiver, and a network with losses and partitions."""
 
     def __init__(self, count: int, seed: int) -> None:
-        self.random, names = random.Random(seed), tuple(f"m{n}" for n in range(count))
+        self.rng, names = random.Random(seed), tuple(f"m{n}" for n in range(count))
         self.rule = Rule(names, 500 * MS, drift=0.02)
-        speeds = [1 + self.random.uniform(-0.009, 0.009) for _ in names]
+        speeds = [1 + self.rng.uniform(-0.009, 0.009) for _ in names]
         self.members = [Member(n, s, Voter(ZERO), Claim(n, 1)) for n, s in zip(names, speeds, strict=True)]
         self.in_transit: list[tuple[int, str, VoteRequest | Vote | lease.Release]] = []
         self.gate, self.now, self.accepted = Gate(), 0, list[Token]()
@@ -75,13 +75,11 @@
         return ZERO + self.now * member.speed * MS
 
     def send(self, sender: str, to: str, message: VoteRequest | Vote | lease.Release) -> None:
-        if frozenset((sender, to)) not in self.blocked and (
-            sender == to or self.random.random() >= self.loss
-        ):
-            copies = 2 if self.random.random() < self.loss else 1
+        if frozenset((sender, to)) not in self.blocked and (sender == to or self.rng.random() >= self.loss):
+            copies = 2 if self.rng.random() < self.loss else 1
             for _ in range(copies):
                 self.in_transit.append(
-                    (self.now + (0 if sender == to else self.random.randint(1, 40)), to, message)
+                    (self.now + (0 if sender == to else self.rng.randint(1, 40)), to, message)
                 )
 
     def deliver(self, member: Member, message: VoteRequest | Vote | lease.Release) -> None:
@@ -112,8 +110,8 @@
                 return
             self.holder_changes += not (self.accepted and self.accepted[-1].holder == member.name)
             member.opened_token = claim.token
-        self.receive_act(claim.token) if self.random.random() < 0.8 else member.delayed_acts.append(
-            (self.now + self.random.randint(1, 3000), claim.token)
+        self.receive_act(claim.token) if self.rng.random() < 0.8 else member.delayed_acts.append(
+            (self.now + self.rng.randint(1, 3000), claim.token)
         )
 
     def receive_act(self, token: Token) -> None:
@@ -144,7 +142,7 @@
                 if member.suspended_until > self.now:
                     continue
                 holds = member.claim.holds(self.clock(member))
-                if self.random.random() < (0.1 if holds else 0.02):
+                if self.rng.random() < (0.1 if holds else 0.02):
                     self.request_votes(member)
                 self.act(member)
             holders = [m for m in self.members if m.claim.holds(self.clock(m))]
@@ -161,8 +159,8 @@
     simulation = LeaseSimulation(count, seed)
     simulation.run(1000)
     for _ in range(12):
-        member = simulation.random.choice(simulation.members)
-        match simulation.random.choice(["partition", "heal", "lose", "suspend", "restart", "release"]):
+        member = simulation.rng.choice(simulation.members)
+        match simulation.rng.choice(["partition", "heal", "lose", "suspend", "restart", "release"]):
             case "partition":
                 simulation.blocked |= {
                     frozenset((member.name, m.name)) for m in simulation.members if m is not member
@@ -170,9 +168,9 @@
             case "heal":
                 simulation.blocked.clear()
             case "lose":
-                simulation.loss = simulation.random.choice([0.0, 0.2, 0.5])
+                simulation.loss = simulation.rng.choice([0.0, 0.2, 0.5])
             case "suspend":
-                member.suspended_until = simulation.now + simulation.random.randint(50, 3000)
+                member.suspended_until = simulation.now + simulation.rng.randint(50, 3000)
             case "restart":
                 simulation.restart(member)
             case _:
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -172,7 +172,7 @@
     simulation = SiteSimulation(seed, delay=5)
     for name in MEMBERS_1:
         simulation.start(name, 1, MEMBERS_1)
-        simulation.run(simulation.random.choice([0, 10, 20, 30]))
+        simulation.run(simulation.rng.choice([0, 10, 20, 30]))
     simulation.run(6 * LEASE)
     terms = {name: site.leases.term(DUTY) for name, site in simulation.sites.items()}
     simulation.run(10 * LEASE)
--- a/tests/town.py
+++ b/tests/town.py
@@ -30,7 +30,7 @@
         self, seed: int = 1, delay: int = 20, loss: float = 0.0, place_count: int = 1, drain_ms: int = 200
     ) -> None:
         """`place_count`: the places of a roll. `drain_ms`: how long a dispatcher drains for a roll."""
-        self.random, self.delay, self.loss, self.place_count = random.Random(seed), delay, loss, place_count
+        self.rng, self.delay, self.loss, self.place_count = random.Random(seed), delay, loss, place_count
         self.drain_ms = drain_ms
         self.now, self.sites = 0, dict[str, Site]()
         self.blocked = set[tuple[str, str]]()
@@ -69,8 +69,8 @@
 
     def send(self, sender: str, to: str | None, message: Any) -> None:
         for name in [to] if to else [n for n in self.sites if n != sender]:
-            if (sender, name) not in self.blocked and self.random.random() >= self.loss:
-                delivered_at = self.now + self.random.randint(1, self.delay)
+            if (sender, name) not in self.blocked and self.rng.random() >= self.loss:
+                delivered_at = self.now + self.rng.randint(1, self.delay)
                 heapq.heappush(self._in_transit, (delivered_at, next(self._serial), sender, name, message))
 
     def send_all(self, sender: str, envelopes: Iterable[Envelope]) -> None:
@@ -123,7 +123,7 @@
             self.draining_since[name] = self.now
         if site.roller.has_begun and self.now - self.draining_since.get(name, self.now) > self.drain_ms:
             self.send_all(name, site.leases.begin_shutdown(self.clock))
-            self.restart_at[name] = self.now + self.random.randint(50, 1500)
+            self.restart_at[name] = self.now + self.rng.randint(50, 1500)
         if is_report_due:
             self.send(name, None, site.report(0, True, self.clock))
         if query:
