--- a/rookwood/__main__.py
+++ b/rookwood/__main__.py
@@ -84,7 +84,7 @@
     if operator.duties:
         from rookwood.duties import front as duties
 
-        extensions.append(duties.front_of(operator, Path(path)))
+        extensions.append(duties.extension_of(operator, Path(path)))
     return extensions
 
 
--- a/rookwood/replicas/registers.py
+++ b/rookwood/replicas/registers.py
@@ -44,7 +44,7 @@
 def mark_of(entry: Entry) -> int:
     """A hash of the entry. The length prefix keeps its header apart from the value."""
     t = entry.stamp.token
-    header = f"{entry.key} {t.term} {t.holder} {t.life} {entry.stamp.serial} ".encode()
+    header = f"{entry.key} {t.term} {t.holder} {t.incarnation} {entry.stamp.serial} ".encode()
     data = len(header).to_bytes(4, "big") + header + entry.value
     return int.from_bytes(blake3(data).digest(length=MARK_BYTES))
 
