--- a/rookwood/controlplane/control_api.py
+++ b/rookwood/controlplane/control_api.py
@@ -1,4 +1,4 @@
-"""The state of the control group over HTTP, for `rookwood control`: status, history, planned transfer."""
+"""HTTP interface for `rookwood control`: status of the control group, history, transfer of leadership."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
     Unattached,
 )
 
-DIGEST_CHARACTERS = 16
-DEFAULT_HISTORY = 20
-SECONDS_DIGITS = 3
+DIGEST_CHARACTERS = 16  # hexadecimal digits of a document's digest that a status shows
+DEFAULT_HISTORY = 20  # changes in a response if the request states no limit
+SECONDS_DIGITS = 3  # decimal places
 LIMIT_PARAMETER = "limit"
 
 
 class ControlApi:
-    """Handlers below /control. They tell what this machine knows, which may be less than the primary does."""
+    """Handlers below /control. They report the state of this machine, which may be behind the primary's."""
 
     def __init__(self, ip: str, group: ControlGroup, dispatchers: DispatcherProgress) -> None:
         self._ip = ip
@@ -55,22 +55,22 @@
         application.router.add_post(TRANSFER_PATH, self.transfer)
 
     async def status(self, request: web.Request) -> web.Response:
-        """This machine, its role and its copy."""
+        """Report this machine's role and its copy of the replicated state."""
         return web.json_response(self._status().to_json())
 
     async def history(self, request: web.Request) -> web.Response:
-        """The newest changes that are remembered here; `limit` tells how many."""
+        """Report the newest accepted changes that this machine keeps, at most `limit` of them."""
         text = request.query.get(LIMIT_PARAMETER, str(DEFAULT_HISTORY))
         if not text.isascii() or not text.isdecimal() or not 0 < len(text) < DIGEST_CHARACTERS:
             return web.json_response({"err": "limit is not a number"}, status=400)
         snapshot = self._group.snapshot()
-        taken = read_payload(snapshot.payload).taken
-        newest = taken[max(0, len(taken) - int(text)) :]
+        accepted = read_payload(snapshot.payload).accepted
+        newest = accepted[max(0, len(accepted) - int(text)) :]
         changes = tuple(HistoryEntry(change.version, change.digest.hex()) for change in newest)
         return web.json_response(MachineHistory(self._ip, position_of(snapshot), changes).to_json())
 
     async def transfer(self, request: web.Request) -> web.Response:
-        """Hand the leadership over, where this machine is the primary."""
+        """Transfer leadership to another member, if this machine is the primary."""
         outcome = await self._group.transfer()
         if isinstance(outcome, Transferred):
             return web.json_response({"from": self._ip, "epoch": outcome.epoch})
@@ -78,23 +78,23 @@
             return web.json_response({"err": "not the primary", "primary": outcome.primary}, status=409)
         if isinstance(outcome, NoSuccessor):
             return web.json_response({"err": "no other member is reachable"}, status=409)
-        return web.json_response({"err": outcome.why}, status=503)
+        return web.json_response({"err": outcome.reason}, status=503)
 
     def _status(self) -> MachineStatus:
         group = self._group
         role = group.role()
         snapshot = group.snapshot()
-        stored = group.stored()
+        stored = group.stored_position()
         return MachineStatus(
             machine=self._ip,
             role=role_name(role),
             reason=role.reason if isinstance(role, Unattached) else "",
             primary=self._primary_of(role),
             epoch=0 if isinstance(role, Unattached) else role.epoch,
-            fresh=isinstance(role, Primary) or (isinstance(role, Following) and role.fresh),
-            holds_copy=group.holds_copy(),
+            fresh=isinstance(role, Primary) or (isinstance(role, Following) and role.is_fresh),
+            holds_copy=group.is_member(),
             members=group.members(),
-            reachable=tuple(sorted(group.reachable())),
+            reachable=tuple(sorted(group.reachable_members())),
             committed=position_of(snapshot),
             stored=StatePosition(stored.epoch, stored.sequence),
             version=read_payload(snapshot.payload).version,
@@ -109,18 +109,18 @@
 
 
 def dispatcher_overview(dispatchers: DispatcherProgress) -> DispatcherOverview:
-    """How many dispatchers report, and who is farthest behind."""
+    """How many dispatchers report their position, and which one is farthest behind."""
     reporting = sum(1 for _ in dispatchers.lags())
     lag = dispatchers.farthest_behind()
     if lag is None:
         return DispatcherOverview(reporting, None)
     position = StatePosition(lag.position.epoch, lag.position.sequence)
-    seconds = round(lag.behind, SECONDS_DIGITS)
+    seconds = round(lag.behind_seconds, SECONDS_DIGITS)
     return DispatcherOverview(reporting, DispatcherBehind(lag.dispatcher, position, seconds))
 
 
 def role_name(role: Role) -> ControlRole:
-    """The role without its particulars."""
+    """The name of a role, without its epoch and primary."""
     if isinstance(role, Primary):
         return ControlRole.PRIMARY
     if isinstance(role, Learner):
--- a/rookwood/coordination/activity.py
+++ b/rookwood/coordination/activity.py
@@ -1,6 +1,6 @@
-"""What one member has done since its process started: elections, refusals, disk writes.
+"""Counters of one member since its process started: elections, refusals, disk writes.
 
-It is told from the effects of the replica, whose decisions stay free of it.
+They are derived from the replica's effects, so the replica itself does not count anything.
 """
 
 import time
@@ -13,24 +13,24 @@
 
 @dataclass(slots=True)
 class WriteAttempt:
-    """One write; whoever makes it sets whether it succeeded."""
+    """One disk write; the code that makes it sets `succeeded`."""
 
     succeeded: bool = False
 
 
 @dataclass(slots=True)
 class WriteTimes:
-    """Durable writes and their durations in seconds; changed by the storage's thread alone."""
+    """Disk writes and their durations in seconds; updated by the storage thread only."""
 
     writes: int = 0
     failures: int = 0
-    seconds: float = 0.0
-    last: float = 0.0
-    longest: float = 0.0
+    total_seconds: float = 0.0
+    last_seconds: float = 0.0
+    longest_seconds: float = 0.0
 
     @contextmanager
     def measure(self) -> Iterator[WriteAttempt]:
-        """Measure the write made inside."""
+        """Measure and count the write that is made in this context."""
         attempt = WriteAttempt()
         began = time.monotonic()
         try:
@@ -41,30 +41,30 @@
     def _count(self, seconds: float, succeeded: bool) -> None:
         self.writes += 1
         self.failures += not succeeded
-        self.seconds += seconds
-        self.last = seconds
-        self.longest = max(self.longest, seconds)
+        self.total_seconds += seconds
+        self.last_seconds = seconds
+        self.longest_seconds = max(self.longest_seconds, seconds)
 
 
 @dataclass(slots=True)
 class GroupActivity:
-    """Counts of one member.
+    """Counters of one member.
 
-    `elections` are epochs for which it asked for votes, `pre_votes` the ballots in which it asked whether
-    others hear no primary; each question counts, so one long pre-vote counts several times.
+    `elections` counts the epochs for which it requested votes, `pre_votes` the ballots of its pre-vote
+    requests. Each repetition has a new ballot, so a long pre-vote counts several times.
     """
 
     elections: int = 0
     pre_votes: int = 0
-    older_epochs_refused: int = 0
-    pre_votes_refused: int = 0
+    old_epoch_refusals: int = 0
+    pre_vote_refusals: int = 0
     role_changes: int = 0
     writes: WriteTimes = field(default_factory=WriteTimes)
     _last_election: int = 0
     _last_ballot: int | None = None
 
-    def sending(self, message: Message) -> None:
-        """Count a message that the replica sends; those to several members count once."""
+    def count_sent(self, message: Message) -> None:
+        """Count a message that the replica sends; a request to several members counts once."""
         match message:
             case VoteRequest() if message.epoch > self._last_election:
                 self._last_election = message.epoch
@@ -73,6 +73,6 @@
                 self._last_ballot = message.ballot
                 self.pre_votes += 1
             case Refused():
-                self.older_epochs_refused += 1
+                self.old_epoch_refusals += 1
             case PreVoteReply() if not message.granted:
-                self.pre_votes_refused += 1
+                self.pre_vote_refusals += 1
--- a/rookwood/lab/modelcheck.py
+++ b/rookwood/lab/modelcheck.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from rookwood.duties import explore as leases
-from rookwood.gateway.explore import MUTANTS, BrokenError, explore
+from rookwood.gateway.explore import MUTANTS, InvariantError, explore
 from rookwood.lab.results import keep
 from rookwood.ledger import explore as claims
 from rookwood.replicas import explore as registers
@@ -31,10 +31,10 @@
             play()
             caught[name] = None
             table.add_row(name, "[red]not caught[/]", "", "")
-        except (BrokenError, leases.BrokenError, registers.BrokenError) as broken:
+        except (InvariantError, leases.InvariantError, registers.InvariantError) as broken:
             caught[name] = {"why": broken.why, "trace": broken.trace}
             table.add_row(name, broken.why, str(len(broken.trace)), f"{time.perf_counter() - began:.2f}")
-        except claims.SpentTwiceError as broken:
+        except claims.InvariantError as broken:
             caught[name] = {"why": "ran twice", "trace": broken.trace}
             table.add_row(name, "ran twice", str(len(broken.trace)), f"{time.perf_counter() - began:.2f}")
     status.console.print(table)
@@ -45,17 +45,17 @@
     """`wide`: also with drift and a restart at once, and after a holder before; some minutes."""
     console, found = Console(), dict[str, Any]()
     with console.status("exploring") as status:
-        for name, bounds in {**leases.NARROW, **(leases.WIDE if wide else {})}.items():
+        for name, bounds in {**leases.NARROW_BOUNDS, **(leases.WIDE_BOUNDS if wide else {})}.items():
             status.update(f"exploring: {name}")
             try:
-                report = leases.Explorer(leases.Machine(), bounds).explore()
-            except leases.BrokenError as broken:
+                report = leases.Explorer(leases.Implementation(), bounds).explore()
+            except leases.InvariantError as broken:
                 console.print(f"[red]broken:[/] {name}: {broken}")
                 return 3
             seconds = round(report.seconds, 1)
-            found[name] = {"states": report.states, "held": report.holders, "seconds": seconds}
+            found[name] = {"states": report.states, "held": report.states_with_holder, "seconds": seconds}
             console.print(f"{name}: {report.states} states, all sound, in {report.seconds:.1f} s")
-        plays = {n: leases.Explorer(m.machine, m.bounds).explore for n, m in leases.MUTANTS.items()}
+        plays = {n: leases.Explorer(m.implementation, m.bounds).explore for n, m in leases.MUTANTS.items()}
         caught = mutants(plays, status)
     keep(json_file, "leases", {"members": 3, "wide": wide}, {"explored": found, "mutants": caught})
     return 0 if all(caught.values()) else 1
@@ -70,7 +70,7 @@
             status.update(f"exploring: {name}")
             try:
                 report = claims.explore(faults=faults, deaths=deaths)
-            except claims.SpentTwiceError as broken:
+            except claims.InvariantError as broken:
                 console.print(f"[red]ran twice:[/] {name}: {broken}")
                 return 3
             found[name] = {"states": report.states, "seconds": round(report.seconds, 1)}
@@ -84,16 +84,16 @@
     """`most`: states of each part, after which it ends unfinished, and says so."""
     console, found = Console(), dict[str, Any]()
     with console.status("exploring") as status:
-        for name, bounds in registers.PARTS.items():
+        for name, bounds in registers.SCENARIOS.items():
             status.update(f"exploring: {name}")
             try:
-                report = registers.Explorer(replace(bounds, most=most)).explore()
-            except registers.BrokenError as broken:
+                report = registers.Explorer(replace(bounds, max_states=most)).explore()
+            except registers.InvariantError as broken:
                 console.print(f"[red]broken:[/] {name}: {broken}")
                 return 3
-            found[name] = {"states": report.states, "all": report.whole, "led": report.led}
+            found[name] = {"states": report.states, "all": report.is_complete, "led": report.led_states}
             found[name]["seconds"] = round(report.seconds, 1)
-            told = "all of them" if report.whole else "not all"
+            told = "all of them" if report.is_complete else "not all"
             console.print(f"{name}: {report.states} states ({told}), all sound, in {report.seconds:.1f} s")
         plays = {n: registers.Explorer(m.bounds, m.make).explore for n, m in registers.MUTANTS.items()}
         caught = mutants(plays, status)
@@ -106,19 +106,19 @@
     with console.status("exploring") as status:
         try:
             report = explore(progress=lambda n: status.update(f"exploring: {n} states"))
-        except BrokenError as broken:
+        except InvariantError as broken:
             console.print(f"[red]broken:[/] {broken}")
             return 3
         console.print(
-            f"2 jobs each way: {report.states} states of single jobs in {report.shared} shared ones. "
-            f"They stand for {report.product:.3g} joint states; all sound, in {report.seconds:.1f} s"
+            f"2 jobs each way: {report.states} states of single jobs in {report.shared_states} shared ones. "
+            f"They stand for {report.joint_states:.3g} joint states; all sound, in {report.seconds:.1f} s"
         )
         caught = mutants({name: partial(explore, machines) for name, machines in MUTANTS.items()}, status)
     figures = {
         "states": report.states,
-        "shared_states": report.shared,
-        "joint_states": report.product,
-        "verdicts": sorted(v.value for v in report.verdicts),
+        "shared_states": report.shared_states,
+        "joint_states": report.joint_states,
+        "verdicts": sorted(v.value for v in report.resolutions),
         "seconds": round(report.seconds, 2),
         "mutants": caught,
     }
--- a/rookwood/metrics/loop_lag.py
+++ b/rookwood/metrics/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late the event loop runs what is due: everything else in the process waits as long."""
+"""Measures how late the event loop runs tasks that are due; everything in the process waits as long."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class LoopLag:
-    """The lag seen by a task that wakes periodically."""
+    """The lag of a task that wakes periodically."""
 
     def __init__(self) -> None:
         self.last = 0.0
         self.maximum = 0.0
         self.total = 0.0
-        self.wakes = 0
+        self.measurements = 0
         self._window_began = 0.0
         self._window_maximum = 0.0
         self._previous_maximum = 0.0
 
     @property
     def recent_maximum(self) -> float:
-        """The largest lag of the present window and the one before."""
+        """The largest lag of the current window and the previous one."""
         return max(self._window_maximum, self._previous_maximum)
 
     async def run(self) -> None:
@@ -35,9 +35,9 @@
             self.observe(now - due, now)
 
     def observe(self, lag: float, now: float) -> None:
-        """Take in one measurement."""
+        """Record one measurement."""
         self.last = max(0.0, lag)
-        self.wakes += 1
+        self.measurements += 1
         self.total += self.last
         self.maximum = max(self.maximum, self.last)
         if now - self._window_began > WINDOW:
--- a/rookwood_controlplane.py
+++ b/rookwood_controlplane.py
@@ -1,13 +1,13 @@
-"""Starts the control plane."""
+"""Entry point of a control machine's process."""
 
 import sys
 
-from rookwood.cluster.startup import leave_out_tls
+from rookwood.cluster.startup import skip_tls_import
 
 
 def main() -> int:
-    """Run until SIGTERM; 2 if the settings can't be used."""
-    leave_out_tls()
+    """Run until SIGTERM and return the exit code: 2 if the arguments or the settings are invalid."""
+    skip_tls_import()
     import asyncio
 
     from rookwood.cluster.logs import configure_logging
--- a/tests/test_httpclient_library.py
+++ b/tests/test_httpclient_library.py
@@ -1,4 +1,4 @@
-"""What `rookwood.httpclient` builds on in aiohttp. A failure means that the library has changed there."""
+"""Checks the internals of aiohttp that `rookwood.httpclient` relies on; a failure means that they changed."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from aiohttp.client_proto import ResponseHandler
 from yarl import URL
 
-from rookwood.httpclient.client import Answer, HttpClient
-from rookwood.httpclient.connections import AnswerConnector, AnswerProtocol
-from rookwood.httpclient.outcomes import Broken
-from tests.fake_worker import Exchange, FakeWorker, answering, break_off, whole_answer, within
+from rookwood.httpclient.client import HttpClient, Response
+from rookwood.httpclient.connections import ResponseConnector, ResponseProtocol
+from rookwood.httpclient.outcomes import ResponseLost
+from tests.fake_worker import Exchange, FakeWorker, break_off, responding, response_bytes, within
 
 PARAMETERS = {
     "feed_data": ["self", "data", "size"],
@@ -27,12 +27,12 @@
 
 async def reset_in_body(exchange: Exchange) -> None:
     """Send half of a body without a length, then reset the connection."""
-    exchange.write(whole_answer(exchange.request, b"half", Content_Length=None))
+    exchange.write(response_bytes(exchange.request, b"half", Content_Length=None))
     await exchange.reset()
 
 
 class LibraryCase(unittest.IsolatedAsyncioTestCase):
-    """A client of the library's own, and one of ours."""
+    """A session of the library, and a client of ours."""
 
     async def asyncSetUp(self) -> None:
         self.plain = aiohttp.ClientSession()
@@ -47,21 +47,21 @@
         return worker
 
     async def read_plain(self, worker: FakeWorker) -> bytes:
-        """A body as the library reads it."""
+        """Return a body as the library reads it."""
         async with self.plain.get(f"http://{worker.address}/") as response:
             return await response.read()
 
-    async def read(self, worker: FakeWorker) -> bytes | Broken:
-        """A body as our client reads it."""
-        answer = await self.client.send("GET", URL(f"http://{worker.address}/"), {}, None)
-        if isinstance(answer, Answer):
-            return await within(answer.read_all())
-        assert isinstance(answer, Broken)
-        return answer
+    async def read(self, worker: FakeWorker) -> bytes | ResponseLost:
+        """Return a body as our client reads it."""
+        response = await self.client.send("GET", URL(f"http://{worker.address}/"), {}, None)
+        if isinstance(response, Response):
+            return await within(response.read_all())
+        assert isinstance(response, ResponseLost)
+        return response
 
 
-class InsideTests(LibraryCase):
-    def test_the_overridden_methods_have_their_parameters(self) -> None:
+class InternalsTests(LibraryCase):
+    def test_the_overridden_methods_have_the_expected_parameters(self) -> None:
         for name, parameters in PARAMETERS.items():
             with self.subTest(method=name):
                 signature = inspect.signature(getattr(ResponseHandler, name))
@@ -71,34 +71,34 @@
         self.assertEqual({inspect.Parameter.KEYWORD_ONLY}, kinds)
         self.assertIsInstance(inspect.getattr_static(ResponseHandler, "writing_paused"), property)
 
-    async def test_connections_use_the_protocol_of_our_own(self) -> None:
-        worker = await self.start_worker(FakeWorker(answering()))
-        connector = AnswerConnector(limit=1, keepalive_timeout=1.0)
+    async def test_connections_use_our_own_protocol(self) -> None:
+        worker = await self.start_worker(FakeWorker(responding()))
+        connector = ResponseConnector(limit=1, keepalive_timeout=1.0)
         async with (
             aiohttp.ClientSession(connector=connector) as session,
             session.get(f"http://{worker.address}/") as response,
         ):
-            self.assertIsInstance(connector._factory(), AnswerProtocol)
+            self.assertIsInstance(connector._factory(), ResponseProtocol)
             await response.read()
-            (kept,) = connector._conns.values()
-            self.assertIsInstance(kept[0][0], AnswerProtocol)
+            (idle,) = connector._conns.values()
+            self.assertIsInstance(idle[0][0], ResponseProtocol)
 
 
-class ReasonTests(LibraryCase):
-    """Where one of these fails in its first half, the library has mended what our own code is there for."""
+class WorkaroundTests(LibraryCase):
+    """If the first half of one of these tests fails, the library no longer needs our workaround."""
 
     async def test_the_library_takes_a_reset_for_the_end_of_a_body(self) -> None:
         worker = await self.start_worker(FakeWorker(reset_in_body))
         self.assertEqual(b"half", await self.read_plain(worker))
-        self.assertIsInstance(await self.read(worker), Broken)
+        self.assertIsInstance(await self.read(worker), ResponseLost)
 
-    async def test_the_library_repeats_a_request_whose_kept_connection_breaks(self) -> None:
-        worker = await self.start_worker(FakeWorker(answering(b"1"), break_off, answering(b"2")))
+    async def test_the_library_retries_a_request_whose_reused_connection_breaks(self) -> None:
+        worker = await self.start_worker(FakeWorker(responding(b"1"), break_off, responding(b"2")))
         self.assertEqual([b"1", b"2"], [await self.read_plain(worker) for _ in range(2)])
         self.assertEqual(3, len(worker.requests))
-        worker = await self.start_worker(FakeWorker(answering(b"1"), break_off, answering(b"2")))
+        worker = await self.start_worker(FakeWorker(responding(b"1"), break_off, responding(b"2")))
         self.assertEqual(b"1", await self.read(worker))
-        self.assertIsInstance(await self.read(worker), Broken)
+        self.assertIsInstance(await self.read(worker), ResponseLost)
         self.assertEqual(2, len(worker.requests))
 
 
